--- a/clementinepick/src/admission.rs
+++ b/clementinepick/src/admission.rs
@@ -6,7 +6,7 @@
 use crate::answer_text::AnswerText;
 use crate::call::{AnswerPart, Payload, Request};
 use crate::call_state::{Call, ReplyTo, Step};
-use crate::config::InForce;
+use crate::config::ActiveDocument;
 use crate::document::Document;
 use crate::entry::{Entry, EntryAction};
 use crate::error::{CallError, ErrorKind};
@@ -100,7 +100,11 @@
         }
         let Some(in_force) = self.config.service(&request.service) else {
             let detail = format!("no document for `{}` is in force", request.service);
-            return Err(CallError::at(ErrorKind::UnknownService, "service", detail));
+            return Err(CallError::in_field(
+                ErrorKind::UnknownService,
+                "service",
+                detail,
+            ));
         };
         let idempotent = is_idempotent(&in_force.document, &request)?;
         let class = class_of(in_force, &request);
@@ -109,8 +113,8 @@
                 "the document of `{}` has no class `{class}`",
                 request.service
             );
-            let field = crate::parse::CLASS_HEADER;
-            return Err(CallError::at(ErrorKind::UnknownClass, field, detail));
+            let field = crate::http_request::CLASS_HEADER;
+            return Err(CallError::in_field(ErrorKind::UnknownClass, field, detail));
         };
         let left_us = request
             .deadline_left_us
@@ -147,7 +151,11 @@
         Payload::Chat(chat) => {
             if !document.models.is_empty() && !document.models.contains(&chat.model) {
                 let detail = format!("`{}` is not served here", chat.model);
-                return Err(CallError::at(ErrorKind::UnknownModel, "model", detail));
+                return Err(CallError::in_field(
+                    ErrorKind::UnknownModel,
+                    "model",
+                    detail,
+                ));
             }
             Ok(true)
         }
@@ -155,7 +163,7 @@
     }
 }
 
-fn class_of(in_force: &InForce, request: &Request) -> ClassName {
+fn class_of(in_force: &ActiveDocument, request: &Request) -> ClassName {
     let document = &in_force.document;
     let route_class = match &request.payload {
         Payload::Chat(_) => None,
--- a/clementinepick/src/answer.rs
+++ b/clementinepick/src/answer.rs
@@ -32,7 +32,7 @@
     ) {
         let attempt = reply.attempt;
         let Some(id) = self.attempts.get(&attempt).copied() else {
-            self.on_open_reply(now, from, reply, out);
+            self.on_open_call_reply(now, from, reply, out);
             return;
         };
         match reply.part {
@@ -93,7 +93,7 @@
             && let Step::Running { attempt, target } = call.step.clone()
         {
             self.leave_backend(attempt, false);
-            self.settle_whole(id);
+            self.settle_full_reservation(id);
             out.push(EntryAction::Send {
                 to: target,
                 message: Message::Cancel { attempt },
@@ -337,7 +337,7 @@
             return;
         };
         let error = truthful(call, error);
-        let is_not_run = error.kind.answer().not_run == NotRun::Yes;
+        let is_not_run = error.kind.response().not_run == NotRun::Yes;
         if is_not_run && call.claim.is_some() {
             self.release_claim(id, &error);
         }
@@ -348,7 +348,7 @@
         // The place of a call that may be sent again stays open for it; without the caller's own
         // number nobody would come back for that place, and later calls would wait in vain.
         let stopped = error.kind == ErrorKind::Cancelled;
-        let repeat_safe = error.kind.answer().repeat_safe || stopped;
+        let repeat_safe = error.kind.response().repeat_safe || stopped;
         let may_return = is_not_run || (call.idempotent && repeat_safe);
         let reopens = may_return && call.request.seq.is_some();
         // A keyed call that did not run may come again, and then finds its program still there.
@@ -537,7 +537,7 @@
 /// by whoever gets it last as not run; that would be true of the last attempt only. What may not
 /// run twice is refused by its record, except by one who has not looked there.
 fn truthful(call: &Call, error: CallError) -> CallError {
-    if !call.may_have_run || error.kind.answer().not_run != NotRun::Yes {
+    if !call.may_have_run || error.kind.response().not_run != NotRun::Yes {
         return error;
     }
     let kind = match error.kind {
@@ -552,7 +552,7 @@
 
 /// An error of a call that surely did not run, whatever its kind says of calls in general.
 fn as_not_run(error: CallError) -> CallError {
-    if error.kind.answer().not_run == NotRun::Yes {
+    if error.kind.response().not_run == NotRun::Yes {
         return error;
     }
     CallError::new(ErrorKind::NoBackend, error.detail)
--- a/clementinepick/src/budget_ledger.rs
+++ b/clementinepick/src/budget_ledger.rs
@@ -30,7 +30,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::record_age::is_expired;
+use crate::record_expiry::is_expired;
 use crate::units::Tokens;
 
 /// A slice is this part of what is left of a budget, and at least one turn. With a quarter, half the
--- a/clementinepick/src/call_state.rs
+++ b/clementinepick/src/call_state.rs
@@ -5,7 +5,7 @@
 use crate::answer_text::AnswerText;
 use crate::budget::Spending;
 use crate::call::{CallDone, ChatMessage, FinishReason, Payload, PlainAnswer, Request, Usage};
-use crate::config::InForce;
+use crate::config::ActiveDocument;
 use crate::ids::{
     AttemptId, CallKey, CallSeq, ClassName, Epoch, IdempotencyKey, Incarnation, PartitionId,
     ProgramId, RecordId, RequestId, Revision, ServiceName, VmId,
@@ -78,7 +78,7 @@
     pub(crate) step: Step,
     pub(crate) deadline_us: TimeUs,
     pub(crate) class: ClassName,
-    pub(crate) in_force: InForce,
+    pub(crate) in_force: ActiveDocument,
     pub(crate) idempotent: bool,
     pub(crate) seq: Option<CallSeq>,
     /// Where its program's transcript on record is longer than what the caller sent.
--- a/clementinepick/src/config.rs
+++ b/clementinepick/src/config.rs
@@ -3,14 +3,14 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-use crate::config_replay::{Change, ConfigReplay, Decider, Publication, check_document};
+use crate::config_replay::{ConfigChange, ConfigReplay, Decider, Publication, check_document};
 use crate::document::Document;
 use crate::ids::{Offset, Revision, ServiceName};
 use crate::record::{PublishedDocument, Record, RecordBody};
 
 /// A document in force.
 #[derive(Debug, Clone)]
-pub struct InForce {
+pub struct ActiveDocument {
     /// The document as published.
     pub published: PublishedDocument,
     /// The document as checked.
@@ -23,9 +23,9 @@
 /// The configuration in force at one process.
 #[derive(Debug, Clone, Default)]
 pub struct Config {
-    services: BTreeMap<ServiceName, InForce>,
+    services: BTreeMap<ServiceName, ActiveDocument>,
     /// The last revisions of each service, for calls that began under an earlier one.
-    kept: BTreeMap<ServiceName, BTreeMap<Revision, InForce>>,
+    kept: BTreeMap<ServiceName, BTreeMap<Revision, ActiveDocument>>,
     replay: ConfigReplay,
     /// Set in test runs that show what an older revision would do.
     takes_older: bool,
@@ -35,18 +35,22 @@
     /// A document by its revision, for a call that began under it; `None` when it is not known
     /// here, or no more.
     #[must_use]
-    pub fn at(&self, service: &ServiceName, revision: Revision) -> Option<&InForce> {
+    pub fn document_at(
+        &self,
+        service: &ServiceName,
+        revision: Revision,
+    ) -> Option<&ActiveDocument> {
         self.kept.get(service)?.get(&revision)
     }
 
     /// The document in force for a service.
     #[must_use]
-    pub fn service(&self, service: &ServiceName) -> Option<&InForce> {
+    pub fn service(&self, service: &ServiceName) -> Option<&ActiveDocument> {
         self.services.get(service)
     }
 
     /// All documents in force.
-    pub fn services(&self) -> impl Iterator<Item = (&ServiceName, &InForce)> {
+    pub fn services(&self) -> impl Iterator<Item = (&ServiceName, &ActiveDocument)> {
         self.services.iter()
     }
 
@@ -92,7 +96,7 @@
     }
 
     /// Replays a record of the configuration stream.
-    pub fn apply(&mut self, offset: Offset, record: &Record) -> Vec<Change> {
+    pub fn apply(&mut self, offset: Offset, record: &Record) -> Vec<ConfigChange> {
         let changes = self.replay.apply(offset, record);
         if changes.is_empty() {
             return changes;
@@ -127,7 +131,7 @@
     }
 
     /// Lets older revisions in; for test runs only, see [`crate::safeguards`].
-    pub fn take_older(&mut self) {
+    pub fn accept_older_revisions(&mut self) {
         self.takes_older = true;
     }
 
@@ -150,7 +154,7 @@
     pub fn adopt(&mut self, published: PublishedDocument) -> Result<bool, String> {
         let document = check_document(&published.service, &published.text)?;
         let is_news = self.is_news(&published);
-        let in_force = InForce {
+        let in_force = ActiveDocument {
             document: Arc::new(document),
             published,
         };
@@ -162,7 +166,7 @@
         Ok(is_news)
     }
 
-    fn keep(&mut self, in_force: &InForce) {
+    fn keep(&mut self, in_force: &ActiveDocument) {
         let published = &in_force.published;
         let kept = self.kept.entry(published.service.clone()).or_default();
         kept.insert(published.revision, in_force.clone());
@@ -173,7 +177,7 @@
 
     /// The documents that a peer with these revisions lacks, of one service or of all.
     #[must_use]
-    pub fn lacking(
+    pub fn missing_documents(
         &self,
         service: Option<&ServiceName>,
         known: &BTreeMap<ServiceName, Revision>,
--- a/clementinepick/src/config_replay.rs
+++ b/clementinepick/src/config_replay.rs
@@ -79,18 +79,18 @@
 
 /// What a record changed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Change {
+pub enum ConfigChange {
     /// A publication was judged.
     Published(Publication),
     /// A claim to decide for a service is in force.
-    Decided {
+    DeciderClaimed {
         /// The service.
         service: ServiceName,
         /// Who decides from here on.
         decider: Decider,
     },
     /// A claim to decide came after another that replaced the same decider.
-    DeciderOutrun {
+    DeciderClaimLost {
         /// The service.
         service: ServiceName,
         /// Whose claim was outrun.
@@ -140,7 +140,7 @@
     }
 
     /// Replays one record.
-    pub fn apply(&mut self, offset: Offset, record: &Record) -> Vec<Change> {
+    pub fn apply(&mut self, offset: Offset, record: &Record) -> Vec<ConfigChange> {
         let Some(gap) = &mut self.gap else {
             return self.state.apply(offset, record).into_iter().collect();
         };
@@ -177,7 +177,7 @@
             .map_or(Revision(0), |document| document.revision)
     }
 
-    fn apply(&mut self, offset: Offset, record: &Record) -> Option<Change> {
+    fn apply(&mut self, offset: Offset, record: &Record) -> Option<ConfigChange> {
         match &record.body {
             RecordBody::Publish { operation, .. } => {
                 // `publish --resume` appends the same operation again when the first append may
@@ -185,12 +185,14 @@
                 if self.publication(*operation).is_some() {
                     return None;
                 }
-                self.publish(offset, record).map(Change::Published)
+                self.publish(offset, record).map(ConfigChange::Published)
             }
             RecordBody::DeciderClaim { service, over } => {
                 Some(self.claim(offset, record, service, *over))
             }
-            RecordBody::ConfigSnapshot { up_to, .. } => Some(Change::Snapshot { up_to: *up_to }),
+            RecordBody::ConfigSnapshot { up_to, .. } => {
+                Some(ConfigChange::Snapshot { up_to: *up_to })
+            }
             RecordBody::Claim { .. } | RecordBody::Owned { .. } => None,
         }
     }
@@ -262,13 +264,13 @@
         record: &Record,
         service: &ServiceName,
         over: Option<FencingNumber>,
-    ) -> Change {
+    ) -> ConfigChange {
         let service = service.clone();
         // Two entries may see the same decider gone and claim at once. Each names the claim it
         // replaces, so that only the first in the log matches and only one gives orders.
         if self.deciders.get(&service).map(|decider| decider.fencing) != over {
             let vm = record.writer.clone();
-            return Change::DeciderOutrun { service, vm };
+            return ConfigChange::DeciderClaimLost { service, vm };
         }
         let decider = Decider {
             vm: record.writer.clone(),
@@ -276,7 +278,7 @@
             fencing: FencingNumber(offset.0),
         };
         self.deciders.insert(service.clone(), decider.clone());
-        Change::Decided { service, decider }
+        ConfigChange::DeciderClaimed { service, decider }
     }
 }
 
--- a/clementinepick/src/entry.rs
+++ b/clementinepick/src/entry.rs
@@ -21,10 +21,10 @@
 use crate::journal::{AppendOutcome, Journal, JournalAction, JournalSettings};
 use crate::membership::{Membership, MembershipSettings};
 use crate::message::{Message, Peer};
+use crate::partition_replay::Partitions;
 use crate::placement::Placement;
 use crate::platform::{ReadAnswer, StreamName, Vm, VmRole};
 use crate::record::EndReason;
-use crate::replay::Partitions;
 use crate::retry::RetryBudget;
 use crate::route::{RouteSettings, Router};
 use crate::safeguards::Safeguards;
@@ -346,7 +346,7 @@
             return;
         }
         self.is_unsure = true;
-        self.sure_at_read = self.journal.read_now(now);
+        self.sure_at_read = self.journal.schedule_read(now);
         for peer in self.peers.values_mut() {
             peer.heard_us = now;
         }
@@ -364,10 +364,10 @@
     #[must_use]
     pub fn is_caught_up(&self) -> bool {
         self.config.is_complete()
-            && self.config_journal.caught_up()
-            && self.journal.caught_up()
+            && self.config_journal.has_caught_up()
+            && self.journal.has_caught_up()
             && (0..self.settings.partition_count)
-                .all(|partition| self.partitions.is_whole(PartitionId(partition)))
+                .all(|partition| self.partitions.is_complete(PartitionId(partition)))
     }
 
     /// Whether the balancer should send callers here.
--- a/clementinepick/src/entry_config.rs
+++ b/clementinepick/src/entry_config.rs
@@ -4,7 +4,7 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::config_replay::{Change, Publication, Verdict};
+use crate::config_replay::{ConfigChange, Publication, Verdict};
 use crate::entry::{Entry, EntryAction};
 use crate::event::{Event, EventKind};
 use crate::ids::{Offset, RecordId, RequestId, VmId};
@@ -28,18 +28,18 @@
     ) {
         for change in self.config.apply(offset, record) {
             match change {
-                Change::Published(publication) => self.on_publication(&publication, out),
-                Change::Decided { service, .. } => {
+                ConfigChange::Published(publication) => self.on_publication(&publication, out),
+                ConfigChange::DeciderClaimed { service, .. } => {
                     self.decider_claims.remove(&service);
                     self.decider_paces
                         .entry(service)
                         .or_default()
                         .on_change(now);
                 }
-                Change::DeciderOutrun { service, .. } => {
+                ConfigChange::DeciderClaimLost { service, .. } => {
                     self.decider_claims.remove(&service);
                 }
-                Change::Snapshot { .. } => self.config_snapshot_us = Some(now),
+                ConfigChange::Snapshot { .. } => self.config_snapshot_us = Some(now),
             }
         }
         if matches!(record.body, RecordBody::ConfigSnapshot { .. })
@@ -52,7 +52,7 @@
 
     /// Says once that records are missing and no snapshot covers them.
     pub(crate) fn report_config_gap(&mut self, out: &mut Vec<EntryAction>) {
-        let is_gap = self.config_journal.at_end() && !self.config.is_complete();
+        let is_gap = self.config_journal.is_at_end() && !self.config.is_complete();
         if !std::mem::replace(&mut self.has_config_gap, is_gap) && is_gap {
             let event = Event::new(EventKind::RetentionPassed).with("stream", "config");
             out.push(EntryAction::Event(event));
@@ -150,7 +150,7 @@
         let can_write = self.is_caught_up()
             && !self.leaving
             && !journal.is_down()
-            && journal.at_end()
+            && journal.is_at_end()
             && journal.unconfirmed() == 0;
         if !can_write || now < self.next_snapshot_us(now) {
             return;
--- a/clementinepick/src/entry_log.rs
+++ b/clementinepick/src/entry_log.rs
@@ -4,9 +4,9 @@
 use crate::entry::{Entry, EntryAction};
 use crate::event::{Event, EventKind};
 use crate::ids::{Offset, PartitionId, RecordId};
+use crate::partition_replay::{Effect, Partitions};
 use crate::platform::{ReadAnswer, StreamName};
-use crate::record::{OwnedRecord, Record, RecordBody};
-use crate::replay::{Applied, Partitions};
+use crate::record::{PartitionRecord, Record, RecordBody};
 use crate::step_record::tell_committed;
 use crate::units::TimeUs;
 
@@ -35,7 +35,7 @@
     pub(crate) fn write_owned(
         &mut self,
         partition: PartitionId,
-        entry: OwnedRecord,
+        entry: PartitionRecord,
     ) -> Option<RecordId> {
         if self.yield_written.contains(&partition) {
             return None;
@@ -70,7 +70,7 @@
         }
         out.extend(events.into_iter().map(EntryAction::Event));
         if stream == StreamName::Journal
-            && let Some(earliest) = self.journal.take_jump()
+            && let Some(earliest) = self.journal.take_truncated_to()
         {
             self.start_late(now, earliest, out);
         }
@@ -86,7 +86,9 @@
         if stream == StreamName::Config {
             self.report_config_gap(out);
         }
-        if self.is_unsure && self.journal.reads_done() >= self.sure_at_read && self.journal.at_end()
+        if self.is_unsure
+            && self.journal.reads_done() >= self.sure_at_read
+            && self.journal.is_at_end()
         {
             self.is_unsure = false;
         }
@@ -111,35 +113,35 @@
         &mut self,
         now: TimeUs,
         record: &Record,
-        applied: &Applied,
+        applied: &Effect,
         out: &mut Vec<EntryAction>,
     ) {
         let awaited = self.awaited.remove(&record.id);
         let ended = match (applied, &record.body) {
             (
-                Applied::Owned(partition),
+                Effect::Accepted(partition),
                 RecordBody::Owned {
-                    entry: OwnedRecord::CallEnded { call, .. },
+                    entry: PartitionRecord::CallEnded { call, .. },
                     ..
                 },
             ) => Some((*partition, call)),
             _ => None,
         };
         match (applied, awaited) {
-            (Applied::Claimed(partition), _) => self.on_claimed(now, *partition, out),
-            (Applied::Outrun(partition), Some(_)) => self.retry_own(now, *partition, out),
-            (Applied::Owned(_), Some(awaited)) => self.on_own_record(now, record, awaited, out),
-            (Applied::Owned(partition), None) => self.on_other_record(now, *partition, record),
-            (Applied::Stale(partition), Some(_)) => {
+            (Effect::Claimed(partition), _) => self.on_claimed(now, *partition, out),
+            (Effect::ClaimLost(partition), Some(_)) => self.retry_own(now, *partition, out),
+            (Effect::Accepted(_), Some(awaited)) => self.on_own_record(now, record, awaited, out),
+            (Effect::Accepted(partition), None) => self.on_other_record(now, *partition, record),
+            (Effect::Stale(partition), Some(_)) => {
                 // The claim that made the record stale was read before it, so its call is on its
                 // way to the new owner already.
                 let event = Event::new(EventKind::StaleRecord).with("partition", partition);
                 out.push(EntryAction::Event(event));
             }
-            (Applied::Outrun(_) | Applied::Stale(_) | Applied::Other, _) => {}
+            (Effect::ClaimLost(_) | Effect::Stale(_) | Effect::Other, _) => {}
         }
         if let Some((partition, call)) = ended {
-            self.answer_recorded(now, partition, call, out);
+            self.answer_waiting_repeats(now, partition, call, out);
         }
     }
 
@@ -182,7 +184,7 @@
         let is_yield = matches!(
             record.body,
             RecordBody::Owned {
-                entry: OwnedRecord::Yielded,
+                entry: PartitionRecord::Yielded,
                 ..
             }
         );
--- a/clementinepick/src/entry_orders.rs
+++ b/clementinepick/src/entry_orders.rs
@@ -5,7 +5,7 @@
 use serde_json::{Value, json};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::config::InForce;
+use crate::config::ActiveDocument;
 use crate::config_replay::Decider;
 use crate::document::ServiceKind;
 use crate::entry::{Entry, EntryAction};
@@ -122,7 +122,7 @@
             self.placements.clear();
             return;
         }
-        let placed: Vec<(ServiceName, InForce)> = self
+        let placed: Vec<(ServiceName, ActiveDocument)> = self
             .config
             .services()
             .filter(|(_, in_force)| is_placed(in_force))
@@ -187,7 +187,7 @@
         &mut self,
         now: TimeUs,
         service: &ServiceName,
-        in_force: &InForce,
+        in_force: &ActiveDocument,
         decider: &Decider,
         out: &mut Vec<EntryAction>,
     ) {
@@ -242,7 +242,7 @@
     /// Whether the configuration was read to its end by a read that began no earlier than `read`.
     fn has_read_since(&self, read: u64) -> bool {
         let journal = &self.config_journal;
-        journal.reads_done() >= read && journal.at_end() && !journal.is_down()
+        journal.reads_done() >= read && journal.is_at_end() && !journal.is_down()
     }
 
     pub(crate) fn on_order_reply(
@@ -284,7 +284,7 @@
     }
 }
 
-fn is_placed(in_force: &InForce) -> bool {
+fn is_placed(in_force: &ActiveDocument) -> bool {
     let document = &in_force.document;
     let roles = document.placement.prefill_engines + document.placement.decode_engines;
     document.kind == ServiceKind::Engine && (!document.placed_models.is_empty() || roles > 0)
--- a/clementinepick/src/error.rs
+++ b/clementinepick/src/error.rs
@@ -23,7 +23,7 @@
 
 /// The answer that goes with a kind of error.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ErrorAnswer {
+pub struct ErrorResponse {
     /// The name in the body's `code` field.
     pub code: &'static str,
     /// The HTTP status.
@@ -61,9 +61,9 @@
 
             /// The answer that goes with this kind.
             #[must_use]
-            pub const fn answer(self) -> ErrorAnswer {
+            pub const fn response(self) -> ErrorResponse {
                 match self {
-                    $(Self::$kind => ErrorAnswer {
+                    $(Self::$kind => ErrorResponse {
                         code: $code,
                         status: $status,
                         not_run: NotRun::$not_run,
@@ -135,7 +135,7 @@
 
 /// A failed call, as it travels back to the caller.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Serialize, Deserialize)]
-#[error("{}: {detail}", kind.answer().code)]
+#[error("{}: {detail}", kind.response().code)]
 pub struct CallError {
     /// The kind, which fixes the status.
     pub kind: ErrorKind,
@@ -159,7 +159,7 @@
     }
 
     /// An error of `kind` that lies in `field`.
-    pub fn at(kind: ErrorKind, field: impl Into<String>, detail: impl Into<String>) -> Self {
+    pub fn in_field(kind: ErrorKind, field: impl Into<String>, detail: impl Into<String>) -> Self {
         Self {
             field: Some(field.into()),
             ..Self::new(kind, detail)
@@ -179,7 +179,7 @@
     #[must_use]
     pub fn retry_after_s(&self) -> Option<u64> {
         let known = self.retry_after_us.map(|span| span.0.div_ceil(1_000_000));
-        known.or(self.kind.answer().retry_after_s.map(u64::from))
+        known.or(self.kind.response().retry_after_s.map(u64::from))
     }
 }
 
@@ -193,7 +193,7 @@
     fn codes_are_unique() {
         let codes: BTreeSet<_> = ErrorKind::ALL
             .iter()
-            .map(|kind| kind.answer().code)
+            .map(|kind| kind.response().code)
             .collect();
         assert_eq!(codes.len(), ErrorKind::ALL.len());
     }
@@ -201,7 +201,7 @@
     #[test]
     fn what_may_have_run_is_never_called_safe_unless_idempotent() {
         for kind in ErrorKind::ALL {
-            let answer = kind.answer();
+            let answer = kind.response();
             if answer.not_run == NotRun::Yes {
                 assert!(answer.repeat_safe, "{kind:?}");
             }
--- a/clementinepick/src/event_stream.rs
+++ b/clementinepick/src/event_stream.rs
@@ -48,7 +48,7 @@
 
     /// Whether what is held is longer than any event may be.
     #[must_use]
-    pub fn is_overfull(&self) -> bool {
+    pub fn exceeds_limit(&self) -> bool {
         self.held.len() > MAX_EVENT_BYTES
     }
 
--- a/clementinepick/src/handover.rs
+++ b/clementinepick/src/handover.rs
@@ -5,7 +5,7 @@
 use crate::entry::{Entry, EntryAction};
 use crate::error::{CallError, ErrorKind};
 use crate::ids::{PartitionId, RequestId};
-use crate::record::OwnedRecord;
+use crate::record::PartitionRecord;
 use crate::units::{SpanUs, TimeUs};
 
 /// How long an entry must be linked before idle partitions are handed to it.
@@ -70,7 +70,7 @@
 
     fn write_yield(&mut self, now: TimeUs, partition: PartitionId) {
         self.return_slices(now, partition);
-        let Some(record) = self.write_owned(partition, OwnedRecord::Yielded) else {
+        let Some(record) = self.write_owned(partition, PartitionRecord::Yielded) else {
             return;
         };
         self.awaited.insert(record, Awaited::Yield(partition));
@@ -96,7 +96,7 @@
             returned.push((program.clone(), before, unused));
         }
         for (program, before, unused) in returned {
-            let entry = OwnedRecord::SliceReturned {
+            let entry = PartitionRecord::SliceReturned {
                 program,
                 before,
                 unused,
--- a/clementinepick/src/history.rs
+++ b/clementinepick/src/history.rs
@@ -5,8 +5,8 @@
 use crate::entry::Entry;
 use crate::error::{CallError, ErrorKind};
 use crate::ids::RequestId;
+use crate::partition_replay::ProgramState;
 use crate::prompt::{ChainHash, Prompt};
-use crate::replay::ProgramState;
 
 /// A program's transcript: the turns on record and those on their way there.
 #[derive(Debug, Clone, Default, PartialEq)]
@@ -72,7 +72,7 @@
                 "the transcript does not begin with the {} messages on record",
                 history.messages.len()
             );
-            return Err(CallError::at(
+            return Err(CallError::in_field(
                 ErrorKind::HistoryMismatch,
                 "messages",
                 detail,
@@ -90,17 +90,21 @@
     history: &History,
     uncertain: bool,
 ) -> Result<(), CallError> {
-    let field = crate::parse::HISTORY_CHAIN_HEADER;
+    let field = crate::http_request::HISTORY_CHAIN_HEADER;
     match seen {
         Some(seen) if seen == history.chain => Ok(()),
         None if !uncertain => Ok(()),
         Some(_) if !uncertain => {
             let detail = "the history on record has another chain";
-            Err(CallError::at(ErrorKind::HistoryMismatch, field, detail))
+            Err(CallError::in_field(
+                ErrorKind::HistoryMismatch,
+                field,
+                detail,
+            ))
         }
         Some(_) | None => {
             let detail = "turns may be missing after a take-over: send the whole transcript";
-            Err(CallError::at(ErrorKind::HistoryNeeded, field, detail))
+            Err(CallError::in_field(ErrorKind::HistoryNeeded, field, detail))
         }
     }
 }
--- a/clementinepick/src/parse.rs
+++ b/clementinepick/src/http_request.rs
@@ -37,7 +37,7 @@
 /// `yes` when the call may not run twice.
 pub const NON_IDEMPOTENT_HEADER: &str = "clementinepick-non-idempotent";
 /// The caller's idempotency key.
-pub const KEY_HEADER: &str = "idempotency-key";
+pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
 /// Headers between two hops, which are not passed on.
 const HOP_HEADERS: &[&str] = &[
@@ -56,7 +56,7 @@
 
 /// Whether a header, named in lower case, belongs to one hop and is not passed on.
 #[must_use]
-pub fn is_hop_header(name: &str) -> bool {
+pub fn is_hop_by_hop_header(name: &str) -> bool {
     HOP_HEADERS.contains(&name)
 }
 
@@ -110,14 +110,14 @@
         let value = text.trim().parse();
         value
             .map(Some)
-            .map_err(|err: T::Err| CallError::at(ErrorKind::BadHeader, name, err.to_string()))
+            .map_err(|err: T::Err| CallError::in_field(ErrorKind::BadHeader, name, err.to_string()))
     }
 
     fn read_flag(&self, name: &'static str) -> Result<bool, CallError> {
         match self.header(name).map(str::trim) {
             None | Some("no") => Ok(false),
             Some("yes") => Ok(true),
-            Some(_) => Err(CallError::at(
+            Some(_) => Err(CallError::in_field(
                 ErrorKind::BadHeader,
                 name,
                 "must be `yes` or `no`",
@@ -140,7 +140,7 @@
     let service = match http.read(SERVICE_HEADER)? {
         Some(service) => service,
         None => settings.default_service.clone().ok_or_else(|| {
-            CallError::at(
+            CallError::in_field(
                 ErrorKind::UnknownService,
                 SERVICE_HEADER,
                 "name the service here",
@@ -165,7 +165,7 @@
     let rest = http.path.strip_prefix("/services/").unwrap_or_default();
     let (service, path) = rest.split_at(rest.find(['/', '?']).unwrap_or(rest.len()));
     let service: ServiceName = service.parse().map_err(|_| {
-        CallError::at(
+        CallError::in_field(
             ErrorKind::UnknownService,
             "path",
             "must be /services/{service}/{path}",
@@ -179,7 +179,7 @@
     let headers = http
         .headers
         .iter()
-        .filter(|(name, _)| !is_hop_header(name))
+        .filter(|(name, _)| !is_hop_by_hop_header(name))
         .cloned()
         .collect();
     let call = PlainCall {
@@ -197,12 +197,12 @@
 ///
 /// Which part of the path is wrong.
 pub fn parse_fetch(id: RequestId, http: &HttpRequest) -> Result<Fetch, CallError> {
-    let bad = |field: &str, detail: &str| CallError::at(ErrorKind::BadHeader, field, detail);
+    let bad = |field: &str, detail: &str| CallError::in_field(ErrorKind::BadHeader, field, detail);
     let (path, query) = http.path.split_once('?').unwrap_or((&http.path, ""));
     let parts: Vec<&str> = path.split('/').collect();
     let ["", "v1", "programs", program, "calls", call] = parts[..] else {
         let detail = "must be /v1/programs/{program}/calls/{call}";
-        return Err(CallError::at(ErrorKind::UnknownCall, "path", detail));
+        return Err(CallError::in_field(ErrorKind::UnknownCall, "path", detail));
     };
     let position = query
         .split('&')
@@ -221,7 +221,7 @@
 fn check_size(settings: &ParseSettings, http: &HttpRequest) -> Result<(), CallError> {
     if http.body.len() as u64 > settings.max_body_bytes.0 {
         let detail = format!("the limit is {}", settings.max_body_bytes);
-        return Err(CallError::at(ErrorKind::BodyTooLarge, "body", detail));
+        return Err(CallError::in_field(ErrorKind::BodyTooLarge, "body", detail));
     }
     Ok(())
 }
@@ -236,26 +236,42 @@
     let single_call = program.is_none();
     let parent = http.read(PARENT_HEADER)?;
     let root = http.read(ROOT_HEADER)?;
-    let key: Option<IdempotencyKey> = http.read(KEY_HEADER)?;
+    let key: Option<IdempotencyKey> = http.read(IDEMPOTENCY_KEY_HEADER)?;
     if parent.is_none() && root.is_some() {
         let detail = format!("needs `{PARENT_HEADER}` as well");
-        return Err(CallError::at(ErrorKind::BadHeader, ROOT_HEADER, detail));
+        return Err(CallError::in_field(
+            ErrorKind::BadHeader,
+            ROOT_HEADER,
+            detail,
+        ));
     }
     let append = match http.header(HISTORY_HEADER).map(str::trim) {
         None => false,
         Some("append") => true,
         Some(_) => {
             let detail = "must be `append`";
-            return Err(CallError::at(ErrorKind::BadHeader, HISTORY_HEADER, detail));
+            return Err(CallError::in_field(
+                ErrorKind::BadHeader,
+                HISTORY_HEADER,
+                detail,
+            ));
         }
     };
     if single_call && append {
         let detail = format!("needs `{PROGRAM_HEADER}` as well");
-        return Err(CallError::at(ErrorKind::BadHeader, HISTORY_HEADER, detail));
+        return Err(CallError::in_field(
+            ErrorKind::BadHeader,
+            HISTORY_HEADER,
+            detail,
+        ));
     }
     if single_call && parent.is_some() {
         let detail = format!("needs `{PROGRAM_HEADER}` as well");
-        return Err(CallError::at(ErrorKind::BadHeader, PARENT_HEADER, detail));
+        return Err(CallError::in_field(
+            ErrorKind::BadHeader,
+            PARENT_HEADER,
+            detail,
+        ));
     }
     let deadline_ms: Option<u64> = http.read(DEADLINE_HEADER)?;
     let budget: Option<u64> = http.read(BUDGET_HEADER)?;
@@ -300,9 +316,9 @@
 }
 
 fn read_chat_body(body: &[u8]) -> Result<ChatCall, CallError> {
-    let bad = |field: &str, detail: &str| CallError::at(ErrorKind::BadBody, field, detail);
+    let bad = |field: &str, detail: &str| CallError::in_field(ErrorKind::BadBody, field, detail);
     let value: Value = serde_json::from_slice(body)
-        .map_err(|err| CallError::at(ErrorKind::BadBody, "body", err.to_string()))?;
+        .map_err(|err| CallError::in_field(ErrorKind::BadBody, "body", err.to_string()))?;
     let Value::Object(mut fields) = value else {
         return Err(bad("body", "must be a JSON object"));
     };
@@ -343,7 +359,7 @@
             None | Some(Value::Null) => {}
             Some(value) => {
                 let count = value.as_u64().filter(|count| *count > 0).ok_or_else(|| {
-                    CallError::at(ErrorKind::BadBody, name, "must be a whole number from 1")
+                    CallError::in_field(ErrorKind::BadBody, name, "must be a whole number from 1")
                 })?;
                 return Ok(Some(Tokens(count)));
             }
@@ -354,7 +370,7 @@
 
 fn read_message(at: usize, message: Value) -> Result<ChatMessage, CallError> {
     let bad = |field: &str, detail: &str| {
-        CallError::at(ErrorKind::BadBody, format!("messages[{at}]{field}"), detail)
+        CallError::in_field(ErrorKind::BadBody, format!("messages[{at}]{field}"), detail)
     };
     let Value::Object(mut fields) = message else {
         return Err(bad("", "must be an object"));
--- a/clementinepick/src/journal.rs
+++ b/clementinepick/src/journal.rs
@@ -142,7 +142,7 @@
 
     /// Whether the stream has been read to its end at least once.
     #[must_use]
-    pub const fn caught_up(&self) -> bool {
+    pub const fn has_caught_up(&self) -> bool {
         self.caught_up
     }
 
@@ -184,12 +184,12 @@
 
     /// Whether the last read came to the stream's end.
     #[must_use]
-    pub fn at_end(&self) -> bool {
+    pub fn is_at_end(&self) -> bool {
         self.position >= self.end
     }
 
     /// Makes a read due at once; the number of the first read that starts from now on.
-    pub fn read_now(&mut self, now: TimeUs) -> u64 {
+    pub fn schedule_read(&mut self, now: TimeUs) -> u64 {
         self.next_read_us = now;
         self.reads_started + 1
     }
@@ -201,7 +201,7 @@
     }
 
     /// The oldest offset that is kept, once after records that were not read had gone.
-    pub fn take_jump(&mut self) -> Option<Offset> {
+    pub fn take_truncated_to(&mut self) -> Option<Offset> {
         self.jumped_to.take()
     }
 
--- a/clementinepick/src/lib.rs
+++ b/clementinepick/src/lib.rs
@@ -8,9 +8,9 @@
 //!
 //! | step | module | rules in |
 //! |---|---|---|
-//! | read the request | [`parse`] | |
+//! | read the request | [`http_request`] | |
 //! | check it against the document in force | `admission` | [`config`], [`document`] |
-//! | find the owner of its program | `step_own` | [`own`], [`replay`] |
+//! | find the owner of its program | `step_own` | [`own`], [`partition_replay`] |
 //! | tell a repeat from a new call | `repeat` | |
 //! | wait for its turn in the program | `step_order` | [`order`] |
 //! | hold what it may spend | `step_budget` | [`budget`] |
@@ -56,6 +56,7 @@
 pub mod gate;
 mod handover;
 mod history;
+pub mod http_request;
 pub mod ids;
 mod ini_sections;
 mod invariants;
@@ -67,7 +68,8 @@
 pub mod message;
 pub mod order;
 pub mod own;
-pub mod parse;
+pub mod partition_replay;
+mod partition_state;
 pub mod peer_liveness;
 pub mod placement;
 pub mod placement_target;
@@ -76,12 +78,10 @@
 mod program_end;
 pub mod prompt;
 pub mod record;
-pub mod record_age;
+pub mod record_expiry;
 mod recovery;
 pub mod refusal;
 mod repeat;
-pub mod replay;
-mod replay_state;
 pub mod retain;
 pub mod retry;
 pub mod route;
--- a/clementinepick/src/links.rs
+++ b/clementinepick/src/links.rs
@@ -64,7 +64,7 @@
                 calls,
             } => {
                 if self.own_epoch(partition) == Some(epoch) {
-                    self.on_kept(now, &from, partition, calls, out);
+                    self.on_kept_calls(now, &from, partition, calls, out);
                 }
             }
             Message::FenceReply {
@@ -120,7 +120,7 @@
             leaving: false,
             revisions: None,
             lags: true,
-            confirmed_by_read: self.config_journal.read_now(now),
+            confirmed_by_read: self.config_journal.schedule_read(now),
             sent_documents: BTreeSet::new(),
         };
         let message = Message::Heartbeat(self.heartbeat_to(now, &state));
@@ -140,8 +140,8 @@
                 for partition in self.own_partitions() {
                     self.tell_take_over(&vm, partition, out);
                 }
-                self.ask_lost_calls(now, peer, out);
-                self.ask_open_calls(now, out);
+                self.query_lost_calls(now, peer, out);
+                self.query_open_calls(now, out);
             }
             VmRole::Entry => self.recover_partitions(now),
         }
--- a/clementinepick/src/members.rs
+++ b/clementinepick/src/members.rs
@@ -70,7 +70,9 @@
         let Some(peer) = self.peers.get_mut(to) else {
             return;
         };
-        let lacking = self.config.lacking(peer.peer.service.as_ref(), &revisions);
+        let lacking = self
+            .config
+            .missing_documents(peer.peer.service.as_ref(), &revisions);
         peer.revisions = Some(revisions);
         // A heartbeat that crossed the document on its way does not lag. Only the second one in a
         // row does, or each entry would send each document to each other.
--- a/clementinepick/src/own.rs
+++ b/clementinepick/src/own.rs
@@ -1,6 +1,6 @@
 //! Which entry should own a partition: highest random weight over the live entries.
 //!
-//! This only suggests. A claim record in the log decides, see [`crate::replay`].
+//! This only suggests. A claim record in the log decides, see [`crate::partition_replay`].
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
--- a/clementinepick/src/replay.rs
+++ b/clementinepick/src/partition_replay.rs
@@ -3,21 +3,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::ids::{Epoch, Offset, PartitionId, ProgramId};
-use crate::record::{OwnedRecord, Record, RecordBody};
-pub use crate::replay_state::{
+pub use crate::partition_state::{
     Owner, PartitionState, ProgramState, RecordedCall, RecordedTurn, extend_chain, history_chain,
 };
+use crate::record::{PartitionRecord, Record, RecordBody};
 use crate::safeguards::Safeguards;
 
 /// What a record changed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Applied {
+pub enum Effect {
     /// A claim is in force.
     Claimed(PartitionId),
     /// A claim came after another that replaced the same owner.
-    Outrun(PartitionId),
+    ClaimLost(PartitionId),
     /// An owner's record took effect.
-    Owned(PartitionId),
+    Accepted(PartitionId),
     /// The writer was no longer the owner; the record changes nothing.
     Stale(PartitionId),
     /// The record is not about partitions.
@@ -68,7 +68,7 @@
 
     /// Whether all records of a partition are known, from the log or from a snapshot.
     #[must_use]
-    pub fn is_whole(&self, partition: PartitionId) -> bool {
+    pub fn is_complete(&self, partition: PartitionId) -> bool {
         self.started_at == Offset(0) || self.whole.contains(&partition)
     }
 
@@ -97,31 +97,31 @@
 
     /// The partition of a sub-agent, which lies with its root.
     #[must_use]
-    pub fn home(&self, program: &ProgramId) -> Option<PartitionId> {
+    pub fn sub_agent_partition(&self, program: &ProgramId) -> Option<PartitionId> {
         self.homes.get(program).copied()
     }
 
     /// Replays one record.
-    pub fn apply(&mut self, offset: Offset, record: &Record) -> Applied {
+    pub fn apply(&mut self, offset: Offset, record: &Record) -> Effect {
         let partition = match &record.body {
             RecordBody::Claim { partition, .. } | RecordBody::Owned { partition, .. } => *partition,
             RecordBody::Publish { .. }
             | RecordBody::DeciderClaim { .. }
-            | RecordBody::ConfigSnapshot { .. } => return Applied::Other,
+            | RecordBody::ConfigSnapshot { .. } => return Effect::Other,
         };
-        if self.is_whole(partition) {
+        if self.is_complete(partition) {
             return self.apply_whole(offset, record, partition);
         }
         self.apply_early(offset, record, partition)
     }
 
-    fn apply_whole(&mut self, offset: Offset, record: &Record, partition: PartitionId) -> Applied {
+    fn apply_whole(&mut self, offset: Offset, record: &Record, partition: PartitionId) -> Effect {
         match &record.body {
             RecordBody::Claim { over, .. } => self.claim(offset, record, partition, *over),
             RecordBody::Owned { epoch, entry, .. } => self.owned(record, partition, *epoch, entry),
             RecordBody::Publish { .. }
             | RecordBody::DeciderClaim { .. }
-            | RecordBody::ConfigSnapshot { .. } => Applied::Other,
+            | RecordBody::ConfigSnapshot { .. } => Effect::Other,
         }
     }
 
@@ -130,11 +130,11 @@
     /// A reader that began after the oldest records went could take a snapshot that is older than
     /// its first record, and miss what lies between: a call would look as if it had never been
     /// started. So the snapshot must reach up to the first record that was read.
-    fn apply_early(&mut self, offset: Offset, record: &Record, partition: PartitionId) -> Applied {
+    fn apply_early(&mut self, offset: Offset, record: &Record, partition: PartitionId) -> Effect {
         let snapshot = match &record.body {
             RecordBody::Owned {
                 epoch,
-                entry: OwnedRecord::Snapshot { up_to, state },
+                entry: PartitionRecord::Snapshot { up_to, state },
                 ..
             } if *up_to >= self.started_at
                 && state.owner.as_ref().is_some_and(|o| o.epoch == *epoch) =>
@@ -147,7 +147,7 @@
                     record: record.clone(),
                 };
                 self.early.entry(partition).or_default().push(early);
-                return Applied::Other;
+                return Effect::Other;
             }
         };
         let (up_to, state) = snapshot;
@@ -172,13 +172,13 @@
         record: &Record,
         partition: PartitionId,
         over: Option<Epoch>,
-    ) -> Applied {
+    ) -> Effect {
         let state = self.states.entry(partition).or_default();
         // Two entries may claim at once. Each names the claim it replaces, so only the first in
         // the log matches; the other sees that it was outrun and does not act as owner.
         let in_force = state.owner.as_ref().map(|owner| owner.epoch);
         if in_force != over && self.safeguards.claim_cas {
-            return Applied::Outrun(partition);
+            return Effect::ClaimLost(partition);
         }
         state.owner = Some(Owner {
             vm: record.writer.clone(),
@@ -189,7 +189,7 @@
         for program in state.programs.values_mut() {
             program.account.take_over();
         }
-        Applied::Claimed(partition)
+        Effect::Claimed(partition)
     }
 
     fn owned(
@@ -197,8 +197,8 @@
         record: &Record,
         partition: PartitionId,
         epoch: Epoch,
-        entry: &OwnedRecord,
-    ) -> Applied {
+        entry: &PartitionRecord,
+    ) -> Effect {
         let state = self.states.entry(partition).or_default();
         // A paused owner may write after another took over. Its calls would then run beside those
         // of the new owner; since its epoch is not in force, no reader takes the record, and the
@@ -210,14 +210,14 @@
                     && owner.incarnation == record.incarnation
             });
         if !in_force {
-            return Applied::Stale(partition);
+            return Effect::Stale(partition);
         }
-        if let OwnedRecord::ProgramOpened { program, root, .. } = entry
+        if let PartitionRecord::ProgramOpened { program, root, .. } = entry
             && !self.take_home(partition, program, root.as_ref())
         {
-            return Applied::Owned(partition);
+            return Effect::Accepted(partition);
         }
-        if let OwnedRecord::ProgramsForgotten { programs } = entry {
+        if let PartitionRecord::ProgramsForgotten { programs } = entry {
             for program in programs {
                 self.homes.remove(program);
             }
@@ -226,7 +226,7 @@
         if let Some(state) = self.states.get_mut(&partition) {
             state.apply(epoch, entry, digest_check);
         }
-        Applied::Owned(partition)
+        Effect::Accepted(partition)
     }
 
     /// Settles where a program lies; false when it lies in another partition already.
@@ -239,7 +239,10 @@
         program: &ProgramId,
         root: Option<&ProgramId>,
     ) -> bool {
-        if self.home(program).is_some_and(|home| home != partition) {
+        if self
+            .sub_agent_partition(program)
+            .is_some_and(|home| home != partition)
+        {
             return false;
         }
         if root.is_some() {
@@ -289,15 +292,15 @@
         let at = PartitionId(3);
         assert_eq!(
             partitions.apply(Offset(0), &claim("a", None)),
-            Applied::Claimed(at)
+            Effect::Claimed(at)
         );
         assert_eq!(
             partitions.apply(Offset(1), &claim("b", Some(0))),
-            Applied::Claimed(at)
+            Effect::Claimed(at)
         );
         assert_eq!(
             partitions.apply(Offset(2), &claim("c", Some(0))),
-            Applied::Outrun(at)
+            Effect::ClaimLost(at)
         );
         assert_eq!(partitions.owner(at).map(|o| o.vm.as_str()), Some("b"));
     }
@@ -313,11 +316,11 @@
         let body = RecordBody::Owned {
             partition: at,
             epoch: Epoch(0),
-            entry: OwnedRecord::Yielded,
+            entry: PartitionRecord::Yielded,
         };
         assert_eq!(
             partitions.apply(Offset(2), &record("a", body)),
-            Applied::Stale(at)
+            Effect::Stale(at)
         );
         assert!(!partitions.get(at).expect("claimed").yielded);
     }
--- a/clementinepick/src/replay_state.rs
+++ b/clementinepick/src/partition_state.rs
@@ -11,7 +11,7 @@
     RequestId, ServiceName, VmId,
 };
 use crate::prompt::ChainHash;
-use crate::record::{CallOutcome, EndReason, OwnedRecord};
+use crate::record::{CallOutcome, EndReason, PartitionRecord};
 
 /// The entry that owns a partition.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -118,10 +118,10 @@
 }
 
 impl PartitionState {
-    pub(crate) fn apply(&mut self, epoch: Epoch, entry: &OwnedRecord, digest_check: bool) {
+    pub(crate) fn apply(&mut self, epoch: Epoch, entry: &PartitionRecord, digest_check: bool) {
         match entry {
-            OwnedRecord::ProgramOpened { .. } => self.open(entry),
-            OwnedRecord::SliceReserved {
+            PartitionRecord::ProgramOpened { .. } => self.open(entry),
+            PartitionRecord::SliceReserved {
                 program,
                 before,
                 slice,
@@ -130,7 +130,7 @@
                     state.account.reserve(*before, *slice);
                 }
             }
-            OwnedRecord::SliceReturned {
+            PartitionRecord::SliceReturned {
                 program,
                 before,
                 unused,
@@ -139,32 +139,32 @@
                     state.account.give_back(*before, *unused);
                 }
             }
-            OwnedRecord::CallStarted { .. } => self.start_call(epoch, entry),
-            OwnedRecord::CallEnded {
+            PartitionRecord::CallStarted { .. } => self.start_call(epoch, entry),
+            PartitionRecord::CallEnded {
                 call,
                 attempt,
                 outcome,
             } => self.end_call(call, *attempt, outcome),
-            OwnedRecord::TurnAdded { .. } => self.add_turn(entry, digest_check),
-            OwnedRecord::ProgramEnded {
+            PartitionRecord::TurnAdded { .. } => self.add_turn(entry, digest_check),
+            PartitionRecord::ProgramEnded {
                 program, reason, ..
             } => {
                 if let Some(state) = self.programs.get_mut(program) {
                     state.ended.get_or_insert(*reason);
                 }
             }
-            OwnedRecord::ProgramsForgotten { programs } => {
+            PartitionRecord::ProgramsForgotten { programs } => {
                 for program in programs {
                     self.programs.remove(program);
                 }
             }
-            OwnedRecord::Yielded => self.yielded = true,
-            OwnedRecord::Snapshot { .. } => {}
+            PartitionRecord::Yielded => self.yielded = true,
+            PartitionRecord::Snapshot { .. } => {}
         }
     }
 
-    fn open(&mut self, entry: &OwnedRecord) {
-        let OwnedRecord::ProgramOpened {
+    fn open(&mut self, entry: &PartitionRecord) {
+        let PartitionRecord::ProgramOpened {
             program,
             parent,
             root,
@@ -194,8 +194,8 @@
         self.programs.entry(program.clone()).or_insert(state);
     }
 
-    fn start_call(&mut self, epoch: Epoch, entry: &OwnedRecord) {
-        let OwnedRecord::CallStarted {
+    fn start_call(&mut self, epoch: Epoch, entry: &PartitionRecord) {
+        let PartitionRecord::CallStarted {
             call,
             attempt,
             request,
@@ -248,8 +248,8 @@
         }
     }
 
-    fn add_turn(&mut self, entry: &OwnedRecord, digest_check: bool) {
-        let OwnedRecord::TurnAdded {
+    fn add_turn(&mut self, entry: &PartitionRecord, digest_check: bool) {
+        let PartitionRecord::TurnAdded {
             call,
             request,
             digest,
--- a/clementinepick/src/placement.rs
+++ b/clementinepick/src/placement.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::config::InForce;
+use crate::config::ActiveDocument;
 use crate::document::Document;
 use crate::ids::{FencingNumber, ModelName, OrderId, Revision, VersionName, VmId, ZoneName};
 use crate::message::OrderOutcome;
@@ -101,7 +101,7 @@
     pub fn plan(
         &mut self,
         now: TimeUs,
-        in_force: &InForce,
+        in_force: &ActiveDocument,
         engines: &BTreeMap<VmId, Engine>,
     ) -> Vec<Planned> {
         if now < self.start_us {
--- a/clementinepick/src/program_end.rs
+++ b/clementinepick/src/program_end.rs
@@ -11,7 +11,7 @@
 use crate::message::Message;
 use crate::platform::VmRole;
 use crate::prompt::{ChainHash, Prompt};
-use crate::record::{EndReason, OwnedRecord};
+use crate::record::{EndReason, PartitionRecord};
 use crate::units::{SpanUs, TimeUs};
 
 /// The time between two releases of the same program's memory while one is not confirmed.
@@ -100,7 +100,7 @@
             return;
         }
         if is_open {
-            let entry = OwnedRecord::ProgramEnded {
+            let entry = PartitionRecord::ProgramEnded {
                 program: program.clone(),
                 last,
                 reason,
@@ -421,7 +421,7 @@
             for program in &programs {
                 self.ended.remove(program);
             }
-            let entry = OwnedRecord::ProgramsForgotten { programs };
+            let entry = PartitionRecord::ProgramsForgotten { programs };
             if let Some(record) = self.write_owned(partition, entry) {
                 self.awaited.insert(record, Awaited::Other(partition));
             }
--- a/clementinepick/src/record.rs
+++ b/clementinepick/src/record.rs
@@ -10,8 +10,8 @@
     AttemptId, CallKey, CallSeq, ClassName, Epoch, FencingNumber, IdempotencyKey, Incarnation,
     Offset, OperationId, PartitionId, ProgramId, RecordId, RequestId, Revision, ServiceName, VmId,
 };
+use crate::partition_replay::PartitionState;
 use crate::prompt::ChainHash;
-use crate::replay::PartitionState;
 use crate::units::{SpanUs, Tokens};
 
 /// One record of a stream.
@@ -69,7 +69,7 @@
         /// The writer's claim.
         epoch: Epoch,
         /// What it says.
-        entry: OwnedRecord,
+        entry: PartitionRecord,
     },
 }
 
@@ -101,7 +101,7 @@
 
 /// What an owner says of its partition.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum OwnedRecord {
+pub enum PartitionRecord {
     /// A program begins.
     ProgramOpened {
         /// The program.
--- a/clementinepick/src/recovery.rs
+++ b/clementinepick/src/recovery.rs
@@ -12,8 +12,8 @@
 use crate::history::{History, begins_with};
 use crate::ids::{AttemptId, CallKey, Epoch, Incarnation, PartitionId, RecordId, RequestId, VmId};
 use crate::message::{FenceVerdict, KeptCall, Message, Peer};
+use crate::partition_replay::extend_chain;
 use crate::record::CallOutcome;
-use crate::replay::extend_chain;
 use crate::step_record::tell_committed;
 use crate::units::{SpanUs, TimeUs};
 
@@ -76,11 +76,11 @@
                 self.write_ended(&call, partition, open.attempt, outcome, None);
             }
         }
-        self.ask_open_calls(now, out);
+        self.query_open_calls(now, out);
     }
 
     /// Asks the sidecars of open calls, and gives up on those that can't be reached.
-    pub(crate) fn ask_open_calls(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
+    pub(crate) fn query_open_calls(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
         let mut unknown = Vec::new();
         let mut ask = Vec::new();
         for (call, open) in &self.open_calls {
@@ -174,7 +174,7 @@
     }
 
     /// A part of the answer to an open call.
-    pub(crate) fn on_open_reply(
+    pub(crate) fn on_open_call_reply(
         &mut self,
         now: TimeUs,
         from: &VmId,
@@ -272,7 +272,7 @@
     }
 
     /// The end of a call has come on record: repeats that waited for it get it.
-    pub(crate) fn answer_recorded(
+    pub(crate) fn answer_waiting_repeats(
         &mut self,
         now: TimeUs,
         partition: PartitionId,
@@ -295,7 +295,7 @@
     }
 
     /// What a sidecar keeps of the calls of earlier owners.
-    pub(crate) fn on_kept(
+    pub(crate) fn on_kept_calls(
         &mut self,
         now: TimeUs,
         from: &VmId,
@@ -322,11 +322,11 @@
         if let Some(taking_over) = self.taking_over.get_mut(&partition) {
             taking_over.waits_for.remove(from);
         }
-        self.end_take_overs(now, out);
+        self.finish_takeovers(now, out);
     }
 
     /// Lets the calls go on of partitions whose sidecars have reported or are late.
-    pub(crate) fn end_take_overs(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
+    pub(crate) fn finish_takeovers(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
         let ready: BTreeSet<PartitionId> = self
             .taking_over
             .iter()
@@ -411,7 +411,12 @@
     }
 
     /// The link to a sidecar is up again: calls that wait for it are asked for.
-    pub(crate) fn ask_lost_calls(&mut self, now: TimeUs, peer: &Peer, out: &mut Vec<EntryAction>) {
+    pub(crate) fn query_lost_calls(
+        &mut self,
+        now: TimeUs,
+        peer: &Peer,
+        out: &mut Vec<EntryAction>,
+    ) {
         let lost: Vec<(RequestId, AttemptId)> = self
             .calls
             .iter()
@@ -483,7 +488,12 @@
 
     /// The deadline of a call passed while its sidecar could not be reached, or did not answer:
     /// its caller gets the truth, and the call stays open until its outcome is learned.
-    pub(crate) fn leave_open(&mut self, now: TimeUs, id: RequestId, out: &mut Vec<EntryAction>) {
+    pub(crate) fn detach_at_deadline(
+        &mut self,
+        now: TimeUs,
+        id: RequestId,
+        out: &mut Vec<EntryAction>,
+    ) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
@@ -514,12 +524,12 @@
         if let Some(call) = self.calls.get_mut(&id) {
             call.claim = None;
         }
-        self.settle_whole(id);
+        self.settle_full_reservation(id);
         self.refuse(now, id, error, out);
     }
 
     /// Books all that was held for a call of which nobody knows what it used.
-    pub(crate) fn settle_whole(&mut self, id: RequestId) {
+    pub(crate) fn settle_full_reservation(&mut self, id: RequestId) {
         let held = self.calls.get(&id).and_then(|call| call.held_tokens);
         let used = Usage {
             prompt_tokens: held.unwrap_or_default(),
--- a/clementinepick/src/repeat.rs
+++ b/clementinepick/src/repeat.rs
@@ -7,9 +7,9 @@
 use crate::error::{CallError, ErrorKind};
 use crate::ids::{CallKey, CallSeq, IdempotencyKey, RequestId};
 use crate::message::Message;
+use crate::partition_replay::{ProgramState, RecordedCall};
 use crate::prompt::ChainHash;
 use crate::record::CallOutcome;
-use crate::replay::{ProgramState, RecordedCall};
 use crate::units::TimeUs;
 
 /// What a call turned out to repeat.
@@ -88,8 +88,8 @@
             Some(Repeat::Turn(done, text)) => self.answer_turn(id, done, &text, out),
             Some(Repeat::KeyReused) => {
                 let detail = "this idempotency key was used with another request";
-                let field = crate::parse::KEY_HEADER;
-                let error = CallError::at(ErrorKind::KeyReused, field, detail);
+                let field = crate::http_request::IDEMPOTENCY_KEY_HEADER;
+                let error = CallError::in_field(ErrorKind::KeyReused, field, detail);
                 self.drop_call(id, error, out);
             }
         }
--- a/clementinepick/src/sidecar.rs
+++ b/clementinepick/src/sidecar.rs
@@ -63,7 +63,7 @@
     pub fn new(settings: SidecarSettings) -> Self {
         let mut config = Config::default();
         if !settings.safeguards.revision_monotonic {
-            config.take_older();
+            config.accept_older_revisions();
         }
         Self {
             orders: OrderSlot::new(settings.incarnation),
--- a/clementinepick/src/sidecar_calls.rs
+++ b/clementinepick/src/sidecar_calls.rs
@@ -159,7 +159,9 @@
     pub(crate) fn gate_call(&self, now: TimeUs, dispatch: &Dispatch) -> Option<GateCall> {
         // A call runs to its end by the revision that its owner saw when it came in. By the newest
         // one, a call whose class was dropped meanwhile would be refused half way.
-        let in_force = self.config.at(&self.settings.service, dispatch.revision)?;
+        let in_force = self
+            .config
+            .document_at(&self.settings.service, dispatch.revision)?;
         let rules = in_force.document.class(&dispatch.class)?;
         let prompt_tokens = match &dispatch.payload {
             Payload::Chat(call) => call.prompt.length_tokens(),
--- a/clementinepick/src/snapshot.rs
+++ b/clementinepick/src/snapshot.rs
@@ -3,7 +3,7 @@
 use crate::call_state::Awaited;
 use crate::entry::Entry;
 use crate::ids::PartitionId;
-use crate::record::OwnedRecord;
+use crate::record::PartitionRecord;
 use crate::units::TimeUs;
 
 impl Entry {
@@ -11,7 +11,7 @@
     ///
     /// One at a time: a partition's state can be large, and calls share the log with it.
     pub(crate) fn write_snapshots(&mut self, now: TimeUs) {
-        if !self.is_caught_up() || self.journal.is_down() || !self.journal.at_end() {
+        if !self.is_caught_up() || self.journal.is_down() || !self.journal.is_at_end() {
             return;
         }
         let is_writing = |awaited: &Awaited| matches!(awaited, Awaited::Snapshot(_));
@@ -37,7 +37,7 @@
         let Some(state) = self.partitions.get(partition) else {
             return;
         };
-        let entry = OwnedRecord::Snapshot {
+        let entry = PartitionRecord::Snapshot {
             up_to: self.journal.position(),
             state: Box::new(state.clone()),
         };
--- a/clementinepick/src/step_budget.rs
+++ b/clementinepick/src/step_budget.rs
@@ -6,7 +6,7 @@
 use crate::entry::{Entry, EntryAction};
 use crate::error::{CallError, ErrorKind};
 use crate::ids::{PartitionId, ProgramId, RequestId};
-use crate::record::OwnedRecord;
+use crate::record::PartitionRecord;
 use crate::units::{TimeUs, Tokens};
 
 impl Entry {
@@ -94,7 +94,7 @@
         let Some(state) = self.partitions.program(partition, root) else {
             return;
         };
-        let entry = OwnedRecord::SliceReserved {
+        let entry = PartitionRecord::SliceReserved {
             program: root.clone(),
             before: state.account.reserved(),
             slice,
--- a/clementinepick/src/step_claim.rs
+++ b/clementinepick/src/step_claim.rs
@@ -6,7 +6,7 @@
 use crate::error::{CallError, ErrorKind};
 use crate::ids::{AttemptId, CallKey, RequestId, VmId};
 use crate::prompt::ChainHash;
-use crate::record::{CallOutcome, OwnedRecord};
+use crate::record::{CallOutcome, PartitionRecord};
 use crate::units::TimeUs;
 
 impl Entry {
@@ -31,7 +31,7 @@
         let Some(seq) = call.seq else { return };
         call.step = Step::Claim;
         let partition = call.partition;
-        let entry = OwnedRecord::CallStarted {
+        let entry = PartitionRecord::CallStarted {
             call: call.request.key(seq),
             attempt,
             request: id,
@@ -120,7 +120,7 @@
         outcome: CallOutcome,
         told: Option<(RequestId, VmId)>,
     ) {
-        let entry = OwnedRecord::CallEnded {
+        let entry = PartitionRecord::CallEnded {
             call: call.clone(),
             attempt,
             outcome,
@@ -162,5 +162,5 @@
     };
     let answered = chat.messages.iter().rposition(|m| m.role == "assistant");
     let news = &chat.messages[answered.map_or(0, |at| at + 1)..];
-    crate::replay::extend_chain(ChainHash::default(), news)
+    crate::partition_replay::extend_chain(ChainHash::default(), news)
 }
--- a/clementinepick/src/step_order.rs
+++ b/clementinepick/src/step_order.rs
@@ -7,7 +7,7 @@
 use crate::event::{Event, EventKind};
 use crate::ids::{CallSeq, PartitionId, ProgramId, RequestId};
 use crate::order::Sequencer;
-use crate::record::{Budget, EndReason, OwnedRecord};
+use crate::record::{Budget, EndReason, PartitionRecord};
 use crate::units::TimeUs;
 
 impl Entry {
@@ -89,14 +89,14 @@
         };
         let Some(parent_state) = self.partitions.program(call.partition, parent) else {
             let detail = format!("the parent program `{parent}` is not known beside its root");
-            let field = crate::parse::PARENT_HEADER;
-            return Err(CallError::at(ErrorKind::UnknownCall, field, detail));
+            let field = crate::http_request::PARENT_HEADER;
+            return Err(CallError::in_field(ErrorKind::UnknownCall, field, detail));
         };
         let root = parent_state.root.as_ref().unwrap_or(parent);
         if request.home() != root {
             let detail = format!("the root of `{parent}` is `{root}`");
-            let field = crate::parse::ROOT_HEADER;
-            return Err(CallError::at(ErrorKind::BadHeader, field, detail));
+            let field = crate::http_request::ROOT_HEADER;
+            return Err(CallError::in_field(ErrorKind::BadHeader, field, detail));
         }
         check_live(parent_state.ended, "the parent program")
     }
@@ -119,7 +119,7 @@
             Some(_) => crate::budget::Amount::default(),
             None => Account::first_slice(budget, call.work_tokens()),
         };
-        let entry = OwnedRecord::ProgramOpened {
+        let entry = PartitionRecord::ProgramOpened {
             program: program.clone(),
             parent: call.request.parent.clone(),
             root: root.cloned(),
--- a/clementinepick/src/step_own.rs
+++ b/clementinepick/src/step_own.rs
@@ -10,9 +10,9 @@
 use crate::ids::{Epoch, PartitionId, ProgramId, RequestId, VmId};
 use crate::message::Message;
 use crate::own::suggested_owner;
+use crate::partition_replay::Owner;
 use crate::platform::VmRole;
 use crate::record::RecordBody;
-use crate::replay::Owner;
 use crate::units::{SpanUs, TimeUs};
 
 /// The most times that a request is passed on between entries.
@@ -29,7 +29,7 @@
     pub(crate) fn home_of(&self, program: &ProgramId, root: &ProgramId) -> PartitionId {
         let count = self.settings.partition_count;
         self.partitions
-            .home(program)
+            .sub_agent_partition(program)
             .unwrap_or_else(|| root.partition(count))
     }
 
--- a/clementinepick/src/step_record.rs
+++ b/clementinepick/src/step_record.rs
@@ -7,8 +7,8 @@
 use crate::event::{Event, EventKind};
 use crate::ids::{AttemptId, ProgramId, RecordId, RequestId, VmId};
 use crate::message::Message;
-use crate::record::{CallOutcome, EndReason, OwnedRecord};
-use crate::replay::extend_chain;
+use crate::partition_replay::extend_chain;
+use crate::record::{CallOutcome, EndReason, PartitionRecord};
 use crate::units::TimeUs;
 
 /// An answered call whose turn is to be put on record.
@@ -121,7 +121,7 @@
         before: crate::prompt::ChainHash,
         turn: PendingTurn,
     ) -> bool {
-        let entry = OwnedRecord::TurnAdded {
+        let entry = PartitionRecord::TurnAdded {
             call: turn.call.clone(),
             request: turn.request,
             digest: turn.digest,
--- a/clementinepick/src/sweep.rs
+++ b/clementinepick/src/sweep.rs
@@ -26,10 +26,10 @@
         if self.is_unsure && !self.journal.is_down() {
             return;
         }
-        self.end_take_overs(now, out);
+        self.finish_takeovers(now, out);
         self.sweep_calls(now, out);
         self.reserve_ahead(now);
-        self.ask_open_calls(now, out);
+        self.query_open_calls(now, out);
         self.send_releases(now, out);
         self.repeat_ends(now, out);
         self.walk_programs(now, out);
@@ -105,12 +105,12 @@
             Step::Claim | Step::Slice if late => {
                 self.refuse_late(now, id, ErrorKind::LogUnavailable, out);
             }
-            Step::Lost { .. } if late => self.leave_open(now, id, out),
+            Step::Lost { .. } if late => self.detach_at_deadline(now, id, out),
             Step::Running { .. } if call.left_us.is_some() && !overdue => {
                 self.stop_unwanted(now, id, out);
             }
             Step::Running { .. } if overdue && call.claim.is_some() => {
-                self.leave_open(now, id, out);
+                self.detach_at_deadline(now, id, out);
             }
             Step::Running { .. } | Step::Forwarded(_) | Step::Follow(_) if overdue => {
                 self.give_up(now, id, out);
@@ -136,7 +136,7 @@
         };
         if let Some(Step::Running { attempt, .. }) = self.calls.get(&id).map(|c| c.step.clone()) {
             self.leave_backend(attempt, true);
-            self.settle_whole(id);
+            self.settle_full_reservation(id);
         }
         let error = CallError::new(kind, "the deadline passed without an answer");
         self.refuse(now, id, error, out);
--- a/clementinepick/src/turn_chain.rs
+++ b/clementinepick/src/turn_chain.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::record_age::KEPT_RETENTIONS;
+use crate::record_expiry::RETENTION_FACTOR;
 
 /// One ended turn in memory, linked to the turn it continues from.
 #[derive(Debug)]
@@ -136,13 +136,13 @@
 
 /// Whether a turn that ends at `now_unix_ms` must be recorded with its whole chain.
 ///
-/// A record is kept for [`KEPT_RETENTIONS`] times its retention, and a chain needs its oldest record
+/// A record is kept for [`RETENTION_FACTOR`] times its retention, and a chain needs its oldest record
 /// for one retention after its newest turn. A chain that is continued for longer would lose its
 /// start; written whole before the oldest record has only one retention left, it never does.
 #[must_use]
 pub fn needs_whole_chain(previous: &Arc<Turn>, now_unix_ms: u64, retain_ms: u64) -> bool {
     let age_ms = now_unix_ms.saturating_sub(previous.oldest_unix_ms());
-    age_ms >= (KEPT_RETENTIONS - 1) * retain_ms
+    age_ms >= (RETENTION_FACTOR - 1) * retain_ms
 }
 
 impl TurnRecord {
--- a/clementinepick/tests/at_most_once.rs
+++ b/clementinepick/tests/at_most_once.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use clementinepick::message::Message;
-use clementinepick::record::{CallOutcome, OwnedRecord};
+use clementinepick::record::{CallOutcome, PartitionRecord};
 use common::{LogMode, World, at, keyed, post, vm, within_ms};
 
 const KEY: &str = "order-1";
@@ -14,12 +14,12 @@
     keyed(KEY, post(name, "/hold", "seat 7"))
 }
 
-fn started(entry: &OwnedRecord) -> bool {
-    matches!(entry, OwnedRecord::CallStarted { .. })
+fn started(entry: &PartitionRecord) -> bool {
+    matches!(entry, PartitionRecord::CallStarted { .. })
 }
 
-fn ended(entry: &OwnedRecord) -> bool {
-    matches!(entry, OwnedRecord::CallEnded { .. })
+fn ended(entry: &PartitionRecord) -> bool {
+    matches!(entry, PartitionRecord::CallEnded { .. })
 }
 
 fn body(answer: &common::Answer) -> String {
@@ -73,7 +73,7 @@
     assert_eq!(
         world.count(|e| matches!(
             e,
-            OwnedRecord::CallEnded {
+            PartitionRecord::CallEnded {
                 outcome: CallOutcome::NeverRan(_),
                 ..
             }
@@ -201,15 +201,15 @@
 #[test]
 fn a_repeat_without_a_program_finds_the_first_call() {
     let (mut world, _) = with_owner();
-    let http = clementinepick::parse::HttpRequest {
+    let http = clementinepick::http_request::HttpRequest {
         method: "POST".to_owned(),
         path: "/services/book/hold".to_owned(),
         headers: vec![("idempotency-key".to_owned(), KEY.to_owned())],
         body: b"seat 7".to_vec(),
     };
     let parse = |id| {
-        let settings = clementinepick::parse::ParseSettings::default();
-        clementinepick::parse::parse_plain(&settings, id, &http).expect("right")
+        let settings = clementinepick::http_request::ParseSettings::default();
+        clementinepick::http_request::parse_plain(&settings, id, &http).expect("right")
     };
     let first = world.call("e0", parse);
     let first = world.wait(first);
@@ -362,11 +362,11 @@
         assert_eq!(holds, 1, "append {lost_from}");
         assert_eq!(world.count(started), 1);
         assert_eq!(
-            world.count(|e| matches!(e, OwnedRecord::TurnAdded { .. })),
+            world.count(|e| matches!(e, PartitionRecord::TurnAdded { .. })),
             2
         );
         assert_eq!(
-            world.count(|e| matches!(e, OwnedRecord::ProgramEnded { .. })),
+            world.count(|e| matches!(e, PartitionRecord::ProgramEnded { .. })),
             1
         );
     }
--- a/clementinepick/tests/catalogue.rs
+++ b/clementinepick/tests/catalogue.rs
@@ -63,7 +63,7 @@
     let in_code: Vec<Vec<String>> = ErrorKind::ALL
         .iter()
         .map(|kind| {
-            let answer = kind.answer();
+            let answer = kind.response();
             let retry_after = answer.retry_after_s;
             vec![
                 format!("`{}`", answer.code),
--- a/clementinepick/tests/common/mod.rs
+++ b/clementinepick/tests/common/mod.rs
@@ -18,13 +18,13 @@
 };
 use clementinepick::journal::{AppendOutcome, JournalAction};
 use clementinepick::message::{Message, Peer};
+use clementinepick::partition_replay::{Effect, Partitions};
 use clementinepick::platform::{
     EngineOrder, EngineState, GenerateBody, OrderBody, ReadAnswer, StoredRecord, StreamName,
 };
 use clementinepick::prompt::ChainHash;
 use clementinepick::prompt::{Prompt, Segment};
-use clementinepick::record::{EndReason, OwnedRecord, Record, RecordBody};
-use clementinepick::replay::{Applied, Partitions};
+use clementinepick::record::{EndReason, PartitionRecord, Record, RecordBody};
 use clementinepick::safeguards::Safeguards;
 use clementinepick::sidecar::{
     BackendEvent, Sidecar, SidecarAction, SidecarInput, SidecarSettings,
@@ -136,7 +136,7 @@
     pub fn code(&self) -> &str {
         match (&self.done, &self.failed) {
             (Some(_), _) => "done",
-            (None, Some(error)) => error.kind.answer().code,
+            (None, Some(error)) => error.kind.response().code,
             (None, None) => "open",
         }
     }
@@ -901,7 +901,7 @@
     }
 
     /// The count of owners' records in force that `wanted` picks.
-    pub fn count(&self, wanted: impl Fn(&OwnedRecord) -> bool) -> usize {
+    pub fn count(&self, wanted: impl Fn(&PartitionRecord) -> bool) -> usize {
         let mut partitions = Partitions::default();
         let mut seen = BTreeSet::new();
         self.records()
@@ -910,7 +910,7 @@
             .filter(|(_, record)| seen.insert(record.id))
             .filter(|(at, record)| {
                 let applied = partitions.apply(Offset(*at as u64), record);
-                matches!(applied, Applied::Owned(_))
+                matches!(applied, Effect::Accepted(_))
             })
             .map(|(_, record)| record)
             .filter(
--- a/clementinepick/tests/config.rs
+++ b/clementinepick/tests/config.rs
@@ -1,7 +1,7 @@
 //! The configuration: one winner, in force everywhere, never reverting.
 
 use clementinepick::config::Config;
-use clementinepick::config_replay::{Change, ConfigReplay, Verdict};
+use clementinepick::config_replay::{ConfigChange, ConfigReplay, Verdict};
 use clementinepick::ids::{
     FencingNumber, Incarnation, Offset, OperationId, RecordId, Revision, ServiceName,
 };
@@ -107,10 +107,10 @@
         publish(1, "ana", 0, &text(1)),
         publish(2, "bo", 1, &text(2)),
     ]);
-    let brought = old.lacking(None, &std::collections::BTreeMap::new());
+    let brought = old.missing_documents(None, &std::collections::BTreeMap::new());
     assert_eq!(config.adopt(brought[0].clone()), Ok(false));
     assert_eq!(rank(&config), 2);
-    assert_eq!(config.lacking(None, &old.revisions()).len(), 1);
+    assert_eq!(config.missing_documents(None, &old.revisions()).len(), 1);
 }
 
 // A peer passes revision 2 to a process that has only read revision 1, since its log reads fail.
@@ -126,7 +126,7 @@
     let mut config = replay(&records[..1]);
     let known = config.revisions();
     assert_eq!(
-        config.adopt(ahead.lacking(None, &known)[0].clone()),
+        config.adopt(ahead.missing_documents(None, &known)[0].clone()),
         Ok(true)
     );
     assert_eq!(rank(&config), 2);
@@ -195,9 +195,12 @@
     let mut config = replay(&[claim(1, "a", None)]);
     let over = Some(FencingNumber(0));
     let changes = config.apply(Offset(1), &claim(2, "b", over));
-    assert!(matches!(changes[..], [Change::Decided { .. }]));
+    assert!(matches!(changes[..], [ConfigChange::DeciderClaimed { .. }]));
     let changes = config.apply(Offset(2), &claim(3, "c", over));
-    assert!(matches!(changes[..], [Change::DeciderOutrun { .. }]));
+    assert!(matches!(
+        changes[..],
+        [ConfigChange::DeciderClaimLost { .. }]
+    ));
     let decider = config.decider(&service()).expect("one");
     assert_eq!(
         (decider.vm.as_str(), decider.fencing),
--- a/clementinepick/tests/event_stream.rs
+++ b/clementinepick/tests/event_stream.rs
@@ -28,7 +28,7 @@
     let mut splitter = EventSplitter::default();
     splitter.push(&vec![b'x'; MAX_EVENT_BYTES + 1]);
     assert!(splitter.next_event().is_none());
-    assert!(splitter.is_overfull());
+    assert!(splitter.exceeds_limit());
 }
 
 proptest! {
--- a/clementinepick/tests/history.rs
+++ b/clementinepick/tests/history.rs
@@ -6,11 +6,11 @@
 use clementinepick::entry::EntryInput;
 use clementinepick::ids::RequestId;
 use clementinepick::prompt::ChainHash;
-use clementinepick::record::OwnedRecord;
+use clementinepick::record::PartitionRecord;
 use common::{Answer, LogMode, World, at, chat, keyed, program};
 
 fn turns(world: &World) -> usize {
-    world.count(|entry| matches!(entry, OwnedRecord::TurnAdded { .. }))
+    world.count(|entry| matches!(entry, PartitionRecord::TurnAdded { .. }))
 }
 
 fn turn_state(answer: &Answer) -> TurnState {
--- a/clementinepick/tests/log.rs
+++ b/clementinepick/tests/log.rs
@@ -6,9 +6,9 @@
 use clementinepick::entry::EntrySettings;
 use clementinepick::event::EventKind;
 use clementinepick::ids::{Offset, PartitionId};
+use clementinepick::partition_replay::Partitions;
 use clementinepick::platform::StreamName;
-use clementinepick::record::{OwnedRecord, RecordBody};
-use clementinepick::replay::Partitions;
+use clementinepick::record::{PartitionRecord, RecordBody};
 use clementinepick::safeguards::Safeguards;
 use clementinepick::units::SpanUs;
 use common::{LogMode, World, chat, keyed, post, vm, within_ms};
@@ -49,7 +49,7 @@
     world.run_ms(TEN_MINUTES_MS / 2);
     world.log.mode = LogMode::Up;
     world.run_ms(5_000);
-    let turns = world.count(|e| matches!(e, OwnedRecord::TurnAdded { .. }));
+    let turns = world.count(|e| matches!(e, PartitionRecord::TurnAdded { .. }));
     assert_eq!(turns, 12, "each turn is on record once");
     for name in &names {
         let id = world.call("e0", chat(name, &["a", "re: a", "b", "re: b", "c"]));
@@ -73,7 +73,7 @@
     let snapshots = records.iter().filter_map(|record| match &record.body {
         RecordBody::Owned {
             partition,
-            entry: OwnedRecord::Snapshot { up_to, .. },
+            entry: PartitionRecord::Snapshot { up_to, .. },
             ..
         } => Some((*partition, up_to.0)),
         _ => None,
@@ -169,7 +169,7 @@
     for start in (1..records.len()).step_by(3) {
         let late = replay(start);
         for partition in (0..4).map(PartitionId) {
-            if late.is_whole(partition) {
+            if late.is_complete(partition) {
                 assert_eq!(late.get(partition), whole.get(partition), "from {start}");
                 compared += 1;
             }
@@ -209,7 +209,7 @@
         .iter()
         .map(|record| match &record.body {
             RecordBody::Owned {
-                entry: OwnedRecord::ProgramsForgotten { programs },
+                entry: PartitionRecord::ProgramsForgotten { programs },
                 ..
             } => programs.len(),
             _ => 0,
--- a/clementinepick/tests/ownership.rs
+++ b/clementinepick/tests/ownership.rs
@@ -5,7 +5,7 @@
 use clementinepick::entry::EntryInput;
 use clementinepick::event::EventKind;
 use clementinepick::message::Message;
-use clementinepick::record::{OwnedRecord, RecordBody};
+use clementinepick::record::{PartitionRecord, RecordBody};
 use common::{LogMode, World, at, chat, post, program, vm};
 
 fn claims(world: &World) -> usize {
@@ -74,7 +74,7 @@
     );
     let answer = world.wait(late);
     assert_eq!((answer.code(), answer.text.as_str()), ("done", "re: last"));
-    let turns = world.count(|e| matches!(e, OwnedRecord::TurnAdded { .. }));
+    let turns = world.count(|e| matches!(e, PartitionRecord::TurnAdded { .. }));
     assert_eq!(turns, 3);
     assert_eq!(world.runs(), ["hi", "more", "last"]);
 }
@@ -169,7 +169,7 @@
     assert_eq!(world.wait(running).code(), "done");
     assert_eq!(world.wait(queued).code(), "done");
     world.run_until(5_000, "its end", |w| !w.is_alive("e1"));
-    assert!(world.count(|e| *e == OwnedRecord::Yielded) >= 1);
+    assert!(world.count(|e| *e == PartitionRecord::Yielded) >= 1);
     let next = world.call(
         "e2",
         chat(&name, &["hi", "re: hi", "more", "re: more", "on"]),
--- a/clementinepick/tests/placement.rs
+++ b/clementinepick/tests/placement.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use clementinepick::config::InForce;
+use clementinepick::config::ActiveDocument;
 use clementinepick::document::Document;
 use clementinepick::ids::{
     FencingNumber, ModelName, OperationId, OrderId, Revision, VersionName, VmId,
@@ -22,12 +22,12 @@
     "star".parse().expect("a name")
 }
 
-fn in_force(revision: u64, more: &str) -> InForce {
+fn in_force(revision: u64, more: &str) -> ActiveDocument {
     let text = format!(
         "[service]\nname = s\nkind = engine\n[class c]\nrank = 1\n{more}\n[placement]\n\
          load_interval = 10 s\nmax_loading = 2\nmin_serving = 70%\nretry_after = 20 s\n"
     );
-    InForce {
+    ActiveDocument {
         document: Arc::new(Document::parse(&text).expect("right")),
         published: PublishedDocument {
             service: "s".parse().expect("a name"),
@@ -39,7 +39,7 @@
     }
 }
 
-fn version(revision: u64, version: &str) -> InForce {
+fn version(revision: u64, version: &str) -> ActiveDocument {
     in_force(revision, &format!("[model star]\nversion = {version}"))
 }
 
@@ -91,7 +91,7 @@
         serving.filter(|e| !e.state.models.is_empty()).count()
     }
 
-    fn run(&mut self, document: &InForce, seconds: u64) {
+    fn run(&mut self, document: &ActiveDocument, seconds: u64) {
         self.least_serving = self.serving();
         for _ in 0..seconds {
             self.now = self.now.after(STEP);
--- a/clementinepick/tests/programs.rs
+++ b/clementinepick/tests/programs.rs
@@ -6,7 +6,7 @@
 use clementinepick::event::EventKind;
 use clementinepick::ids::RequestId;
 use clementinepick::message::Message;
-use clementinepick::record::{EndReason, OwnedRecord};
+use clementinepick::record::{EndReason, PartitionRecord};
 use clementinepick::units::Tokens;
 use common::{LogMode, World, at, chat, child_of, keyed, post, program, vm, within_ms};
 
@@ -17,7 +17,7 @@
         .find_map(|record| match &record.body {
             clementinepick::record::RecordBody::Owned {
                 entry:
-                    OwnedRecord::ProgramEnded {
+                    PartitionRecord::ProgramEnded {
                         program, reason, ..
                     },
                 ..
@@ -158,7 +158,7 @@
     assert_eq!(world.wait(second).code(), "done");
     let third = world.call("e1", chat(&child, &["a", "re: a", "b"]));
     assert_eq!(world.wait(third).code(), "done");
-    let opened = |e: &OwnedRecord| matches!(e, OwnedRecord::ProgramOpened { .. });
+    let opened = |e: &PartitionRecord| matches!(e, PartitionRecord::ProgramOpened { .. });
     assert_eq!(world.count(opened), 2);
     let orphan = world.call("e1", child_of("nobody", chat("x", &["a"])));
     assert_eq!(world.wait(orphan).code(), "unknown_call");
--- a/clementinepick/tests/turn_chain.rs
+++ b/clementinepick/tests/turn_chain.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use clementinepick::record_age::KEPT_RETENTIONS;
+use clementinepick::record_expiry::RETENTION_FACTOR;
 use clementinepick::turn_chain::{Turn, TurnRecord, needs_whole_chain, prompt};
 
 fn turn(id: &str, parent: Option<Arc<Turn>>, recorded_unix_ms: u64) -> Arc<Turn> {
@@ -73,7 +73,7 @@
         let now = number * 50_000;
         let oldest = last.oldest_unix_ms();
         assert!(
-            now < oldest + KEPT_RETENTIONS * RETAIN_MS,
+            now < oldest + RETENTION_FACTOR * RETAIN_MS,
             "the record of {oldest} ms is gone at {now} ms"
         );
         let parent = Some(Arc::clone(&last));
--- a/clementinepickctl/src/run.rs
+++ b/clementinepickctl/src/run.rs
@@ -371,7 +371,7 @@
         .collect();
     let errors: Vec<&ErrorKind> = ErrorKind::ALL
         .iter()
-        .filter(|k| what.is_none_or(|w| w == k.answer().code))
+        .filter(|k| what.is_none_or(|w| w == k.response().code))
         .collect();
     let mut text = String::new();
     for kind in &events {
@@ -379,7 +379,7 @@
         let _ = writeln!(text, "{number} {name} ({severity:?}): {}", kind.meaning());
     }
     for kind in &errors {
-        let answer = kind.answer();
+        let answer = kind.response();
         let _ = writeln!(
             text,
             "{} (status {}, not_run {}, repeat safe {}): {}",
@@ -413,7 +413,7 @@
 }
 
 fn error_json(kind: ErrorKind) -> Value {
-    let answer = kind.answer();
+    let answer = kind.response();
     json!({
         "code": answer.code, "status": answer.status, "not_run": answer.not_run,
         "repeat_safe": answer.repeat_safe, "meaning": kind.meaning(),
--- a/clementinepickd/src/body.rs
+++ b/clementinepickd/src/body.rs
@@ -115,7 +115,7 @@
 
 /// The body of an error.
 pub(crate) fn error_body(error: &CallError) -> Value {
-    let answer = error.kind.answer();
+    let answer = error.kind.response();
     let not_run = match answer.not_run {
         NotRun::Yes => json!(true),
         NotRun::No => json!(false),
@@ -138,12 +138,12 @@
 
 /// The error's status.
 pub(crate) fn status(kind: ErrorKind) -> StatusCode {
-    StatusCode::from_u16(kind.answer().status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR)
+    StatusCode::from_u16(kind.response().status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR)
 }
 
 /// The error's type, as client libraries tell them apart.
 fn error_type(kind: ErrorKind) -> &'static str {
-    match kind.answer().status {
+    match kind.response().status {
         402 => "insufficient_quota",
         429 => "rate_limit_error",
         404 => "not_found_error",
--- a/clementinepickd/src/callers.rs
+++ b/clementinepickd/src/callers.rs
@@ -62,7 +62,7 @@
         };
         let last = part.is_last();
         let outcome = match &part {
-            AnswerPart::Failed(error) => error.kind.answer().code,
+            AnswerPart::Failed(error) => error.kind.response().code,
             AnswerPart::Text { .. } | AnswerPart::Plain(_) | AnswerPart::Done(_) => "done",
         };
         let given = open.parts.push(Instant::now(), part);
--- a/clementinepickd/src/gateway_stream.rs
+++ b/clementinepickd/src/gateway_stream.rs
@@ -316,7 +316,7 @@
                 }
             };
             splitter.push(&chunk);
-            if splitter.is_overfull() {
+            if splitter.exceeds_limit() {
                 return Ok(Err(TryEnd::Lost));
             }
             while let Some(event) = splitter.next_event() {
--- a/clementinepickd/src/http.rs
+++ b/clementinepickd/src/http.rs
@@ -11,7 +11,7 @@
     ConnectionType, HttpMessage, HttpService, KeepAlive, Method, Request, Response, StatusCode,
 };
 use actix_server::{Server, ServerHandle};
-use clementinepick::parse::ParseSettings;
+use clementinepick::http_request::ParseSettings;
 use metrics_exporter_prometheus::PrometheusHandle;
 use serde_json::json;
 use sha2::{Digest, Sha256};
--- a/clementinepickd/src/http_calls.rs
+++ b/clementinepickd/src/http_calls.rs
@@ -11,8 +11,8 @@
     AnswerPart, CallDone, ChatCall, Fetch, Payload, PlainAnswer, Request as CallRequest,
 };
 use clementinepick::error::{CallError, ErrorKind};
+use clementinepick::http_request::{parse_chat, parse_fetch, parse_plain};
 use clementinepick::ids::{ProgramId, RequestId};
-use clementinepick::parse::{parse_chat, parse_fetch, parse_plain};
 use serde_json::{Value, json};
 
 use crate::answer::{Answer, EventStream, WholeAnswer};
@@ -43,7 +43,7 @@
 }
 
 fn chat_shape(request: RequestId, call: &ChatCall) -> Result<ChatShape, CallError> {
-    let bad = |field: &str, detail: &str| CallError::at(ErrorKind::BadBody, field, detail);
+    let bad = |field: &str, detail: &str| CallError::in_field(ErrorKind::BadBody, field, detail);
     let include_usage = match call.extra.get("stream_options") {
         None | Some(Value::Null) => false,
         Some(Value::Object(options)) => match options.get("include_usage") {
@@ -155,7 +155,7 @@
 async fn end_program(shared: &Shared, program: &str) -> Result<Response<BoxBody>, Refusal> {
     let program: ProgramId = program
         .parse()
-        .map_err(|_| CallError::at(ErrorKind::UnknownCall, "path", "is no program"))?;
+        .map_err(|_| CallError::in_field(ErrorKind::UnknownCall, "path", "is no program"))?;
     if !shared.ready.load(Ordering::Relaxed) {
         let error = CallError::new(ErrorKind::NotReady, "this entry is not ready");
         return Err(error.into());
--- a/clementinepickd/src/http_receive.rs
+++ b/clementinepickd/src/http_receive.rs
@@ -3,7 +3,7 @@
 use actix_http::{HttpMessage, Request};
 use bytes::BytesMut;
 use clementinepick::error::{CallError, ErrorKind};
-use clementinepick::parse::{HttpRequest, KEY_HEADER};
+use clementinepick::http_request::{HttpRequest, IDEMPOTENCY_KEY_HEADER};
 use futures_util::StreamExt;
 use tokio::time::timeout;
 
@@ -26,7 +26,7 @@
     .await
     .map_err(|_| {
         let detail = format!("did not arrive within {}", shared.limits.receive_us);
-        CallError::at(ErrorKind::BadBody, "body", detail)
+        CallError::in_field(ErrorKind::BadBody, "body", detail)
     })??;
     Ok(HttpRequest {
         method,
@@ -43,15 +43,16 @@
         let size = (name.as_str().len() + value.len()) as u64;
         left = left.checked_sub(size).ok_or_else(|| {
             let detail = format!("the limit of all is {}", shared.limits.header_bytes);
-            CallError::at(ErrorKind::BadHeader, name.as_str(), detail)
+            CallError::in_field(ErrorKind::BadHeader, name.as_str(), detail)
         })?;
         let value = value.to_str().map_err(|_| {
-            CallError::at(ErrorKind::BadHeader, name.as_str(), "must be visible ASCII")
+            CallError::in_field(ErrorKind::BadHeader, name.as_str(), "must be visible ASCII")
         })?;
         // Two values for a program or a key are two different calls to different readers.
-        let is_own = name.as_str().starts_with(OWN_HEADERS) || name.as_str() == KEY_HEADER;
+        let is_own =
+            name.as_str().starts_with(OWN_HEADERS) || name.as_str() == IDEMPOTENCY_KEY_HEADER;
         if is_own && headers.iter().any(|(known, _)| known == name.as_str()) {
-            let error = CallError::at(ErrorKind::BadHeader, name.as_str(), "is given twice");
+            let error = CallError::in_field(ErrorKind::BadHeader, name.as_str(), "is given twice");
             return Err(error);
         }
         headers.push((name.as_str().to_owned(), value.to_owned()));
@@ -64,11 +65,11 @@
     let mut payload = request.take_payload();
     let mut body = BytesMut::new();
     while let Some(chunk) = payload.next().await {
-        let chunk =
-            chunk.map_err(|err| CallError::at(ErrorKind::BadBody, "body", err.to_string()))?;
+        let chunk = chunk
+            .map_err(|err| CallError::in_field(ErrorKind::BadBody, "body", err.to_string()))?;
         if body.len() + chunk.len() > limit {
             let detail = format!("the limit is {}", shared.limits.body_bytes);
-            return Err(CallError::at(ErrorKind::BodyTooLarge, "body", detail));
+            return Err(CallError::in_field(ErrorKind::BodyTooLarge, "body", detail));
         }
         body.extend_from_slice(&chunk);
     }
--- a/clementinepickd/src/http_reply.rs
+++ b/clementinepickd/src/http_reply.rs
@@ -26,7 +26,7 @@
 
 /// Refuses a request whose path means nothing here.
 pub(crate) fn no_such_path(detail: &str) -> Result<Response<BoxBody>, Refusal> {
-    let error = CallError::at(ErrorKind::UnknownService, "path", detail);
+    let error = CallError::in_field(ErrorKind::UnknownService, "path", detail);
     Err(Refusal::Here(error))
 }
 
--- a/clementinepickd/src/ledger_budgets.rs
+++ b/clementinepickd/src/ledger_budgets.rs
@@ -9,7 +9,7 @@
 use clementinepick::budget_ledger::{
     BudgetRecord, ProgramSlices, SliceDecision, SliceRecord, first_grant,
 };
-use clementinepick::record_age::KEPT_RETENTIONS;
+use clementinepick::record_expiry::RETENTION_FACTOR;
 use clementinepick::server_choice::PromptPart;
 use clementinepick::units::{SpanUs, Tokens};
 use platform::store::{KeyedRecord, MAX_KEY_BYTES};
@@ -460,7 +460,7 @@
     /// it its standing slice again.
     pub(crate) fn forget_idle(&self, now: Instant) {
         let idle = |at: Option<Instant>| at.map(|at| now.saturating_duration_since(at));
-        let kept = u32::try_from(KEPT_RETENTIONS).unwrap_or(u32::MAX);
+        let kept = u32::try_from(RETENTION_FACTOR).unwrap_or(u32::MAX);
         self.programs.borrow_mut().retain(|_, state| {
             let limit = IDLE.max(state.retention.saturating_mul(kept));
             state.slices.outstanding > Tokens(0)
--- a/clementinepickd/src/ledger_sweep.rs
+++ b/clementinepickd/src/ledger_sweep.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use clementinepick::budget_ledger::{BudgetRecord, expired_records};
-use clementinepick::record_age::is_expired;
+use clementinepick::record_expiry::is_expired;
 use clementinepick::turn_chain::TurnRecord;
 use platform::store::{KeyedRecord, Topic};
 
--- a/clementinepickd/src/plain_client.rs
+++ b/clementinepickd/src/plain_client.rs
@@ -7,8 +7,8 @@
 use awc::error::SendRequestError;
 use awc::http::{Method, StatusCode, Uri};
 use clementinepick::call::{PlainAnswer, PlainCall};
+use clementinepick::http_request::is_hop_by_hop_header;
 use clementinepick::ids::AttemptId;
-use clementinepick::parse::is_hop_header;
 use clementinepick::sidecar::{BackendEvent, SidecarAction, SidecarInput};
 use clementinepick::units::SpanUs;
 use tokio::sync::oneshot;
@@ -142,7 +142,7 @@
     let headers = response
         .headers()
         .iter()
-        .filter(|(name, _)| !is_hop_header(name.as_str()))
+        .filter(|(name, _)| !is_hop_by_hop_header(name.as_str()))
         .map(|(name, value)| {
             let value = String::from_utf8_lossy(value.as_bytes()).into_owned();
             (name.as_str().to_owned(), value)
--- a/clementinepickd/src/telemetry.rs
+++ b/clementinepickd/src/telemetry.rs
@@ -54,7 +54,7 @@
     /// Counts a request that was refused before it reached the decisions.
     pub(crate) fn on_refused(&self, kind: ErrorKind) {
         with_local_recorder(&self.recorder, || {
-            let outcome = kind.answer().code;
+            let outcome = kind.response().code;
             counter!("clementinepick_calls_total", "route" => "none", "outcome" => outcome)
                 .increment(1);
         });
--- a/standins/src/caller.rs
+++ b/standins/src/caller.rs
@@ -6,9 +6,9 @@
 use awc::error::SendRequestError;
 use awc::{Client, ClientResponse, Connector};
 use clementinepick::call::ChatMessage;
-use clementinepick::parse::{
-    CALL_HEADER, CLASS_HEADER, KEY_HEADER, NON_IDEMPOTENT_HEADER, PARENT_HEADER, PROGRAM_HEADER,
-    SERVICE_HEADER, TOOL_HEADER,
+use clementinepick::http_request::{
+    CALL_HEADER, CLASS_HEADER, IDEMPOTENCY_KEY_HEADER, NON_IDEMPOTENT_HEADER, PARENT_HEADER,
+    PROGRAM_HEADER, SERVICE_HEADER, TOOL_HEADER,
 };
 use clementinepick::units::Tokens;
 use futures_util::{Stream, StreamExt};
@@ -262,7 +262,7 @@
         let mut request = with_head(self.client.request(ask.method.clone(), url), head);
         if let Some(key) = &ask.once {
             request = request
-                .insert_header((KEY_HEADER, &**key))
+                .insert_header((IDEMPOTENCY_KEY_HEADER, &**key))
                 .insert_header((NON_IDEMPOTENT_HEADER, "yes"));
         }
         let sent = if ask.body.is_null() {
--- a/standins/src/capacity.rs
+++ b/standins/src/capacity.rs
@@ -14,9 +14,9 @@
     RequestId, Revision, ServiceName, VmId,
 };
 use clementinepick::message::{BackendLoad, Heartbeat, Message};
+use clementinepick::partition_replay::{Partitions, extend_chain, history_chain};
 use clementinepick::prompt::ChainHash;
-use clementinepick::record::{Budget, EndReason, OwnedRecord, Record, RecordBody};
-use clementinepick::replay::{Partitions, extend_chain, history_chain};
+use clementinepick::record::{Budget, EndReason, PartitionRecord, Record, RecordBody};
 use clementinepick::units::{SpanUs, Tokens};
 
 use crate::failure::Failure;
@@ -181,7 +181,7 @@
     }
 }
 
-fn owned(entry: OwnedRecord) -> Record {
+fn owned(entry: PartitionRecord) -> Record {
     record(RecordBody::Owned {
         partition: PartitionId(7),
         epoch: Epoch(0),
@@ -201,7 +201,7 @@
 }
 
 fn opened(number: u64) -> Record {
-    owned(OwnedRecord::ProgramOpened {
+    owned(PartitionRecord::ProgramOpened {
         program: program(number),
         parent: None,
         root: None,
@@ -217,7 +217,7 @@
 }
 
 fn ended(number: u64) -> Record {
-    owned(OwnedRecord::ProgramEnded {
+    owned(PartitionRecord::ProgramEnded {
         program: program(number),
         last: Some(CallSeq(9)),
         reason: EndReason::Caller,
@@ -225,7 +225,7 @@
 }
 
 fn turn(number: u64, seq: u64, text: &str, chain: (ChainHash, ChainHash)) -> Record {
-    owned(OwnedRecord::TurnAdded {
+    owned(PartitionRecord::TurnAdded {
         call: CallKey {
             program: program(number),
             seq: CallSeq(seq),
--- a/standins/src/chaos_callers.rs
+++ b/standins/src/chaos_callers.rs
@@ -235,7 +235,7 @@
     pub fn on_failed(&mut self, error: &CallError, patient: bool) -> Next {
         self.open = None;
         self.last_error = Some(error.clone());
-        let answer = error.kind.answer();
+        let answer = error.kind.response();
         self.repeats += 1;
         let after = error.retry_after_us.unwrap_or(REPEAT_AFTER_US);
         let worth_it = answer.repeat_safe && answer.retry_after_s.is_some();
--- a/standins/src/chaos_calls.rs
+++ b/standins/src/chaos_calls.rs
@@ -140,7 +140,7 @@
     }
 
     pub(crate) fn on_refused(&mut self, caller: usize, id: RequestId, error: &CallError) -> Next {
-        let answer = error.kind.answer();
+        let answer = error.kind.response();
         self.counts.add(answer.code);
         let patient = self.rng.random_bool(0.9);
         let program = self.callers[caller].program.clone();
