--- a/clementinepick/src/history.rs
+++ b/clementinepick/src/history.rs
@@ -1,4 +1,4 @@
-//! Checks a caller's transcript against the history, and puts the stored turns before new ones.
+//! Checks a caller's transcript against the recorded history, or prepends the history to it.
 
 use crate::call::{ChatCall, ChatMessage, Payload};
 use crate::call_state::LiveProgram;
@@ -8,7 +8,7 @@
 use crate::partition_replay::ProgramState;
 use crate::prompt::{ChainHash, Prompt};
 
-/// A program's transcript: the turns on record and those on their way there.
+/// A program's transcript: its recorded turns and those that are being recorded.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(crate) struct History {
     pub(crate) messages: Vec<ChatMessage>,
@@ -27,11 +27,11 @@
     }
 }
 
-/// Whether a transcript begins with the history.
+/// Returns whether a transcript starts with the history.
 ///
-/// Only role and text count, as in the chain: client libraries add empty fields to answers that
-/// they send back.
-pub(crate) fn begins_with(transcript: &[ChatMessage], history: &[ChatMessage]) -> bool {
+/// Compares only role and text, as the hash chain does, since client libraries add empty fields to
+/// the answers that they send back.
+pub(crate) fn starts_with_history(transcript: &[ChatMessage], history: &[ChatMessage]) -> bool {
     let same = |a: &ChatMessage, b: &ChatMessage| a.role == b.role && a.content == b.content;
     transcript.len() >= history.len() && transcript.iter().zip(history).all(|(a, b)| same(a, b))
 }
@@ -44,10 +44,15 @@
         Some(History::of(state, self.programs.get(program)?))
     }
 
-    /// Makes sure that a turn follows on the program's history, before it runs.
+    /// Checks before a turn runs that it continues the program's history.
     ///
-    /// A caller whose transcript went astray, or an owner that lacks turns, would otherwise mix
-    /// two conversations or answer from one with a hole.
+    /// Without the check, a caller with a diverged transcript or an owner that lacks turns would
+    /// mix two conversations or answer from one with missing turns.
+    ///
+    /// # Errors
+    ///
+    /// `HistoryMismatch` if the transcript differs from the history, `HistoryNeeded` if the owner
+    /// may lack turns.
     pub(crate) fn check_history(&mut self, id: RequestId) -> Result<(), CallError> {
         let history = self.history_of(id);
         let Some(call) = self.calls.get(&id).filter(|call| call.has_turn()) else {
@@ -58,18 +63,18 @@
         };
         let history = history.unwrap_or_default();
         let program = call.request.program.clone();
-        let uncertain = self.programs.get(&program).is_some_and(|l| l.is_uncertain);
+        let may_lack_turns = self.programs.get(&program).is_some_and(|l| l.is_uncertain);
         if call.request.append {
-            check_chain(call.request.history_chain, &history, uncertain)?;
-            let full = with_history(chat, history);
+            check_chain(call.request.history_chain, &history, may_lack_turns)?;
+            let full = prepend_history(chat, history);
             if let Some(call) = self.calls.get_mut(&id) {
                 call.full = Some(Payload::Chat(full));
             }
-        } else if !begins_with(&chat.messages, &history.messages)
+        } else if !starts_with_history(&chat.messages, &history.messages)
             && self.settings.safeguards.digest_check
         {
             let detail = format!(
-                "the transcript does not begin with the {} messages on record",
+                "the transcript does not start with the {} recorded messages",
                 history.messages.len()
             );
             return Err(CallError::in_field(
@@ -86,16 +91,16 @@
 }
 
 fn check_chain(
-    seen: Option<ChainHash>,
+    expected: Option<ChainHash>,
     history: &History,
-    uncertain: bool,
+    may_lack_turns: bool,
 ) -> Result<(), CallError> {
     let field = crate::http_request::HISTORY_CHAIN_HEADER;
-    match seen {
-        Some(seen) if seen == history.chain => Ok(()),
-        None if !uncertain => Ok(()),
-        Some(_) if !uncertain => {
-            let detail = "the history on record has another chain";
+    match expected {
+        Some(expected) if expected == history.chain => Ok(()),
+        None if !may_lack_turns => Ok(()),
+        Some(_) if !may_lack_turns => {
+            let detail = "the chain does not match that of the recorded history";
             Err(CallError::in_field(
                 ErrorKind::HistoryMismatch,
                 field,
@@ -103,13 +108,13 @@
             ))
         }
         Some(_) | None => {
-            let detail = "turns may be missing after a take-over: send the whole transcript";
+            let detail = "turns may be missing after a takeover: send the whole transcript";
             Err(CallError::in_field(ErrorKind::HistoryNeeded, field, detail))
         }
     }
 }
 
-fn with_history(chat: &ChatCall, history: History) -> ChatCall {
+fn prepend_history(chat: &ChatCall, history: History) -> ChatCall {
     let mut messages = history.messages;
     messages.extend(chat.messages.iter().cloned());
     ChatCall {
--- a/clementinepick/src/journal.rs
+++ b/clementinepick/src/journal.rs
@@ -1,7 +1,7 @@
-//! One process's access to one stream of the log: group commit, and the answer that got lost.
+//! Reads and appends one stream of the log for one process, with group commit.
 //!
-//! One append is in flight at a time; all that waits goes into the next. A record counts only when
-//! it has been read back, since only the order of offsets tells whether it was in force.
+//! One append is in flight at a time; records pushed meanwhile go into the next one. A record takes
+//! effect only when it is read back, since the order of offsets decides between records.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -11,22 +11,22 @@
 use crate::record::Record;
 use crate::units::{SpanUs, TimeUs};
 
-/// The most records in one append.
+/// The maximum number of records in one append.
 const MAX_BATCH: usize = 256;
-/// How many record ids are remembered, to know a record that was appended twice.
-const MAX_SEEN: usize = 1 << 17;
+/// The number of record ids kept to recognize a record that was appended twice.
+const MAX_SEEN_IDS: usize = 1 << 17;
 
-/// How the journal uses the log.
+/// The intervals at which a journal uses the log.
 #[derive(Debug, Clone)]
 pub struct JournalSettings {
-    /// The least time between two appends of all entries together; a process that shares the log
-    /// with others waits as many times longer.
+    /// The minimum interval between appends of all writers together; each of `n` writers waits `n`
+    /// times as long.
     pub append_interval_us: SpanUs,
-    /// The time between two reads while nothing is awaited.
+    /// The interval between reads while no record is pending.
     pub idle_read_us: SpanUs,
-    /// The time between two reads while a record is awaited.
+    /// The interval between reads while a record is pending.
     pub busy_read_us: SpanUs,
-    /// The wait after a failure.
+    /// The backoff after a failure.
     pub backoff_us: SpanUs,
 }
 
@@ -41,34 +41,34 @@
     }
 }
 
-/// What the log made of an append.
+/// The outcome of an append.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AppendOutcome {
-    /// It is in the log, from this offset on.
+    /// The records are in the log, starting at this offset.
     Appended(Offset),
-    /// It is surely not in the log.
+    /// The records are not in the log and will not be.
     Refused,
-    /// The answer was lost; the records may be in the log, now or a little later.
+    /// The response was lost; the records may be in the log or may still be appended.
     Unknown,
 }
 
-/// What the process is to do at the log.
+/// A log operation that the process must carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum JournalAction {
-    /// Append a batch and report with [`Journal::on_append`].
+    /// Append a batch and report the outcome to [`Journal::on_append`].
     Append {
         /// The stream.
         stream: StreamName,
-        /// Names the batch in the report.
+        /// The number that identifies the batch in the report.
         batch: u64,
         /// The records.
         records: Vec<Record>,
     },
-    /// Read on and report with [`Journal::on_read`].
+    /// Read records and report them to [`Journal::on_read`].
     Read {
         /// The stream.
         stream: StreamName,
-        /// The first offset wanted.
+        /// The first offset to read.
         from: Offset,
     },
 }
@@ -77,38 +77,38 @@
 struct Batch {
     number: u64,
     records: Vec<Record>,
-    /// Set once the log has answered; the number of the first read that can settle the batch.
+    /// The number of the first read that can settle the batch; set when the append completes.
     settled_by_read: Option<u64>,
 }
 
-/// Access to one stream.
+/// A reader and writer of one stream.
 #[derive(Debug, Clone)]
 pub struct Journal {
     stream: StreamName,
     settings: JournalSettings,
     position: Offset,
-    /// The stream's end as of the last read.
+    /// The end of the stream at the last read.
     end: Offset,
-    caught_up: bool,
-    waiting: VecDeque<Record>,
+    is_caught_up: bool,
+    queued: VecDeque<Record>,
     in_flight: Option<Batch>,
     next_batch: u64,
     next_append_us: TimeUs,
     next_read_us: TimeUs,
-    reading: bool,
+    is_reading: bool,
     reads_started: u64,
     reads_done: u64,
-    /// Records of which an append may have taken effect without an answer.
-    tried: BTreeSet<RecordId>,
+    /// Records that may have been appended although the response was lost.
+    maybe_appended: BTreeSet<RecordId>,
     writers: u64,
-    jumped_to: Option<Offset>,
+    truncated_to: Option<Offset>,
     seen: BTreeMap<RecordId, Offset>,
     seen_order: VecDeque<RecordId>,
     down: bool,
 }
 
 impl Journal {
-    /// A reader and writer that begins at the start of the stream.
+    /// Creates a journal that reads from the start of the stream.
     #[must_use]
     pub fn new(stream: StreamName, settings: JournalSettings) -> Self {
         Self {
@@ -116,102 +116,102 @@
             settings,
             position: Offset(0),
             end: Offset(0),
-            caught_up: false,
-            waiting: VecDeque::new(),
+            is_caught_up: false,
+            queued: VecDeque::new(),
             in_flight: None,
             next_batch: 0,
             next_append_us: TimeUs(0),
             next_read_us: TimeUs(0),
-            reading: false,
+            is_reading: false,
             reads_started: 0,
             reads_done: 0,
-            tried: BTreeSet::new(),
+            maybe_appended: BTreeSet::new(),
             writers: 1,
-            jumped_to: None,
+            truncated_to: None,
             seen: BTreeMap::new(),
             seen_order: VecDeque::new(),
             down: false,
         }
     }
 
-    /// The offset of the next record to read.
+    /// Returns the offset of the next record to read.
     #[must_use]
     pub const fn position(&self) -> Offset {
         self.position
     }
 
-    /// Whether the stream has been read to its end at least once.
+    /// Returns whether the stream has been read to its end at least once.
     #[must_use]
     pub const fn has_caught_up(&self) -> bool {
-        self.caught_up
+        self.is_caught_up
     }
 
-    /// Whether the last attempt at the log failed.
+    /// Returns whether the last log operation failed.
     #[must_use]
     pub const fn is_down(&self) -> bool {
         self.down
     }
 
-    /// The count of own records that are not yet read back.
+    /// Returns the number of own records that have not been read back.
     #[must_use]
     pub fn unconfirmed(&self) -> usize {
-        self.waiting.len()
+        self.queued.len()
             + self
                 .in_flight
                 .as_ref()
                 .map_or(0, |batch| batch.records.len())
     }
 
-    /// Takes a record for the next append.
+    /// Queues a record for the next append.
     pub fn push(&mut self, record: Record) {
-        self.waiting.push_back(record);
+        self.queued.push_back(record);
     }
 
-    /// Takes back an own record that was never sent to the log; false when it may be there.
+    /// Removes a queued record; returns false if the record may already be in the log.
     pub fn retract(&mut self, id: RecordId) -> bool {
-        if self.tried.contains(&id) {
+        if self.maybe_appended.contains(&id) {
             return false;
         }
-        let count = self.waiting.len();
-        self.waiting.retain(|record| record.id != id);
-        self.waiting.len() < count
+        let count = self.queued.len();
+        self.queued.retain(|record| record.id != id);
+        self.queued.len() < count
     }
 
-    /// Shares the log's append rate between `writers`.
+    /// Divides the log's append rate among `writers`.
     pub fn share_between(&mut self, writers: usize) {
         self.writers = writers.max(1) as u64;
     }
 
-    /// Whether the last read came to the stream's end.
+    /// Returns whether the last read reached the end of the stream.
     #[must_use]
     pub fn is_at_end(&self) -> bool {
         self.position >= self.end
     }
 
-    /// Makes a read due at once; the number of the first read that starts from now on.
+    /// Schedules a read for `now`; returns the number of the next read to start.
     pub fn schedule_read(&mut self, now: TimeUs) -> u64 {
         self.next_read_us = now;
         self.reads_started + 1
     }
 
-    /// The number of the last read that was answered.
+    /// Returns the number of the last completed read.
     #[must_use]
     pub const fn reads_done(&self) -> u64 {
         self.reads_done
     }
 
-    /// The oldest offset that is kept, once after records that were not read had gone.
+    /// Returns the earliest remaining offset, once after unread records were deleted.
     pub fn take_truncated_to(&mut self) -> Option<Offset> {
-        self.jumped_to.take()
+        self.truncated_to.take()
     }
 
-    /// Starts what is due.
+    /// Starts the appends and reads that are due.
     pub fn poll(&mut self, now: TimeUs, out: &mut Vec<JournalAction>) {
-        if self.in_flight.is_none() && !self.waiting.is_empty() && now >= self.next_append_us {
+        if self.in_flight.is_none() && !self.queued.is_empty() && now >= self.next_append_us {
             self.start_append(now, out);
         }
-        if !self.reading && now >= self.next_read_us {
-            self.reading = true;
+        if !self.is_reading && now >= self.next_read_us {
+            self.is_reading = true;
             self.reads_started += 1;
             out.push(JournalAction::Read {
                 stream: self.stream,
@@ -221,8 +221,8 @@
     }
 
     fn start_append(&mut self, now: TimeUs, out: &mut Vec<JournalAction>) {
-        let count = self.waiting.len().min(MAX_BATCH);
-        let records: Vec<Record> = self.waiting.drain(..count).collect();
+        let count = self.queued.len().min(MAX_BATCH);
+        let records: Vec<Record> = self.queued.drain(..count).collect();
         self.next_batch += 1;
         let interval_us = self.settings.append_interval_us.0 * self.writers;
         self.next_append_us = now.after(SpanUs(interval_us));
@@ -239,7 +239,7 @@
         });
     }
 
-    /// Takes the log's answer to an append.
+    /// Handles the outcome of an append.
     pub fn on_append(&mut self, now: TimeUs, number: u64, outcome: AppendOutcome) -> Option<Event> {
         let batch = self
             .in_flight
@@ -252,15 +252,15 @@
                 None
             }
             AppendOutcome::Refused => {
-                self.take_back(now);
-                self.went_down()
+                self.requeue_in_flight(now);
+                self.mark_down()
             }
             AppendOutcome::Unknown => {
-                // The records may have taken effect. A read that starts after this point shows
-                // them if so; appending anew first would only waste the log's rate, and dropping
-                // them could lose a call that others already see as started.
+                // The records may be in the log. A read that starts after this point shows whether
+                // they are. Appending them again before that would waste the append rate, and
+                // dropping them could lose a call that other readers see as started.
                 batch.settled_by_read = Some(self.reads_started + 1);
-                self.tried
+                self.maybe_appended
                     .extend(batch.records.iter().map(|record| record.id));
                 self.next_read_us = now;
                 let event = Event::new(EventKind::AppendUnknown).with("stream", self.stream);
@@ -269,48 +269,48 @@
         }
     }
 
-    fn take_back(&mut self, now: TimeUs) {
+    fn requeue_in_flight(&mut self, now: TimeUs) {
         let Some(batch) = self.in_flight.take() else {
             return;
         };
         for record in batch.records.into_iter().rev() {
-            self.waiting.push_front(record);
+            self.queued.push_front(record);
         }
         self.next_append_us = now.after(self.settings.backoff_us);
     }
 
-    fn went_down(&mut self) -> Option<Event> {
-        let first = !std::mem::replace(&mut self.down, true);
-        first.then(|| Event::new(EventKind::LogDown).with("stream", self.stream))
+    fn mark_down(&mut self) -> Option<Event> {
+        let was_up = !std::mem::replace(&mut self.down, true);
+        was_up.then(|| Event::new(EventKind::LogDown).with("stream", self.stream))
     }
 
-    /// Takes the log's answer to a read; `None` when it failed.
+    /// Handles the result of a read, or its failure if `None`.
     ///
-    /// Returns the records that were not seen before, in the order of their offsets.
+    /// Returns the records not seen before, in the order of their offsets.
     pub fn on_read(
         &mut self,
         now: TimeUs,
         answer: Option<ReadAnswer>,
         events: &mut Vec<Event>,
     ) -> Vec<(Offset, Record)> {
-        self.reading = false;
+        self.is_reading = false;
         let Some(answer) = answer else {
             self.reads_done = self.reads_started;
             self.next_read_us = now.after(self.settings.backoff_us);
-            events.extend(self.went_down());
+            events.extend(self.mark_down());
             return Vec::new();
         };
         self.reads_done = self.reads_started;
         if std::mem::take(&mut self.down) {
             events.push(Event::new(EventKind::LogUp).with("stream", self.stream));
         }
-        let fresh = self.take_records(&answer, events);
+        let fresh = self.parse_records(&answer, events);
         self.end = answer.end;
         let at_end = self.position >= self.end;
-        self.caught_up |= at_end;
+        self.is_caught_up |= at_end;
         self.settle(now, at_end);
-        let busy = !at_end || self.in_flight.is_some() || !self.waiting.is_empty();
-        let interval = match (at_end, busy) {
+        let is_busy = !at_end || self.in_flight.is_some() || !self.queued.is_empty();
+        let interval = match (at_end, is_busy) {
             (false, _) => SpanUs(0),
             (true, true) => self.settings.busy_read_us,
             (true, false) => self.settings.idle_read_us,
@@ -319,7 +319,7 @@
         fresh
     }
 
-    fn take_records(
+    fn parse_records(
         &mut self,
         answer: &ReadAnswer,
         events: &mut Vec<Event>,
@@ -332,7 +332,7 @@
                     .with("earliest", answer.earliest),
             );
             self.position = answer.earliest;
-            self.jumped_to = Some(answer.earliest);
+            self.truncated_to = Some(answer.earliest);
         }
         let mut fresh = Vec::new();
         for stored in &answer.records {
@@ -340,25 +340,25 @@
                 continue;
             }
             self.position = stored.offset.next();
-            // A record that is no record of ours has no meaning to anyone, so all pass over it.
+            // Every reader skips a record that can't be parsed, so the replay stays the same.
             let Ok(record) = serde_json::from_str::<Record>(&stored.text) else {
                 continue;
             };
-            if self.remember(record.id, stored.offset) {
+            if self.insert_seen(record.id, stored.offset) {
                 fresh.push((stored.offset, record));
             }
         }
         fresh
     }
 
-    fn remember(&mut self, id: RecordId, offset: Offset) -> bool {
+    fn insert_seen(&mut self, id: RecordId, offset: Offset) -> bool {
         if self.seen.contains_key(&id) {
             return false;
         }
         self.seen.insert(id, offset);
-        self.tried.remove(&id);
+        self.maybe_appended.remove(&id);
         self.seen_order.push_back(id);
-        if self.seen_order.len() > MAX_SEEN
+        if self.seen_order.len() > MAX_SEEN_IDS
             && let Some(oldest) = self.seen_order.pop_front()
         {
             self.seen.remove(&oldest);
@@ -381,11 +381,11 @@
             self.in_flight = None;
             return;
         }
-        let settled = batch
+        let is_settled = batch
             .settled_by_read
             .is_some_and(|read| self.reads_started >= read);
-        if settled && at_end {
-            self.take_back(now);
+        if is_settled && at_end {
+            self.requeue_in_flight(now);
         }
     }
 }
@@ -439,10 +439,9 @@
         (journal, out)
     }
 
-    // The writer sees no answer to its append, reads on, finds its record, and must not append it
-    // again: the log took it and only the answer was lost.
+    // The record is in the log and only the response was lost, so it must not be appended again.
     #[test]
-    fn a_lost_answer_is_resolved_by_reading_on() {
+    fn read_settles_an_append_with_a_lost_response() {
         let (mut journal, _) = started();
         journal.on_append(TimeUs(5), 1, AppendOutcome::Unknown);
         let mut out = Vec::new();
@@ -457,10 +456,10 @@
         assert_eq!(journal.unconfirmed(), 0);
     }
 
-    // The answer was lost and the record is not in the log: it is appended again under the same
-    // id. When the first append takes effect after all, readers pass over the second copy.
+    // The record of a lost append is appended again under the same id. If the first append takes
+    // effect after all, readers must ignore the duplicate.
     #[test]
-    fn a_lost_append_is_sent_again_and_its_double_ignored() {
+    fn lost_append_is_retried_and_its_duplicate_is_ignored() {
         let (mut journal, _) = started();
         journal.on_append(TimeUs(5), 1, AppendOutcome::Unknown);
         let mut out = Vec::new();
@@ -479,7 +478,7 @@
     }
 
     #[test]
-    fn a_read_that_started_before_the_answer_was_lost_settles_nothing() {
+    fn read_started_before_the_response_was_lost_settles_nothing() {
         let mut journal = Journal::new(StreamName::Journal, JournalSettings::default());
         journal.push(record(1));
         let mut out = Vec::new();
--- a/clementinepick/src/partition_replay.rs
+++ b/clementinepick/src/partition_replay.rs
@@ -1,4 +1,6 @@
-//! The state of the partitions, replayed from the log by one deterministic function.
+//! Replays the log into the state of the partitions.
+//!
+//! The replay is deterministic: every reader of the same records has the same state.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,39 +11,39 @@
 use crate::record::{PartitionRecord, Record, RecordBody};
 use crate::safeguards::Safeguards;
 
-/// What a record changed.
+/// The effect of a replayed record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
-    /// A claim is in force.
+    /// A claim took effect.
     Claimed(PartitionId),
-    /// A claim came after another that replaced the same owner.
+    /// A claim lost to an earlier claim over the same owner.
     ClaimLost(PartitionId),
     /// An owner's record took effect.
     Accepted(PartitionId),
-    /// The writer was no longer the owner; the record changes nothing.
+    /// The writer was no longer the owner; the record has no effect.
     Stale(PartitionId),
-    /// The record is not about partitions.
+    /// The record is not about partitions, or is held until a snapshot arrives.
     Other,
 }
 
-/// A record that came before its partition's state was whole.
+/// A record read before the state of its partition was complete.
 #[derive(Debug, Clone, PartialEq)]
-struct Early {
+struct HeldRecord {
     offset: Offset,
     record: Record,
 }
 
-/// All partitions.
+/// The replayed state of all partitions.
 #[derive(Debug, Clone)]
 pub struct Partitions {
     states: BTreeMap<PartitionId, PartitionState>,
-    /// The partitions of sub-agents, which lie with their root.
-    homes: BTreeMap<ProgramId, PartitionId>,
-    /// The first offset that was read.
-    started_at: Offset,
-    /// The records of partitions that are not whole yet.
-    early: BTreeMap<PartitionId, Vec<Early>>,
-    whole: BTreeSet<PartitionId>,
+    /// The partition of each sub-agent, which is that of its root program.
+    sub_agents: BTreeMap<ProgramId, PartitionId>,
+    /// The first offset that is read.
+    start_offset: Offset,
+    /// The records of partitions whose state is not complete yet.
+    held: BTreeMap<PartitionId, Vec<HeldRecord>>,
+    complete: BTreeSet<PartitionId>,
     safeguards: Safeguards,
 }
 
@@ -52,53 +54,54 @@
 }
 
 impl Partitions {
-    /// Partitions whose records are read from `offset` on; what came before must come with
-    /// snapshots.
+    /// Creates a replay that reads records from `offset` on.
+    ///
+    /// Snapshots must cover the records before `offset`.
     #[must_use]
     pub fn starting_at(offset: Offset, safeguards: Safeguards) -> Self {
         Self {
             states: BTreeMap::new(),
-            homes: BTreeMap::new(),
-            started_at: offset,
-            early: BTreeMap::new(),
-            whole: BTreeSet::new(),
+            sub_agents: BTreeMap::new(),
+            start_offset: offset,
+            held: BTreeMap::new(),
+            complete: BTreeSet::new(),
             safeguards,
         }
     }
 
-    /// Whether all records of a partition are known, from the log or from a snapshot.
+    /// Returns whether all records of a partition are known, from the log or from a snapshot.
     #[must_use]
     pub fn is_complete(&self, partition: PartitionId) -> bool {
-        self.started_at == Offset(0) || self.whole.contains(&partition)
+        self.start_offset == Offset(0) || self.complete.contains(&partition)
     }
 
-    /// A partition's state, once a record has named it.
+    /// Returns the state of a partition, or `None` if no record has named it.
     #[must_use]
     pub fn get(&self, partition: PartitionId) -> Option<&PartitionState> {
         self.states.get(&partition)
     }
 
-    /// All partitions that a record has named.
+    /// Iterates over all partitions that a record has named.
     pub fn iter(&self) -> impl Iterator<Item = (PartitionId, &PartitionState)> {
         self.states.iter().map(|(id, state)| (*id, state))
     }
 
-    /// A partition's owner.
+    /// Returns the owner of a partition.
     #[must_use]
     pub fn owner(&self, partition: PartitionId) -> Option<&Owner> {
         self.get(partition)?.owner.as_ref()
     }
 
-    /// A program's state.
+    /// Returns the state of a program.
     #[must_use]
     pub fn program(&self, partition: PartitionId, program: &ProgramId) -> Option<&ProgramState> {
         self.get(partition)?.programs.get(program)
     }
 
-    /// The partition of a sub-agent, which lies with its root.
+    /// Returns the partition of a sub-agent, which is that of its root program.
     #[must_use]
     pub fn sub_agent_partition(&self, program: &ProgramId) -> Option<PartitionId> {
-        self.homes.get(program).copied()
+        self.sub_agents.get(program).copied()
     }
 
     /// Replays one record.
@@ -110,12 +113,17 @@
             | RecordBody::ConfigSnapshot { .. } => return Effect::Other,
         };
         if self.is_complete(partition) {
-            return self.apply_whole(offset, record, partition);
+            return self.apply_complete(offset, record, partition);
         }
-        self.apply_early(offset, record, partition)
+        self.apply_incomplete(offset, record, partition)
     }
 
-    fn apply_whole(&mut self, offset: Offset, record: &Record, partition: PartitionId) -> Effect {
+    fn apply_complete(
+        &mut self,
+        offset: Offset,
+        record: &Record,
+        partition: PartitionId,
+    ) -> Effect {
         match &record.body {
             RecordBody::Claim { over, .. } => self.claim(offset, record, partition, *over),
             RecordBody::Owned { epoch, entry, .. } => self.owned(record, partition, *epoch, entry),
@@ -125,45 +133,50 @@
         }
     }
 
-    /// Keeps the records of a partition until a snapshot joins them without a hole.
+    /// Holds the records of a partition until a snapshot covers everything before them.
     ///
-    /// A reader that began after the oldest records went could take a snapshot that is older than
-    /// its first record, and miss what lies between: a call would look as if it had never been
-    /// started. So the snapshot must reach up to the first record that was read.
-    fn apply_early(&mut self, offset: Offset, record: &Record, partition: PartitionId) -> Effect {
+    /// A snapshot that ends before the first record read here would leave a gap, and a call started
+    /// in the gap would look as if it had never been started. So only a snapshot that reaches up to
+    /// the first record is accepted.
+    fn apply_incomplete(
+        &mut self,
+        offset: Offset,
+        record: &Record,
+        partition: PartitionId,
+    ) -> Effect {
         let snapshot = match &record.body {
             RecordBody::Owned {
                 epoch,
                 entry: PartitionRecord::Snapshot { up_to, state },
                 ..
-            } if *up_to >= self.started_at
+            } if *up_to >= self.start_offset
                 && state.owner.as_ref().is_some_and(|o| o.epoch == *epoch) =>
             {
                 (*up_to, state.as_ref().clone())
             }
             _ => {
-                let early = Early {
+                let held = HeldRecord {
                     offset,
                     record: record.clone(),
                 };
-                self.early.entry(partition).or_default().push(early);
+                self.held.entry(partition).or_default().push(held);
                 return Effect::Other;
             }
         };
         let (up_to, state) = snapshot;
         for (id, program) in &state.programs {
             if program.root.is_some() {
-                self.homes.insert(id.clone(), partition);
+                self.sub_agents.insert(id.clone(), partition);
             }
         }
         self.states.insert(partition, state);
-        self.whole.insert(partition);
-        for early in self.early.remove(&partition).unwrap_or_default() {
-            if early.offset >= up_to {
-                self.apply_whole(early.offset, &early.record, partition);
+        self.complete.insert(partition);
+        for held in self.held.remove(&partition).unwrap_or_default() {
+            if held.offset >= up_to {
+                self.apply_complete(held.offset, &held.record, partition);
             }
         }
-        self.apply_whole(offset, record, partition)
+        self.apply_complete(offset, record, partition)
     }
 
     fn claim(
@@ -174,8 +187,9 @@
         over: Option<Epoch>,
     ) -> Effect {
         let state = self.states.entry(partition).or_default();
-        // Two entries may claim at once. Each names the claim it replaces, so only the first in
-        // the log matches; the other sees that it was outrun and does not act as owner.
+        // Two entries may claim the partition at the same time. Each names the claim it replaces,
+        // so only the first in the log matches; the other sees that it lost and does not act as
+        // owner.
         let in_force = state.owner.as_ref().map(|owner| owner.epoch);
         if in_force != over && self.safeguards.claim_cas {
             return Effect::ClaimLost(partition);
@@ -200,9 +214,9 @@
         entry: &PartitionRecord,
     ) -> Effect {
         let state = self.states.entry(partition).or_default();
-        // A paused owner may write after another took over. Its calls would then run beside those
-        // of the new owner; since its epoch is not in force, no reader takes the record, and the
-        // writer learns so when it reads its own record back.
+        // An owner that was paused may write after another took over, and its calls would run
+        // beside those of the new owner. Its epoch is no longer current, so every reader ignores
+        // the record, and the writer notices when it reads its own record back.
         let in_force = !state.yielded
             && state.owner.as_ref().is_some_and(|owner| {
                 owner.epoch == epoch
@@ -213,13 +227,13 @@
             return Effect::Stale(partition);
         }
         if let PartitionRecord::ProgramOpened { program, root, .. } = entry
-            && !self.take_home(partition, program, root.as_ref())
+            && !self.assign_partition(partition, program, root.as_ref())
         {
             return Effect::Accepted(partition);
         }
         if let PartitionRecord::ProgramsForgotten { programs } = entry {
             for program in programs {
-                self.homes.remove(program);
+                self.sub_agents.remove(program);
             }
         }
         let digest_check = self.safeguards.digest_check;
@@ -229,11 +243,11 @@
         Effect::Accepted(partition)
     }
 
-    /// Settles where a program lies; false when it lies in another partition already.
+    /// Assigns a program to a partition; returns false if it already belongs to another.
     ///
-    /// A caller that leaves out the parent of a sub-agent would otherwise get a second program of
-    /// that name, with a budget and an order of its own. The first one on record decides.
-    fn take_home(
+    /// A caller that omits the parent of a sub-agent would otherwise create a second program of
+    /// that name, with its own budget and call order. The first record of the name decides.
+    fn assign_partition(
         &mut self,
         partition: PartitionId,
         program: &ProgramId,
@@ -246,14 +260,14 @@
             return false;
         }
         if root.is_some() {
-            let elsewhere = self
+            let is_elsewhere = self
                 .states
                 .iter()
                 .any(|(id, state)| *id != partition && state.programs.contains_key(program));
-            if elsewhere {
+            if is_elsewhere {
                 return false;
             }
-            self.homes.insert(program.clone(), partition);
+            self.sub_agents.insert(program.clone(), partition);
         }
         true
     }
@@ -284,10 +298,10 @@
         )
     }
 
-    // Two entries see the same dead owner and claim at once; the log has both claims. Only the
-    // first may act, or two owners would run the same program's calls side by side.
+    // Two entries replace the same dead owner at once. If both claims took effect, two owners would
+    // run the same program's calls.
     #[test]
-    fn of_two_claims_over_the_same_owner_the_first_holds() {
+    fn first_of_two_claims_over_the_same_owner_takes_effect() {
         let mut partitions = Partitions::default();
         let at = PartitionId(3);
         assert_eq!(
@@ -305,10 +319,9 @@
         assert_eq!(partitions.owner(at).map(|o| o.vm.as_str()), Some("b"));
     }
 
-    // An owner pauses, another takes over, the first wakes up unaware and writes. Its record is
-    // in the log, behind the claim, and changes nothing for anyone.
+    // A paused owner resumes after a takeover and writes a record behind the new claim.
     #[test]
-    fn a_deposed_owners_record_changes_nothing() {
+    fn record_of_a_former_owner_is_ignored() {
         let mut partitions = Partitions::default();
         let at = PartitionId(3);
         partitions.apply(Offset(0), &claim("a", None));
--- a/clementinepick/src/partition_state.rs
+++ b/clementinepick/src/partition_state.rs
@@ -1,4 +1,4 @@
-//! What the records of a partition leave behind: its owner, programs, calls and turns.
+//! Holds the replayed state of a partition: its owner, programs, calls and turns.
 
 use std::collections::BTreeMap;
 
@@ -18,98 +18,98 @@
 pub struct Owner {
     /// The entry.
     pub vm: VmId,
-    /// Its life.
+    /// The entry's incarnation.
     pub incarnation: Incarnation,
     /// The offset of its claim.
     pub epoch: Epoch,
 }
 
-/// A non-idempotent call on record.
+/// A recorded non-idempotent call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedCall {
-    /// The attempt that was put on record last.
+    /// The attempt recorded last.
     pub attempt: AttemptId,
-    /// The caller's request.
+    /// The request id.
     pub request: RequestId,
-    /// The digest of its request.
+    /// The digest of the request.
     pub digest: ChainHash,
-    /// The caller's key.
+    /// The caller's idempotency key.
     pub key: Option<IdempotencyKey>,
-    /// The sidecar it was sent to.
+    /// The sidecar that the call was sent to.
     pub target: VmId,
-    /// That sidecar's life.
+    /// The sidecar's incarnation.
     pub target_incarnation: Incarnation,
-    /// The epoch under which the attempt was put on record.
+    /// The epoch in which the attempt was recorded.
     pub epoch: Epoch,
-    /// How it ended; absent while it is open.
+    /// The outcome; absent while it is unknown.
     pub outcome: Option<CallOutcome>,
 }
 
-/// A turn on record.
+/// A recorded turn.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedTurn {
-    /// The caller's request.
+    /// The request id.
     pub request: RequestId,
     /// The digest of the request.
     pub digest: ChainHash,
-    /// The caller's key.
+    /// The caller's idempotency key.
     pub key: Option<IdempotencyKey>,
-    /// The place of the answer in the history.
+    /// The index of the answer in the history.
     pub answer_at: usize,
-    /// What it cost.
+    /// The tokens used.
     pub usage: Usage,
-    /// Why the engine stopped.
+    /// Why the engine stopped generating.
     pub finish: Option<FinishReason>,
-    /// The chain of the history up to and with the turn.
+    /// The hash chain of the history up to and including the turn.
     pub chain: ChainHash,
 }
 
-/// A program as the log tells it.
+/// The state of a program after replay.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ProgramState {
-    /// The program whose sub-agent it is.
+    /// The parent program of a sub-agent.
     pub parent: Option<ProgramId>,
-    /// The program whose account it spends from, where that is another.
+    /// The root program of a sub-agent, whose account it spends from.
     pub root: Option<ProgramId>,
     /// The service of its first call.
     pub service: ServiceName,
     /// Its class.
     pub class: ClassName,
-    /// What it may spend; for a sub-agent its root's account counts instead.
+    /// The account that it spends from; for a sub-agent, the root's account is used instead.
     pub account: Account,
-    /// The transcript on record.
+    /// The recorded transcript.
     pub history: Vec<ChatMessage>,
-    /// The chain over the program and its transcript.
+    /// The hash chain over the program's name and transcript.
     pub chain: ChainHash,
-    /// The place of the next call.
+    /// The sequence number of the next call.
     pub next: CallSeq,
     /// The non-idempotent calls.
     pub calls: BTreeMap<CallSeq, RecordedCall>,
     /// The turns.
     pub turns: BTreeMap<CallSeq, RecordedTurn>,
-    /// Why it ended, once it has.
+    /// Why it ended; absent while it is live.
     pub ended: Option<EndReason>,
 }
 
-/// A partition as the log tells it.
+/// The state of a partition after replay.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct PartitionState {
-    /// Its owner, once one has claimed it.
+    /// The owner; absent before the first claim.
     pub owner: Option<Owner>,
-    /// Whether the owner has left it to the next.
+    /// Whether the owner has released the partition to the next claim.
     pub yielded: bool,
     /// Its programs.
     pub programs: BTreeMap<ProgramId, ProgramState>,
 }
 
-/// The chain over a program's transcript, from its beginning.
+/// Returns the hash chain over a program's name and transcript.
 #[must_use]
 pub fn history_chain(program: &ProgramId, messages: &[ChatMessage]) -> ChainHash {
     let start = ChainHash::default().extend(program.as_str().as_bytes());
     extend_chain(start, messages)
 }
 
-/// The chain extended by messages.
+/// Returns the hash chain extended by messages.
 #[must_use]
 pub fn extend_chain(chain: ChainHash, messages: &[ChatMessage]) -> ChainHash {
     messages.iter().fold(chain, |chain, message| {
@@ -120,7 +120,7 @@
 impl PartitionState {
     pub(crate) fn apply(&mut self, epoch: Epoch, entry: &PartitionRecord, digest_check: bool) {
         match entry {
-            PartitionRecord::ProgramOpened { .. } => self.open(entry),
+            PartitionRecord::ProgramOpened { .. } => self.open_program(entry),
             PartitionRecord::SliceReserved {
                 program,
                 before,
@@ -163,7 +163,7 @@
         }
     }
 
-    fn open(&mut self, entry: &PartitionRecord) {
+    fn open_program(&mut self, entry: &PartitionRecord) {
         let PartitionRecord::ProgramOpened {
             program,
             parent,
@@ -210,11 +210,11 @@
         let Some(state) = self.programs.get_mut(&call.program) else {
             return;
         };
-        // Only a call that surely did not run may be started once more.
-        let open = state.calls.get(&call.seq).is_none_or(|known| {
+        // A call may be started again only if it is known not to have run.
+        let can_start = state.calls.get(&call.seq).is_none_or(|known| {
             matches!(known.outcome, Some(CallOutcome::NeverRan(_))) && known.attempt != *attempt
         });
-        if !open {
+        if !can_start {
             return;
         }
         state.next = state.next.max(call.seq.next());
@@ -242,7 +242,7 @@
             return;
         }
         recorded.outcome = Some(outcome.clone());
-        // The place of a call that did not run is open again, as at the owner.
+        // The sequence number of a call that did not run is free again, as at the owner.
         if matches!(outcome, CallOutcome::NeverRan(_)) && state.next == call.seq.next() {
             state.next = call.seq;
         }
@@ -271,8 +271,9 @@
         let answer_message = ChatMessage::new("assistant", answer);
         let chain = extend_chain(state.chain, messages);
         let chain = extend_chain(chain, std::slice::from_ref(&answer_message));
-        // A turn that does not follow on the recorded ones would leave a hole or bring another
-        // program's words; the chain covers program, order and content, so it can't fit by chance.
+        // A turn that does not continue the recorded history would leave a gap or mix in another
+        // program's messages. The chain covers program, order and content, so such a turn does not
+        // match.
         if digest_check && (state.chain != *before || chain != *after) {
             return;
         }
@@ -289,7 +290,7 @@
             chain,
         };
         state.turns.insert(call.seq, turn);
-        // A turn that may not run twice has its outcome with the turn itself.
+        // The turn of a non-idempotent call is also the call's outcome.
         if let Some(recorded) = state.calls.get_mut(&call.seq)
             && recorded.outcome.is_none()
         {
--- a/clementinepick/src/record.rs
+++ b/clementinepick/src/record.rs
@@ -1,4 +1,6 @@
-//! The records of the log. The order of their offsets decides every race.
+//! Defines the records of the log streams.
+//!
+//! Where records conflict, the one with the lower offset takes effect at every reader.
 
 use serde::{Deserialize, Serialize};
 
@@ -17,217 +19,220 @@
 /// One record of a stream.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// Drawn by the writer; a second record with the same id is ignored.
+    /// Chosen at random by the writer; readers ignore a second record with the same id.
     pub id: RecordId,
-    /// The process that wrote it; for operators' records, the name of the command line's run.
+    /// The process that wrote the record; for operators' records, the author of the command.
     pub writer: VmId,
-    /// The writer's life.
+    /// The writer's incarnation.
     pub incarnation: Incarnation,
-    /// What it says.
+    /// The content.
     pub body: RecordBody,
 }
 
-/// What a record says.
+/// The content of a record.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum RecordBody {
-    /// An operator publishes a document. Accepted if `base` is in force and the document is right.
+    /// An operator publishes a document; accepted if `base` is the active revision and the document
+    /// is valid.
     Publish {
-        /// Names this run of `publish`.
+        /// Identifies the run of the `publish` command.
         operation: OperationId,
         /// The service.
         service: ServiceName,
-        /// The revision that the operator has seen in force; zero for a new service.
+        /// The revision that the operator saw as active; zero for a new service.
         base: Revision,
         /// The document's text.
         document: String,
     },
-    /// A process claims to decide on orders for a service. Effective if `over` is in force.
+    /// A process claims to decide on a service's engine orders; effective if `over` is the current
+    /// claim.
     DeciderClaim {
         /// The service.
         service: ServiceName,
-        /// The claim that this one replaces.
+        /// The claim that this claim replaces.
         over: Option<FencingNumber>,
     },
-    /// The configuration, carried forward before retention ends.
+    /// A snapshot of the configuration, written before the records it covers are deleted.
     ConfigSnapshot {
-        /// The snapshot holds all records before this offset.
+        /// The snapshot covers all records before this offset.
         up_to: Offset,
-        /// What those records come to.
+        /// The state after those records.
         state: Box<ConfigState>,
     },
-    /// An entry claims a partition. Effective if `over` is in force; its offset is the epoch.
+    /// An entry claims a partition; effective if `over` is the current claim. The record's offset
+    /// becomes the epoch.
     Claim {
         /// The partition.
         partition: PartitionId,
-        /// The claim that this one replaces.
+        /// The claim that this claim replaces.
         over: Option<Epoch>,
     },
-    /// Something an owner says of its partition. Ignored unless `epoch` is in force.
+    /// A change to a partition by its owner; ignored unless `epoch` is the current epoch.
     Owned {
         /// The partition.
         partition: PartitionId,
-        /// The writer's claim.
+        /// The epoch of the writer's claim.
         epoch: Epoch,
-        /// What it says.
+        /// The change.
         entry: PartitionRecord,
     },
 }
 
-/// A document as it came into force.
+/// A document that became active.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PublishedDocument {
     /// The service.
     pub service: ServiceName,
     /// Its revision.
     pub revision: Revision,
-    /// The run of `publish` that brought it.
+    /// The run of the `publish` command.
     pub operation: OperationId,
-    /// Who ran it.
+    /// The operator who published it.
     pub author: VmId,
     /// The text.
     pub text: String,
 }
 
-/// What a program may spend.
+/// The limits on what a program may use.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Budget {
-    /// Prompt and output tokens over all calls.
+    /// Prompt and output tokens of all calls together.
     pub tokens: Tokens,
-    /// Calls.
+    /// The number of calls.
     pub calls: u64,
-    /// Time from its first call to its end.
+    /// The time from the first call to the end of the program.
     pub time_us: SpanUs,
 }
 
-/// What an owner says of its partition.
+/// A change to a partition, written by its owner.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PartitionRecord {
-    /// A program begins.
+    /// A program starts.
     ProgramOpened {
         /// The program.
         program: ProgramId,
-        /// The program whose sub-agent it is.
+        /// The parent program of a sub-agent.
         parent: Option<ProgramId>,
-        /// The program at the root of the sub-agents, whose account it spends from.
+        /// The root program of a sub-agent, whose account it spends from.
         root: Option<ProgramId>,
         /// The service of its first call.
         service: ServiceName,
         /// Its class.
         class: ClassName,
-        /// What it may spend.
+        /// The limits on what it may use.
         budget: Budget,
         /// The first slice of its budget.
         slice: Amount,
     },
-    /// A slice of an account's budget is set aside, to be spent without further records.
+    /// A slice of an account's budget is reserved, to be spent without further records.
     SliceReserved {
         /// The account.
         program: ProgramId,
-        /// What was set aside before; where it differs, the record changes nothing.
+        /// The amount reserved before; the record is ignored if it differs.
         before: Amount,
-        /// What is set aside in addition.
+        /// The additional amount reserved.
         slice: Amount,
     },
-    /// An owner that leaves gives back what it did not spend of an account's slices.
+    /// An owner that shuts down returns the unspent part of an account's slices.
     SliceReturned {
         /// The account.
         program: ProgramId,
-        /// What was set aside before; where it differs, the record changes nothing.
+        /// The amount reserved before; the record is ignored if it differs.
         before: Amount,
-        /// What is given back.
+        /// The amount returned.
         unused: Amount,
     },
-    /// A non-idempotent call is about to be sent to `target`.
+    /// A non-idempotent call is about to be dispatched to `target`.
     CallStarted {
         /// The call.
         call: CallKey,
         /// The attempt.
         attempt: AttemptId,
-        /// The caller's request.
+        /// The request id.
         request: RequestId,
-        /// The digest of the request, to tell a repeat from another request.
+        /// The digest of the request, which distinguishes a repeat from a different request.
         digest: ChainHash,
-        /// The caller's key.
+        /// The caller's idempotency key.
         key: Option<IdempotencyKey>,
         /// The sidecar.
         target: VmId,
-        /// The sidecar's life.
+        /// The sidecar's incarnation.
         target_incarnation: Incarnation,
     },
-    /// A non-idempotent call has its outcome.
+    /// The outcome of a non-idempotent call is known.
     CallEnded {
         /// The call.
         call: CallKey,
         /// The attempt.
         attempt: AttemptId,
-        /// How it ended.
+        /// The outcome.
         outcome: CallOutcome,
     },
-    /// A turn of a program's history.
+    /// A turn is appended to a program's history.
     TurnAdded {
         /// The call.
         call: CallKey,
-        /// The caller's request.
+        /// The request id.
         request: RequestId,
-        /// The digest of the request, to tell a repeat from another request.
+        /// The digest of the request, which distinguishes a repeat from a different request.
         digest: ChainHash,
-        /// The caller's key.
+        /// The caller's idempotency key.
         key: Option<IdempotencyKey>,
-        /// The chain before the turn.
+        /// The hash chain before the turn.
         before: ChainHash,
-        /// The chain after it.
+        /// The hash chain after the turn.
         after: ChainHash,
-        /// The messages of the transcript that were not yet on record.
+        /// The messages of the transcript that were not yet recorded.
         messages: Vec<ChatMessage>,
         /// The answer.
         answer: String,
-        /// What it cost.
+        /// The tokens used.
         usage: Usage,
-        /// Why the engine stopped.
+        /// Why the engine stopped generating.
         finish: Option<FinishReason>,
     },
-    /// A program has ended.
+    /// A program ended.
     ProgramEnded {
         /// The program.
         program: ProgramId,
-        /// Its last accepted call.
+        /// The last accepted call.
         last: Option<CallSeq>,
-        /// Why.
+        /// Why it ended.
         reason: EndReason,
     },
-    /// Programs that ended a while ago are dropped, with the answers to their repeats.
+    /// Programs that ended some time ago are removed, together with the answers kept for repeats.
     ProgramsForgotten {
         /// The programs.
         programs: Vec<ProgramId>,
     },
-    /// The owner leaves the partition to whoever claims it next; its later records do not count.
+    /// The owner releases the partition to the next claim; its later records are ignored.
     Yielded,
-    /// The partition's state, carried forward before retention ends.
+    /// A snapshot of the partition, written before the records it covers are deleted.
     Snapshot {
-        /// The snapshot holds all records before this offset.
+        /// The snapshot covers all records before this offset.
         up_to: Offset,
-        /// The state.
+        /// The state after those records.
         state: Box<PartitionState>,
     },
 }
 
-/// How a non-idempotent call ended.
+/// The outcome of a non-idempotent call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallOutcome {
-    /// It never ran and never will.
+    /// It did not run and will not run.
     NeverRan(CallError),
     /// A plain service answered.
     Plain(PlainAnswer),
     /// An engine answered.
     Chat {
-        /// The text.
+        /// The text of the answer.
         answer: String,
-        /// What it cost.
+        /// The tokens used.
         usage: Usage,
     },
     /// It ran and failed.
     Failed(CallError),
-    /// Nobody can tell any more.
+    /// Whether it ran can't be determined.
     Unknown,
 }
 
@@ -235,19 +240,19 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndReason {
-    /// Its caller ended it.
+    /// The caller ended it.
     Caller,
-    /// It was made for one call.
+    /// It was created for a single call, which ended.
     SingleCall,
-    /// Its deadline passed.
+    /// The deadline passed.
     Deadline,
-    /// It was idle for too long.
+    /// It exceeded the idle timeout.
     Idle,
-    /// Its budget is spent.
+    /// The budget is exhausted.
     Budget,
-    /// The loop guard.
+    /// The loop guard ended it.
     Loop,
-    /// Its parent ended.
+    /// The parent program ended.
     Parent,
     /// An operator ended it.
     Operator,
--- a/clementinepick/src/record_expiry.rs
+++ b/clementinepick/src/record_expiry.rs
@@ -1,14 +1,16 @@
-//! When records of programs and turns may be dropped.
+//! Determines when the stored records of programs and turns expire.
 
-/// For how many retentions a record is kept: one for what it describes, one for what continues from
-/// it, one for writers that are paused.
+/// The number of retention periods for which a record is kept.
+///
+/// One covers the program or turn itself, one what continues from it, and one writers that were
+/// paused.
 pub const RETENTION_FACTOR: u64 = 3;
 
-/// How far the clocks of two VMs may be apart, in milliseconds; twice what the platform's sheets
-/// allow for a step of a clock.
+/// The largest difference between the clocks of two VMs, in milliseconds: twice the clock step that
+/// the platform allows.
 const CLOCK_SKEW_MS: u64 = 10_000;
 
-/// Whether a record that was written at `recorded_unix_ms` is needed no more.
+/// Returns whether a record written at `recorded_unix_ms` has expired.
 #[must_use]
 pub fn is_expired(recorded_unix_ms: u64, retain_ms: u64, now_unix_ms: u64) -> bool {
     let kept_ms = retain_ms
--- a/clementinepick/src/recovery.rs
+++ b/clementinepick/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Learns what became of calls that an earlier owner, or this one before a link was lost, had sent.
+//! Recovers the outcomes of dispatched calls after a change of owner or the loss of a link.
 
 use std::collections::BTreeSet;
 
@@ -9,7 +9,7 @@
 use crate::entry::{Entry, EntryAction};
 use crate::error::{CallError, ErrorKind};
 use crate::event::{Event, EventKind};
-use crate::history::{History, begins_with};
+use crate::history::{History, starts_with_history};
 use crate::ids::{AttemptId, CallKey, Epoch, Incarnation, PartitionId, RecordId, RequestId, VmId};
 use crate::message::{FenceVerdict, KeptCall, Message, Peer};
 use crate::partition_replay::extend_chain;
@@ -17,19 +17,18 @@
 use crate::step_record::tell_committed;
 use crate::units::{SpanUs, TimeUs};
 
-/// How long a sidecar that can't be reached is waited for before a call's outcome counts as
-/// unknown.
-const UNREACHABLE_US: SpanUs = SpanUs::from_s(10);
-/// How long an entry waits for callers to come for answers of a lost owner.
-const KEEP_US: SpanUs = SpanUs::from_s(60);
-/// The time between two questions to a sidecar that does not answer.
-const ASK_AGAIN_US: SpanUs = SpanUs::from_s(2);
+/// How long a call waits for an unreachable sidecar before its outcome counts as unknown.
+const LINK_TIMEOUT_US: SpanUs = SpanUs::from_s(10);
+/// How long an entry keeps a lost owner's answers for callers to fetch.
+const KEPT_ANSWER_TTL_US: SpanUs = SpanUs::from_s(60);
+/// The interval between fence requests to a sidecar that does not answer.
+const FENCE_RETRY_INTERVAL_US: SpanUs = SpanUs::from_s(2);
 
 impl Entry {
-    /// Finds the open calls of earlier owners and asks their sidecars.
+    /// Collects the open calls of earlier owners and queries their sidecars.
     ///
-    /// A record of a start without an end means that the call may have run. To run it again would
-    /// double it; to refuse it as not run could be untrue.
+    /// A call with a recorded start and no recorded end may have run. Running it again could
+    /// execute it twice, and refusing it as not run could be false, so its sidecar is asked.
     pub(crate) fn recover_open_calls(
         &mut self,
         now: TimeUs,
@@ -79,10 +78,10 @@
         self.query_open_calls(now, out);
     }
 
-    /// Asks the sidecars of open calls, and gives up on those that can't be reached.
+    /// Queries the sidecars of open calls, and resolves calls of unreachable sidecars as unknown.
     pub(crate) fn query_open_calls(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
         let mut unknown = Vec::new();
-        let mut ask = Vec::new();
+        let mut due_calls = Vec::new();
         for (call, open) in &self.open_calls {
             match self.peers.get(&open.target) {
                 Some(peer) if peer.peer.incarnation != open.incarnation => {
@@ -90,26 +89,28 @@
                 }
                 Some(_) if open.is_attached => {}
                 Some(_) => {
-                    let due = open.asked_us.is_none_or(|at| now.since(at) >= ASK_AGAIN_US);
-                    if due {
-                        ask.push(call.clone());
+                    let is_due = open
+                        .asked_us
+                        .is_none_or(|at| now.since(at) >= FENCE_RETRY_INTERVAL_US);
+                    if is_due {
+                        due_calls.push(call.clone());
                     }
                 }
-                None if now.since(open.since_us) >= UNREACHABLE_US => unknown.push(call.clone()),
+                None if now.since(open.since_us) >= LINK_TIMEOUT_US => unknown.push(call.clone()),
                 None => {}
             }
         }
-        for call in ask {
+        for call in due_calls {
             let Some(open) = self.open_calls.get_mut(&call) else {
                 continue;
             };
             open.asked_us = Some(now);
             let (target, partition) = (open.target.clone(), open.partition);
-            let sent = (open.attempt, open.started_epoch, open.incarnation);
-            self.send_fence(&target, &call, partition, sent, out);
+            let fenced = (open.attempt, open.started_epoch, open.incarnation);
+            self.send_fence(&target, &call, partition, fenced, out);
         }
         for call in unknown {
-            self.resolve(now, &call, &CallOutcome::Unknown, out);
+            self.resolve_open_call(now, &call, &CallOutcome::Unknown, out);
         }
     }
 
@@ -118,13 +119,13 @@
         target: &VmId,
         call: &CallKey,
         partition: PartitionId,
-        sent: (AttemptId, Epoch, Incarnation),
+        fenced: (AttemptId, Epoch, Incarnation),
         out: &mut Vec<EntryAction>,
     ) {
         let Some(epoch) = self.own_epoch(partition) else {
             return;
         };
-        let (attempt, started_epoch, incarnation) = sent;
+        let (attempt, started_epoch, incarnation) = fenced;
         out.push(EntryAction::Send {
             to: target.clone(),
             message: Message::Fence {
@@ -147,7 +148,7 @@
         out: &mut Vec<EntryAction>,
     ) {
         if let Some(id) = self.attempts.get(&attempt).copied() {
-            self.on_lost_verdict(now, id, attempt, verdict, out);
+            self.on_lost_call_verdict(now, id, attempt, verdict, out);
             return;
         }
         let found = self
@@ -162,18 +163,18 @@
             FenceVerdict::NeverRan => {
                 let detail = "the owner was lost before the call was sent on";
                 let error = CallError::new(ErrorKind::OwnerUnknown, detail);
-                self.resolve(now, &call, &CallOutcome::NeverRan(error), out);
+                self.resolve_open_call(now, &call, &CallOutcome::NeverRan(error), out);
             }
             FenceVerdict::Running | FenceVerdict::Ended => {
                 open.is_attached = true;
                 let position = open.answer.characters();
                 self.attach(partition, attempt, from, position, out);
             }
-            FenceVerdict::Unknown => self.resolve(now, &call, &CallOutcome::Unknown, out),
+            FenceVerdict::Unknown => self.resolve_open_call(now, &call, &CallOutcome::Unknown, out),
         }
     }
 
-    /// A part of the answer to an open call.
+    /// Handles a part of the answer to an open call.
     pub(crate) fn on_open_call_reply(
         &mut self,
         now: TimeUs,
@@ -194,7 +195,7 @@
                 let known = open.answer.characters();
                 let fresh = crate::sidecar::skip_chars(&text, known.saturating_sub(position));
                 open.answer.push_str(&fresh);
-                for id in self.recorded_followers(&call) {
+                for id in self.followers_of_recorded(&call) {
                     if let Err(error) = self.give_text(id, known, &fresh, out) {
                         self.drop_call(id, error, out);
                     }
@@ -218,17 +219,17 @@
                 _ => CallOutcome::Unknown,
             },
         };
-        self.resolve(now, &call, &outcome, out);
+        self.resolve_open_call(now, &call, &outcome, out);
     }
 
-    fn recorded_followers(&self, call: &CallKey) -> Vec<RequestId> {
+    fn followers_of_recorded(&self, call: &CallKey) -> Vec<RequestId> {
         let step = Step::Follow(Leader::Recorded(call.clone()));
         let following = self.calls.iter().filter(|(_, call)| call.step == step);
         following.map(|(id, _)| *id).collect()
     }
 
-    /// Puts the outcome of an open call on record and gives it to all who wait for it.
-    fn resolve(
+    /// Records the outcome of an open call and passes it to the repeats that wait for it.
+    fn resolve_open_call(
         &mut self,
         now: TimeUs,
         call: &CallKey,
@@ -242,23 +243,29 @@
             let event = Event::new(EventKind::OutcomeUnknown).with("call", call);
             out.push(EntryAction::Event(event));
         }
-        let turn_written = matches!(outcome, CallOutcome::Chat { .. })
+        let has_turn_record = matches!(outcome, CallOutcome::Chat { .. })
             && open
                 .kept
                 .as_ref()
                 .is_some_and(|kept| self.record_kept_turn(now, open.partition, &open.target, kept));
-        let followers = self.recorded_followers(call);
+        let followers = self.followers_of_recorded(call);
         if matches!(outcome, CallOutcome::NeverRan(_))
             && let Some(live) = self.programs.get_mut(&call.program)
         {
             live.order.reopen_recorded(call.seq);
         }
-        if !turn_written {
-            let told = Some((RequestId(0), open.target.clone()));
-            self.write_ended(call, open.partition, open.attempt, outcome.clone(), told);
+        if !has_turn_record {
+            let notified = Some((RequestId(0), open.target.clone()));
+            self.write_ended(
+                call,
+                open.partition,
+                open.attempt,
+                outcome.clone(),
+                notified,
+            );
         }
         for id in followers {
-            // A repeat of a call that did not run is the call itself from here on.
+            // The call did not run, so its repeat runs in its place.
             if matches!(outcome, CallOutcome::NeverRan(_)) {
                 if let Some(call) = self.calls.get_mut(&id) {
                     call.step = Step::Own;
@@ -271,7 +278,7 @@
         self.start_next(now, &call.program, out);
     }
 
-    /// The end of a call has come on record: repeats that waited for it get it.
+    /// Answers the repeats that wait for a call whose outcome has been recorded.
     pub(crate) fn answer_waiting_repeats(
         &mut self,
         now: TimeUs,
@@ -279,7 +286,7 @@
         call: &CallKey,
         out: &mut Vec<EntryAction>,
     ) {
-        let followers = self.recorded_followers(call);
+        let followers = self.followers_of_recorded(call);
         let state = self.partitions.program(partition, &call.program);
         let recorded = state.and_then(|state| state.calls.get(&call.seq));
         let Some(outcome) = recorded.and_then(|recorded| recorded.outcome.clone()) else {
@@ -294,7 +301,7 @@
         }
     }
 
-    /// What a sidecar keeps of the calls of earlier owners.
+    /// Handles a sidecar's report of the calls that it keeps for earlier owners.
     pub(crate) fn on_kept_calls(
         &mut self,
         now: TimeUs,
@@ -303,7 +310,7 @@
         calls: Vec<KeptCall>,
         out: &mut Vec<EntryAction>,
     ) {
-        self.kept_until_us = now.after(KEEP_US);
+        self.kept_until_us = now.after(KEPT_ANSWER_TTL_US);
         let mut calls = calls;
         calls.sort_by(|a, b| a.call.cmp(&b.call));
         for kept in calls {
@@ -325,7 +332,7 @@
         self.finish_takeovers(now, out);
     }
 
-    /// Lets the calls go on of partitions whose sidecars have reported or are late.
+    /// Resumes the calls of partitions whose sidecars have all reported, or whose wait timed out.
     pub(crate) fn finish_takeovers(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
         let ready: BTreeSet<PartitionId> = self
             .taking_over
@@ -349,8 +356,8 @@
         })
     }
 
-    /// Puts a turn on record that an earlier owner had answered and not recorded; false when it
-    /// does not follow on the history.
+    /// Records a turn that an earlier owner answered without recording it; returns false if the
+    /// turn does not continue the history.
     fn record_kept_turn(
         &mut self,
         now: TimeUs,
@@ -372,7 +379,7 @@
         let history = History::of(state, live);
         if state.ended.is_some()
             || kept.call.seq < live.order.next()
-            || !begins_with(&kept.messages, &history.messages)
+            || !starts_with_history(&kept.messages, &history.messages)
         {
             return false;
         }
@@ -400,8 +407,9 @@
         self.push_turn(partition, history.chain, turn)
     }
 
-    /// The link to the sidecar of a running call that may not run twice went down: the call waits
-    /// for the link, since only that sidecar knows what became of it.
+    /// Suspends a running non-idempotent call whose link went down until the link is restored.
+    ///
+    /// Only that sidecar knows the outcome of the call.
     pub(crate) fn wait_for_link(&mut self, id: RequestId) {
         if let Some(call) = self.calls.get_mut(&id)
             && let Step::Running { attempt, target } = call.step.clone()
@@ -410,7 +418,7 @@
         }
     }
 
-    /// The link to a sidecar is up again: calls that wait for it are asked for.
+    /// Queries a sidecar whose link is up again about the calls that wait for it.
     pub(crate) fn query_lost_calls(
         &mut self,
         now: TimeUs,
@@ -436,19 +444,19 @@
                 continue;
             };
             if claim.incarnation != peer.incarnation {
-                self.on_lost_verdict(now, id, attempt, FenceVerdict::Unknown, out);
+                self.on_lost_call_verdict(now, id, attempt, FenceVerdict::Unknown, out);
                 continue;
             }
             let Some(epoch) = self.own_epoch(partition) else {
                 continue;
             };
             let key = call.request.key(seq);
-            let sent = (attempt, epoch, claim.incarnation);
-            self.send_fence(&peer.vm, &key, partition, sent, out);
+            let fenced = (attempt, epoch, claim.incarnation);
+            self.send_fence(&peer.vm, &key, partition, fenced, out);
         }
     }
 
-    fn on_lost_verdict(
+    fn on_lost_call_verdict(
         &mut self,
         now: TimeUs,
         id: RequestId,
@@ -486,8 +494,10 @@
         }
     }
 
-    /// The deadline of a call passed while its sidecar could not be reached, or did not answer:
-    /// its caller gets the truth, and the call stays open until its outcome is learned.
+    /// Answers a call with `OutcomeUnknown` when its deadline passes while its sidecar can't be
+    /// reached or does not respond.
+    ///
+    /// The call stays open until its outcome is known.
     pub(crate) fn detach_at_deadline(
         &mut self,
         now: TimeUs,
@@ -497,7 +507,7 @@
         let Some(call) = self.calls.get(&id) else {
             return;
         };
-        let open = call.claim.clone().zip(call.seq).map(|(claim, seq)| {
+        let keyed_open = call.claim.clone().zip(call.seq).map(|(claim, seq)| {
             let open = OpenCall {
                 partition: call.partition,
                 attempt: claim.attempt,
@@ -516,7 +526,7 @@
         if let Step::Lost { attempt, .. } | Step::Running { attempt, .. } = call.step {
             self.leave_backend(attempt, true);
         }
-        if let Some((key, open)) = open {
+        if let Some((key, open)) = keyed_open {
             self.open_calls.insert(key, open);
         }
         let detail = "the deadline passed while the backend server could not be reached";
@@ -528,7 +538,7 @@
         self.refuse(now, id, error, out);
     }
 
-    /// Books all that was held for a call of which nobody knows what it used.
+    /// Charges the full reservation of a call whose actual usage is unknown.
     pub(crate) fn settle_full_reservation(&mut self, id: RequestId) {
         let held = self.calls.get(&id).and_then(|call| call.held_tokens);
         let used = Usage {
--- a/clementinepick/src/snapshot.rs
+++ b/clementinepick/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Carries the state of partitions forward before the log's retention ends.
+//! Writes snapshots of partitions before the log deletes the records that they cover.
 
 use crate::call_state::Awaited;
 use crate::entry::Entry;
@@ -7,9 +7,9 @@
 use crate::units::TimeUs;
 
 impl Entry {
-    /// Writes the snapshot of the own partition whose last one is oldest, where it is due.
+    /// Writes a snapshot of the owned partition with the oldest snapshot, if one is due.
     ///
-    /// One at a time: a partition's state can be large, and calls share the log with it.
+    /// Writes one at a time, since a snapshot can be large and shares the log with calls.
     pub(crate) fn write_snapshots(&mut self, now: TimeUs) {
         if !self.is_caught_up() || self.journal.is_down() || !self.journal.is_at_end() {
             return;
