--- a/clementinepick/src/config.rs
+++ b/clementinepick/src/config.rs
@@ -1,39 +1,39 @@
-//! The configuration in force at one process: what it replayed, or what a peer that is ahead says.
+//! Holds the active configuration of a process, from its own replay and from peers that are ahead.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-use crate::config_replay::{ConfigChange, ConfigReplay, Decider, Publication, check_document};
+use crate::config_replay::{ConfigChange, ConfigReplay, Decider, Publication, parse_document_of};
 use crate::document::Document;
 use crate::ids::{Offset, Revision, ServiceName};
 use crate::record::{PublishedDocument, Record, RecordBody};
 
-/// A document in force.
+/// An active document.
 #[derive(Debug, Clone)]
 pub struct ActiveDocument {
     /// The document as published.
     pub published: PublishedDocument,
-    /// The document as checked.
+    /// The document after validation.
     pub document: Arc<Document>,
 }
 
-/// The revisions of a service that are kept for calls that began under them.
-const MAX_KEPT: usize = 16;
+/// The number of revisions of a service that are kept for calls that started under them.
+const MAX_KEPT_REVISIONS: usize = 16;
 
-/// The configuration in force at one process.
+/// The active configuration of one process.
 #[derive(Debug, Clone, Default)]
 pub struct Config {
     services: BTreeMap<ServiceName, ActiveDocument>,
-    /// The last revisions of each service, for calls that began under an earlier one.
+    /// The latest revisions of each service, for calls that started under an earlier one.
     kept: BTreeMap<ServiceName, BTreeMap<Revision, ActiveDocument>>,
     replay: ConfigReplay,
-    /// Set in test runs that show what an older revision would do.
-    takes_older: bool,
+    /// Set in test runs that disable the safeguard against older revisions.
+    accepts_older_revisions: bool,
 }
 
 impl Config {
-    /// A document by its revision, for a call that began under it; `None` when it is not known
-    /// here, or no more.
+    /// Returns a document by its revision, for a call that started under it; `None` if the revision
+    /// is unknown or no longer kept.
     #[must_use]
     pub fn document_at(
         &self,
@@ -43,36 +43,36 @@
         self.kept.get(service)?.get(&revision)
     }
 
-    /// The document in force for a service.
+    /// Returns the active document of a service.
     #[must_use]
     pub fn service(&self, service: &ServiceName) -> Option<&ActiveDocument> {
         self.services.get(service)
     }
 
-    /// All documents in force.
+    /// Iterates over all active documents.
     pub fn services(&self) -> impl Iterator<Item = (&ServiceName, &ActiveDocument)> {
         self.services.iter()
     }
 
-    /// The last publications, oldest first.
+    /// Returns the latest publications, oldest first.
     #[must_use]
     pub const fn publications(&self) -> &VecDeque<Publication> {
         &self.replay.state().publications
     }
 
-    /// The process that decides on engine orders for a service, as this process has read the log.
+    /// Returns the process that decides on a service's engine orders, as of the records read here.
     #[must_use]
     pub fn decider(&self, service: &ServiceName) -> Option<&Decider> {
         self.replay.state().deciders.get(service)
     }
 
-    /// Whether no record of the stream is missing here.
+    /// Returns whether the replay lacks no record of the stream.
     #[must_use]
     pub const fn is_complete(&self) -> bool {
         self.replay.is_complete()
     }
 
-    /// The revisions in force.
+    /// Returns the active revision of each service.
     #[must_use]
     pub fn revisions(&self) -> BTreeMap<ServiceName, Revision> {
         self.services
@@ -81,15 +81,15 @@
             .collect()
     }
 
-    /// The revisions in force of one service, or of all.
+    /// Returns the active revision of one service, or of each service if `None`.
     #[must_use]
     pub fn revisions_for(&self, service: Option<&ServiceName>) -> BTreeMap<ServiceName, Revision> {
         let Some(service) = service else {
             return self.revisions();
         };
-        // Sidecars are many and services are too: this is sent to each of them all the time.
-        let in_force = self.services.get_key_value(service);
-        in_force
+        // Sent to every sidecar with each heartbeat, so it names only the sidecar's service.
+        let active = self.services.get_key_value(service);
+        active
             .map(|(name, s)| (name.clone(), s.published.revision))
             .into_iter()
             .collect()
@@ -101,27 +101,27 @@
         if changes.is_empty() {
             return changes;
         }
-        // Publications are judged by the replayed state alone. A document that a peer passed on
-        // may be ahead of it, and judging by that would refuse what everyone else accepts.
+        // Publications are judged by the replayed state alone. A document received from a peer may
+        // be ahead of it, and judging by that would reject what other processes accept.
         let documents = &self.replay.state().documents;
-        let news: Vec<PublishedDocument> = documents
+        let updates: Vec<PublishedDocument> = documents
             .values()
-            .filter(|published| self.is_news(published))
+            .filter(|published| self.is_newer(published))
             .cloned()
             .collect();
-        for published in news {
-            // The replay accepted the text, so that it can be read.
+        for published in updates {
+            // The replay accepted the text, so it is valid.
             let _ = self.adopt(published);
         }
         changes
     }
 
-    /// Takes note that the records before `earliest` that were not yet replayed are gone.
+    /// Records that the log has deleted the records before `earliest` that were not yet replayed.
     pub fn on_gap(&mut self, earliest: Offset) {
         self.replay.on_gap(earliest);
     }
 
-    /// The record that carries the configuration forward, given the next offset to be read.
+    /// Returns a snapshot record of the configuration, given the next offset to read.
     #[must_use]
     pub fn snapshot(&self, up_to: Offset) -> RecordBody {
         RecordBody::ConfigSnapshot {
@@ -130,52 +130,52 @@
         }
     }
 
-    /// Lets older revisions in; for test runs only, see [`crate::safeguards`].
+    /// Accepts older revisions; for test runs only, see [`crate::safeguards`].
     pub fn accept_older_revisions(&mut self) {
-        self.takes_older = true;
+        self.accepts_older_revisions = true;
     }
 
-    fn is_news(&self, published: &PublishedDocument) -> bool {
+    fn is_newer(&self, published: &PublishedDocument) -> bool {
         let current = self.services.get(&published.service);
         current.is_none_or(|current| {
             let (known, new) = (current.published.revision, published.revision);
-            known < new || (self.takes_older && known != new)
+            known < new || (self.accepts_older_revisions && known != new)
         })
     }
 
-    /// Takes over a document that is in force elsewhere; says whether it was news.
+    /// Adopts a document that is active at a peer; returns whether it is newer than the one here.
     ///
-    /// A lagging peer or an old snapshot may bring an older revision. It is passed over, since a
-    /// process that took it would serve by rules that are no longer in force.
+    /// A lagging peer or an old snapshot may bring an older revision. It is ignored, since it would
+    /// replace the rules in effect by outdated ones.
     ///
     /// # Errors
     ///
-    /// What is wrong with the document.
+    /// Returns the reason if the document is invalid.
     pub fn adopt(&mut self, published: PublishedDocument) -> Result<bool, String> {
-        let document = check_document(&published.service, &published.text)?;
-        let is_news = self.is_news(&published);
-        let in_force = ActiveDocument {
+        let document = parse_document_of(&published.service, &published.text)?;
+        let is_newer = self.is_newer(&published);
+        let active = ActiveDocument {
             document: Arc::new(document),
             published,
         };
-        self.keep(&in_force);
-        if is_news {
-            let service = in_force.published.service.clone();
-            self.services.insert(service, in_force);
+        self.keep_revision(&active);
+        if is_newer {
+            let service = active.published.service.clone();
+            self.services.insert(service, active);
         }
-        Ok(is_news)
+        Ok(is_newer)
     }
 
-    fn keep(&mut self, in_force: &ActiveDocument) {
-        let published = &in_force.published;
+    fn keep_revision(&mut self, active: &ActiveDocument) {
+        let published = &active.published;
         let kept = self.kept.entry(published.service.clone()).or_default();
-        kept.insert(published.revision, in_force.clone());
-        while kept.len() > MAX_KEPT {
+        kept.insert(published.revision, active.clone());
+        while kept.len() > MAX_KEPT_REVISIONS {
             kept.pop_first();
         }
     }
 
-    /// The documents that a peer with these revisions lacks, of one service or of all.
+    /// Returns the documents that are newer than `known`, of one service or of all if `None`.
     #[must_use]
     pub fn missing_documents(
         &self,
--- a/clementinepick/src/config_replay.rs
+++ b/clementinepick/src/config_replay.rs
@@ -1,7 +1,7 @@
-//! The configuration stream, replayed: the same records give the same state at every process.
+//! Replays the configuration stream into the active documents and deciders.
 //!
-//! Operators who race get one winner, and everyone agrees who it is. A process that starts after
-//! old records have passed their retention starts from a snapshot that others carried forward.
+//! The replay is deterministic, so all processes agree which of two concurrent publications wins. A
+//! process that starts after old records were deleted continues from a snapshot in the stream.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,99 +11,99 @@
 use crate::ids::{FencingNumber, Incarnation, Offset, OperationId, Revision, ServiceName, VmId};
 use crate::record::{PublishedDocument, Record, RecordBody};
 
-/// How many publications are remembered.
+/// The number of publications kept.
 ///
-/// The bound is part of the replay: processes that remembered more than others would judge a
-/// publication that was appended twice differently.
+/// The limit is part of the replay: with different limits, processes would disagree on a
+/// publication that was appended twice.
 pub const MAX_PUBLICATIONS: usize = 256;
 
-/// What became of a publication.
+/// The result of a publication.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// It came into force.
+    /// The document became active.
     Accepted {
-        /// Its revision.
+        /// The revision of the document.
         revision: Revision,
     },
-    /// Another publication was first.
+    /// Another publication over the same base came first.
     Outrun {
-        /// The revision in force.
+        /// The active revision.
         revision: Revision,
-        /// Who published it.
+        /// The author of the active revision.
         author: VmId,
     },
-    /// The document is wrong.
+    /// The document is invalid.
     Wrong {
-        /// What is wrong.
+        /// The error.
         detail: String,
     },
 }
 
-/// One publication, for `history`.
+/// A publication in the history.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Publication {
-    /// Where it stands in the log.
+    /// The offset of its record.
     pub offset: Offset,
-    /// The run of `publish`.
+    /// The run of the `publish` command.
     pub operation: OperationId,
-    /// Who ran it.
+    /// The operator who published it.
     pub author: VmId,
     /// The service.
     pub service: ServiceName,
-    /// What became of it.
+    /// The result.
     pub verdict: Verdict,
 }
 
-/// The one process that decides on engine orders for a service.
+/// The process that decides on a service's engine orders.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Decider {
-    /// Its VM.
+    /// The VM of the process.
     pub vm: VmId,
-    /// Its life.
+    /// The incarnation of the process.
     pub incarnation: Incarnation,
     /// The offset of its claim, which its orders carry.
     pub fencing: FencingNumber,
 }
 
-/// What the stream's records up to an offset come to.
+/// The configuration after replaying the records before an offset.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigState {
-    /// The documents in force.
+    /// The active documents.
     pub documents: BTreeMap<ServiceName, PublishedDocument>,
-    /// The deciders.
+    /// The current decider of each service.
     pub deciders: BTreeMap<ServiceName, Decider>,
-    /// The last publications, oldest first.
+    /// The latest publications, oldest first.
     pub publications: VecDeque<Publication>,
 }
 
-/// What a record changed.
+/// A change caused by a record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ConfigChange {
-    /// A publication was judged.
+    /// A publication was accepted or rejected.
     Published(Publication),
-    /// A claim to decide for a service is in force.
+    /// A claim to decide for a service took effect.
     DeciderClaimed {
         /// The service.
         service: ServiceName,
-        /// Who decides from here on.
+        /// The new decider.
         decider: Decider,
     },
-    /// A claim to decide came after another that replaced the same decider.
+    /// A claim to decide lost to an earlier claim over the same decider.
     DeciderClaimLost {
         /// The service.
         service: ServiceName,
-        /// Whose claim was outrun.
+        /// The VM whose claim lost.
         vm: VmId,
     },
-    /// A snapshot of the records before this offset stands in the log.
+    /// A snapshot was read from the log.
     Snapshot {
-        /// The snapshot's bound.
+        /// The snapshot covers all records before this offset.
         up_to: Offset,
     },
 }
 
-/// The records after a gap, until a snapshot closes it.
+/// The records after a gap, held until a snapshot closes it.
 #[derive(Debug, Clone)]
 struct Gap {
     /// The first record that can still be read.
@@ -119,19 +119,19 @@
 }
 
 impl ConfigReplay {
-    /// What the records replayed so far come to.
+    /// Returns the state after the records replayed so far.
     #[must_use]
     pub const fn state(&self) -> &ConfigState {
         &self.state
     }
 
-    /// Whether no record is missing.
+    /// Returns whether no record is missing.
     #[must_use]
     pub const fn is_complete(&self) -> bool {
         self.gap.is_none()
     }
 
-    /// Takes note that all records before `earliest` that were not yet replayed are gone.
+    /// Records that the log has deleted the records before `earliest` that were not yet replayed.
     pub fn on_gap(&mut self, earliest: Offset) {
         self.gap = Some(Gap {
             earliest,
@@ -146,8 +146,8 @@
         };
         gap.held.push((offset, record.clone()));
         match &record.body {
-            // A snapshot helps only if every record after it can still be read. From an older one
-            // this process would serve documents that were replaced in the records it never saw.
+            // A snapshot is usable only if every record after it can still be read. From an older
+            // one, this process would serve documents that were replaced by the deleted records.
             RecordBody::ConfigSnapshot { up_to, state } if *up_to >= gap.earliest => {
                 let held = std::mem::take(&mut gap.held);
                 self.gap = None;
@@ -163,13 +163,13 @@
 }
 
 impl ConfigState {
-    /// The publication of a run of `publish`, while it is remembered.
+    /// Returns the publication of a run of `publish`, if it is still kept.
     #[must_use]
     pub fn publication(&self, operation: OperationId) -> Option<&Publication> {
         self.publications.iter().find(|p| p.operation == operation)
     }
 
-    /// The revision in force for a service; zero for a service without a document.
+    /// Returns the active revision of a service; zero for a service without a document.
     #[must_use]
     pub fn revision(&self, service: &ServiceName) -> Revision {
         self.documents
@@ -180,8 +180,8 @@
     fn apply(&mut self, offset: Offset, record: &Record) -> Option<ConfigChange> {
         match &record.body {
             RecordBody::Publish { operation, .. } => {
-                // `publish --resume` appends the same operation again when the first append may
-                // have been lost. When both took effect, the first one has been answered already.
+                // `publish --resume` appends the same operation again if the first append may have
+                // been lost. If both were appended, only the first counts.
                 if self.publication(*operation).is_some() {
                     return None;
                 }
@@ -242,7 +242,7 @@
             let detail = format!("no revision {base} is in force");
             return Verdict::Wrong { detail };
         }
-        if let Err(detail) = check_document(service, text) {
+        if let Err(detail) = parse_document_of(service, text) {
             return Verdict::Wrong { detail };
         }
         let published = PublishedDocument {
@@ -266,8 +266,8 @@
         over: Option<FencingNumber>,
     ) -> ConfigChange {
         let service = service.clone();
-        // Two entries may see the same decider gone and claim at once. Each names the claim it
-        // replaces, so that only the first in the log matches and only one gives orders.
+        // Two entries may claim to replace the same lost decider. Each names the claim it replaces,
+        // so only the first in the log matches and only one gives orders.
         if self.deciders.get(&service).map(|decider| decider.fencing) != over {
             let vm = record.writer.clone();
             return ConfigChange::DeciderClaimLost { service, vm };
@@ -282,8 +282,8 @@
     }
 }
 
-/// Reads a document and checks that it is the one of `service`.
-pub(crate) fn check_document(service: &ServiceName, text: &str) -> Result<Document, String> {
+/// Parses a document and checks that it is the one of `service`.
+pub(crate) fn parse_document_of(service: &ServiceName, text: &str) -> Result<Document, String> {
     let document = Document::parse(text).map_err(|err| err.to_string())?;
     if document.service == *service {
         Ok(document)
--- a/clementinepick/src/document.rs
+++ b/clementinepick/src/document.rs
@@ -1,68 +1,68 @@
-//! A service's document: the INI text by which its team drives the system.
+//! Parses and validates the document of a service, the INI text that configures the service.
 
 use std::collections::BTreeMap;
 
 use derive_more::Display;
 use thiserror::Error;
 
-use crate::document_check::check;
-use crate::document_read::read;
+use crate::document_check::check_references;
+use crate::document_read::read_document;
 use crate::ids::{CategoryName, ClassName, ModelName, ServiceName};
 pub use crate::rules::{
     AdapterRules, CategoryRules, ClassRules, ModelRules, PlacementRules, ProgramRules,
     RetentionRules, RetryRules, RouteRules,
 };
 
-/// The longest document; snapshots of the configuration carry all documents.
+/// The maximum length of a document, in bytes; configuration snapshots contain all documents.
 pub const MAX_DOCUMENT_BYTES: usize = 65_536;
 
-/// Methods that HTTP calls safe to repeat.
+/// The HTTP methods that are idempotent by definition.
 pub(crate) const IDEMPOTENT_METHODS: &[&str] = &["GET", "HEAD", "OPTIONS", "PUT", "DELETE"];
 
-/// What is wrong with a document, with the place where it is wrong.
+/// An error in a document, with its location.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum DocumentError {
-    /// The text is too long.
+    /// The text exceeds [`MAX_DOCUMENT_BYTES`].
     #[error("the document has {length_bytes} bytes, over {MAX_DOCUMENT_BYTES}")]
     TooLong {
-        /// Its length.
+        /// The length of the text.
         length_bytes: usize,
     },
-    /// The text is not INI.
+    /// The text is not valid INI.
     #[error("line {line}: {detail}")]
     Syntax {
-        /// The line, from 1.
+        /// The line number, starting at 1.
         line: usize,
-        /// What the INI reader says.
+        /// The message of the INI parser.
         detail: String,
     },
-    /// A section that means nothing.
+    /// A section is unknown.
     #[error("[{section}]: unknown section{}", suggestion(*.nearest))]
     UnknownSection {
         /// The section.
         section: String,
-        /// The known name that is nearest, if one is near.
+        /// The most similar known section, if there is one.
         nearest: Option<&'static str>,
     },
-    /// A key that means nothing in its section.
+    /// A key is unknown in its section.
     #[error("[{section}] {key}: unknown key{}", suggestion(*.nearest))]
     UnknownKey {
         /// The section; empty for a key before the first section.
         section: String,
         /// The key.
         key: String,
-        /// The known key that is nearest, if one is near.
+        /// The most similar known key, if there is one.
         nearest: Option<&'static str>,
     },
-    /// A key or section that stands twice.
-    #[error("{}: given twice", place(.section, .key))]
+    /// A key or section is given more than once.
+    #[error("{}: given twice", location(.section, .key))]
     Repeated {
         /// The section.
         section: String,
-        /// The key; empty when the section itself stands twice.
+        /// The key; empty if the section itself is repeated.
         key: String,
     },
-    /// A key that must be given.
+    /// A required key is missing.
     #[error("[{section}] {key}: missing")]
     Missing {
         /// The section.
@@ -70,102 +70,102 @@
         /// The key.
         key: &'static str,
     },
-    /// A value that can't be read or is out of range.
+    /// A value is invalid or out of range.
     #[error("[{section}] {key}: {detail}")]
     BadValue {
         /// The section.
         section: String,
         /// The key.
         key: String,
-        /// What would have been right.
+        /// The values that are accepted.
         detail: String,
     },
 }
 
-/// Appends a suggestion to an error message.
+/// Formats the suggestion at the end of an error message.
 fn suggestion(nearest: Option<&'static str>) -> String {
     nearest
         .map(|name| format!(" (did you mean `{name}`?)"))
         .unwrap_or_default()
 }
 
-/// A section, or a key in it, as error messages name it.
-fn place(section: &str, key: &str) -> String {
+/// Formats the location of an error.
+fn location(section: &str, key: &str) -> String {
     match key {
         "" => format!("[{section}]"),
         key => format!("[{section}] {key}"),
     }
 }
 
-/// What a service's backend servers are.
+/// The kind of a service's backend servers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum ServiceKind {
     /// Model engines.
     #[display("engine")]
     Engine,
-    /// A plain service.
+    /// Plain HTTP servers.
     #[display("plain")]
     Plain,
 }
 
-/// A service's document, checked.
+/// A validated document of a service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Document {
     /// The service.
     pub service: ServiceName,
-    /// What its backend servers are.
+    /// The kind of its backend servers.
     pub kind: ServiceKind,
-    /// The models and adapters that callers may name; empty: any.
+    /// The models and adapters that callers may request; empty allows any.
     pub models: Vec<ModelName>,
-    /// The class of calls that name none.
+    /// The class of calls that specify none.
     pub default_class: ClassName,
-    /// The most calls that run at once on one backend server.
+    /// The maximum number of concurrent calls on one backend server.
     pub max_running_per_backend: u32,
-    /// The most calls that wait at one gate.
+    /// The maximum number of calls queued at one gate.
     pub max_waiting_per_backend: u32,
     /// The classes.
     pub classes: BTreeMap<ClassName, ClassRules>,
     /// The categories.
     pub categories: BTreeMap<CategoryName, CategoryRules>,
-    /// What a program may do.
+    /// The limits of a program.
     pub program: ProgramRules,
-    /// How long prefixes are kept.
+    /// How long engines keep cached prefixes.
     pub retention: RetentionRules,
-    /// Retries.
+    /// The rules for retries.
     pub retry: RetryRules,
-    /// The routes of a plain service; the longest matching prefix decides.
+    /// The routes of a plain service; the longest matching prefix applies.
     pub routes: Vec<RouteRules>,
-    /// The models that engines are ordered to load; empty: engines keep what they have.
+    /// The models that engines are ordered to load; empty leaves the engines unchanged.
     pub placed_models: BTreeMap<ModelName, ModelRules>,
     /// The adapters that engines are ordered to load.
     pub adapters: BTreeMap<ModelName, AdapterRules>,
-    /// How engines are changed while they serve.
+    /// The rules for changing engines while the service runs.
     pub placement: PlacementRules,
 }
 
 impl Document {
-    /// Reads and checks a document.
+    /// Parses and validates a document.
     ///
     /// # Errors
     ///
-    /// The first thing that is wrong, with its section and key.
+    /// Returns the first error found, with its section and key.
     pub fn parse(text: &str) -> Result<Self, DocumentError> {
         if text.len() > MAX_DOCUMENT_BYTES {
             let length_bytes = text.len();
             return Err(DocumentError::TooLong { length_bytes });
         }
-        let document = read(text)?;
-        check(&document)?;
+        let document = read_document(text)?;
+        check_references(&document)?;
         Ok(document)
     }
 
-    /// The rules of a class.
+    /// Returns the rules of a class.
     #[must_use]
     pub fn class(&self, class: &ClassName) -> Option<&ClassRules> {
         self.classes.get(class)
     }
 
-    /// The rules of the route that a plain call takes.
+    /// Returns the rules of the route that matches a plain call.
     #[must_use]
     pub fn route(&self, method: &str, path: &str) -> Option<&RouteRules> {
         let matching = self
@@ -175,7 +175,7 @@
         matching.max_by_key(|route| route.prefix.len())
     }
 
-    /// Whether a plain call may be run again.
+    /// Returns whether a plain call is idempotent and may be retried.
     #[must_use]
     pub fn is_idempotent(&self, method: &str, path: &str) -> bool {
         match self.route(method, path) {
--- a/clementinepick/src/document_check.rs
+++ b/clementinepick/src/document_check.rs
@@ -1,11 +1,11 @@
-//! What the sections of a document say of each other.
+//! Checks the references and constraints between the sections of a document.
 
 use std::fmt::Display;
 
 use crate::document::{Document, DocumentError, ServiceKind};
 
-/// Checks a document whose sections are each right by themselves.
-pub(crate) fn check(document: &Document) -> Result<(), DocumentError> {
+/// Checks a document whose sections are each valid on their own.
+pub(crate) fn check_references(document: &Document) -> Result<(), DocumentError> {
     check_kind(document)?;
     check_classes(document)?;
     check_routes(document)?;
@@ -13,7 +13,7 @@
     check_placement(document)
 }
 
-fn bad(section: &str, key: &str, detail: &dyn Display) -> DocumentError {
+fn invalid_value(section: &str, key: &str, detail: &dyn Display) -> DocumentError {
     DocumentError::BadValue {
         section: section.to_owned(),
         key: key.to_owned(),
@@ -31,12 +31,16 @@
             None => Ok(()),
             Some(route) => {
                 let section = format!("route {} {}", route.method, route.prefix);
-                Err(bad(&section, "name", &detail))
+                Err(invalid_value(&section, "name", &detail))
             }
         },
         ServiceKind::Plain => match document.models.first() {
             None => Ok(()),
-            Some(model) => Err(bad("service", "models", &format!("`{model}`: {detail}"))),
+            Some(model) => Err(invalid_value(
+                "service",
+                "models",
+                &format!("`{model}`: {detail}"),
+            )),
         },
     }
 }
@@ -44,7 +48,7 @@
 fn check_classes(document: &Document) -> Result<(), DocumentError> {
     if !document.classes.contains_key(&document.default_class) {
         let detail = format!("there is no [class {}]", document.default_class);
-        return Err(bad("service", "default_class", &detail));
+        return Err(invalid_value("service", "default_class", &detail));
     }
     for (name, rules) in &document.classes {
         let Some(category) = &rules.category else {
@@ -52,7 +56,7 @@
         };
         if !document.categories.contains_key(category) {
             let detail = format!("there is no [category {category}]");
-            return Err(bad(&format!("class {name}"), "category", &detail));
+            return Err(invalid_value(&format!("class {name}"), "category", &detail));
         }
     }
     Ok(())
@@ -64,7 +68,7 @@
         if !document.classes.contains_key(class) {
             let section = format!("route {} {}", route.method, route.prefix);
             let detail = format!("there is no [class {class}]");
-            return Err(bad(&section, "class", &detail));
+            return Err(invalid_value(&section, "class", &detail));
         }
     }
     Ok(())
@@ -76,12 +80,12 @@
         sum += rules.share.of(100);
         if rules.limit.is_some_and(|limit| limit < rules.share) {
             let detail = "must not be below the share";
-            return Err(bad(&format!("category {name}"), "limit", &detail));
+            return Err(invalid_value(&format!("category {name}"), "limit", &detail));
         }
     }
     if sum > 100 {
         let detail = format!("the shares of all categories come to {sum}%, over 100%");
-        return Err(bad("category ...", "share", &detail));
+        return Err(invalid_value("category ...", "share", &detail));
     }
     Ok(())
 }
@@ -91,11 +95,11 @@
         let section = format!("adapter {name}");
         if !document.placed_models.contains_key(&rules.model) {
             let detail = format!("there is no [model {}]", rules.model);
-            return Err(bad(&section, "model", &detail));
+            return Err(invalid_value(&section, "model", &detail));
         }
         if document.placed_models.contains_key(name) {
             let detail = format!("there is a [model {name}] as well");
-            return Err(bad(&section, "name", &detail));
+            return Err(invalid_value(&section, "name", &detail));
         }
     }
     let (prefill, decode) = (
@@ -105,11 +109,11 @@
     if (prefill == 0) != (decode == 0) {
         let detail = "prefill_engines and decode_engines go together: what one begins, the other \
                       ends";
-        return Err(bad("placement", "prefill_engines", &detail));
+        return Err(invalid_value("placement", "prefill_engines", &detail));
     }
     if document.placement.min_serving.of(100) == 100 && !document.placed_models.is_empty() {
         let detail = "must be below 100%, or no engine may ever load a new version";
-        return Err(bad("placement", "min_serving", &detail));
+        return Err(invalid_value("placement", "min_serving", &detail));
     }
     Ok(())
 }
--- a/clementinepick/src/document_read.rs
+++ b/clementinepick/src/document_read.rs
@@ -1,4 +1,4 @@
-//! A document's sections, read one by one into its rules.
+//! Reads the sections of a document into its rules.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -11,12 +11,13 @@
 use crate::ini_sections::{Section, read_sections};
 use crate::units::{Percent, SpanUs, Tokens};
 
-/// The sections that stand alone.
-pub(crate) const SECTIONS: &[&str] = &["service", "program", "retention", "retry", "placement"];
-/// The sections that carry a name.
+/// The sections without a name.
+pub(crate) const UNNAMED_SECTIONS: &[&str] =
+    &["service", "program", "retention", "retry", "placement"];
+/// The sections with a name.
 pub(crate) const NAMED_SECTIONS: &[&str] = &["class", "category", "route", "model", "adapter"];
 
-/// The keys of each kind of section.
+/// The known keys by kind of section.
 const KEYS: &[(&str, &[&str])] = &[
     (
         "service",
@@ -71,44 +72,43 @@
     ),
 ];
 
-/// Concurrency of a backend server where the document sets none.
+/// The default concurrency limit of a backend server, in calls.
 const DEFAULT_MAX_RUNNING: u32 = 32;
-/// Queue of a gate where the document sets none.
+/// The default queue capacity of a gate, in calls.
 const DEFAULT_MAX_WAITING: u32 = 1_000;
 
-/// The bounds of counts, ranks and weights.
 const MAX_COUNT: u32 = 100_000;
 const MAX_RANK: u32 = 1_000;
 const MAX_WEIGHT: u32 = 1_000;
-/// The bounds of times: below, a call could never be made; above, state would be held for ever.
+/// The bounds of durations: a shorter one would fail every call, and a longer one would keep state
+/// indefinitely.
 const MIN_SPAN: SpanUs = SpanUs::from_ms(1);
 const MAX_SPAN: SpanUs = SpanUs::from_s(30 * 24 * 3_600);
-/// A lease that is shorter than a few heartbeats would lapse under an owner that lives.
+/// A lease shorter than a few heartbeats would expire while its owner is alive.
 const MIN_LEASE: SpanUs = SpanUs::from_s(5);
-/// The bounds of token counts.
 const MAX_TOKENS: Tokens = Tokens(1_000_000_000_000);
 const MAX_OUTPUT: Tokens = Tokens(10_000_000);
 const MAX_ATTEMPTS: u32 = 10;
 
-/// Lists each kind of section with its keys, for the catalogue of keys.
+/// Returns each kind of section with its known keys.
 #[must_use]
 pub fn known_keys() -> Vec<(&'static str, &'static [&'static str])> {
     KEYS.to_vec()
 }
 
-/// Reads a document without checking what its sections say of each other.
-pub(crate) fn read(text: &str) -> Result<Document, DocumentError> {
-    let mut parts = Parts::default();
-    for section in read_sections(text, SECTIONS, NAMED_SECTIONS)? {
-        parts.add(&section)?;
+/// Reads a document without checking the references between its sections.
+pub(crate) fn read_document(text: &str) -> Result<Document, DocumentError> {
+    let mut builder = DocumentBuilder::default();
+    for section in read_sections(text, UNNAMED_SECTIONS, NAMED_SECTIONS)? {
+        builder.add(&section)?;
     }
-    parts.finish()
+    builder.finish()
 }
 
-/// The document while its sections come in.
+/// Collects the sections of a document.
 #[derive(Default)]
-struct Parts {
-    service: Option<ServicePart>,
+struct DocumentBuilder {
+    service: Option<ServiceSection>,
     classes: BTreeMap<ClassName, ClassRules>,
     categories: BTreeMap<CategoryName, CategoryRules>,
     program: ProgramRules,
@@ -120,7 +120,7 @@
     placement: PlacementRules,
 }
 
-struct ServicePart {
+struct ServiceSection {
     name: ServiceName,
     kind: ServiceKind,
     models: Vec<ModelName>,
@@ -129,7 +129,7 @@
     max_waiting_per_backend: u32,
 }
 
-impl Parts {
+impl DocumentBuilder {
     fn add(&mut self, section: &Section) -> Result<(), DocumentError> {
         let keys = KEYS.iter().find(|(kind, _)| *kind == section.kind);
         section.check_keys(keys.map_or(&[], |(_, keys)| *keys))?;
@@ -199,28 +199,28 @@
     }
 }
 
-fn read_service(section: &Section) -> Result<ServicePart, DocumentError> {
-    let kind = match section.text("kind") {
+fn read_service(section: &Section) -> Result<ServiceSection, DocumentError> {
+    let kind = match section.raw_value("kind") {
         Some("engine") => ServiceKind::Engine,
         Some("plain") => ServiceKind::Plain,
-        Some(_) => return Err(section.bad("kind", &"must be `engine` or `plain`")),
-        None => return Err(section.missing("kind")),
+        Some(_) => return Err(section.invalid_value("kind", &"must be `engine` or `plain`")),
+        None => return Err(section.missing_key("kind")),
     };
-    let models = section.text("models").unwrap_or_default().split(',');
+    let models = section.raw_value("models").unwrap_or_default().split(',');
     let models = models.map(str::trim).filter(|model| !model.is_empty());
     let models: Result<Vec<ModelName>, _> = models.map(str::parse).collect();
-    Ok(ServicePart {
+    Ok(ServiceSection {
         name: section.read_required("name")?,
         kind,
-        models: models.map_err(|err| section.bad("models", &err))?,
+        models: models.map_err(|err| section.invalid_value("models", &err))?,
         default_class: section.read("default_class")?,
-        max_running_per_backend: section.read_within(
+        max_running_per_backend: section.read_in_range(
             "max_running_per_backend",
             DEFAULT_MAX_RUNNING,
             1,
             MAX_COUNT,
         )?,
-        max_waiting_per_backend: section.read_within(
+        max_waiting_per_backend: section.read_in_range(
             "max_waiting_per_backend",
             DEFAULT_MAX_WAITING,
             1,
@@ -231,17 +231,17 @@
 
 fn read_class(section: &Section) -> Result<ClassRules, DocumentError> {
     let default = ClassRules::default();
-    let max_running = match section.text("max_running") {
+    let max_running = match section.raw_value("max_running") {
         None => None,
-        Some(_) => Some(section.read_within("max_running", 1, 1, MAX_COUNT)?),
+        Some(_) => Some(section.read_in_range("max_running", 1, 1, MAX_COUNT)?),
     };
     Ok(ClassRules {
-        rank: section.read_within("rank", default.rank, 0, MAX_RANK)?,
-        weight: section.read_within("weight", default.weight, 1, MAX_WEIGHT)?,
+        rank: section.read_in_range("rank", default.rank, 0, MAX_RANK)?,
+        weight: section.read_in_range("weight", default.weight, 1, MAX_WEIGHT)?,
         category: section.read("category")?,
-        deadline_us: section.read_within("deadline", default.deadline_us, MIN_SPAN, MAX_SPAN)?,
-        max_wait_us: section.read_within("max_wait", default.max_wait_us, MIN_SPAN, MAX_SPAN)?,
-        max_output_tokens: section.read_within(
+        deadline_us: section.read_in_range("deadline", default.deadline_us, MIN_SPAN, MAX_SPAN)?,
+        max_wait_us: section.read_in_range("max_wait", default.max_wait_us, MIN_SPAN, MAX_SPAN)?,
+        max_output_tokens: section.read_in_range(
             "max_output",
             default.max_output_tokens,
             Tokens(1),
@@ -260,15 +260,15 @@
 
 fn read_program(section: &Section) -> Result<ProgramRules, DocumentError> {
     let default = ProgramRules::default();
-    let span = |key, default| section.read_within(key, default, MIN_SPAN, MAX_SPAN);
+    let span = |key, default| section.read_in_range(key, default, MIN_SPAN, MAX_SPAN);
     Ok(ProgramRules {
-        budget_tokens: section.read_within(
+        budget_tokens: section.read_in_range(
             "budget_tokens",
             default.budget_tokens,
             Tokens(1),
             MAX_TOKENS,
         )?,
-        budget_calls: section.read_within(
+        budget_calls: section.read_in_range(
             "budget_calls",
             default.budget_calls,
             1,
@@ -277,22 +277,27 @@
         budget_time_us: span("budget_time", default.budget_time_us)?,
         idle_us: span("idle", default.idle_us)?,
         gap_us: span("gap", default.gap_us)?,
-        max_repeats: section.read_within("max_repeats", default.max_repeats, 1, MAX_COUNT)?,
+        max_repeats: section.read_in_range("max_repeats", default.max_repeats, 1, MAX_COUNT)?,
     })
 }
 
 fn read_retention(section: &Section) -> Result<RetentionRules, DocumentError> {
     let default = RetentionRules::default();
     Ok(RetentionRules {
-        max_keep_us: section.read_within("max_keep", default.max_keep_us, SpanUs(0), MAX_SPAN)?,
-        lease_us: section.read_within("lease", default.lease_us, MIN_LEASE, MAX_SPAN)?,
+        max_keep_us: section.read_in_range("max_keep", default.max_keep_us, SpanUs(0), MAX_SPAN)?,
+        lease_us: section.read_in_range("lease", default.lease_us, MIN_LEASE, MAX_SPAN)?,
     })
 }
 
 fn read_retry(section: &Section) -> Result<RetryRules, DocumentError> {
     let default = RetryRules::default();
     Ok(RetryRules {
-        max_attempts: section.read_within("max_attempts", default.max_attempts, 1, MAX_ATTEMPTS)?,
+        max_attempts: section.read_in_range(
+            "max_attempts",
+            default.max_attempts,
+            1,
+            MAX_ATTEMPTS,
+        )?,
         budget: section.read_or("budget", default.budget)?,
     })
 }
@@ -303,15 +308,15 @@
         .split_once(' ')
         .filter(|(method, prefix)| is_method(method) && prefix.starts_with('/'))
         .ok_or_else(|| {
-            section.bad(
+            section.invalid_value(
                 "name",
                 &"must be a method and a path, as `[route POST /holds]`",
             )
         })?;
-    let idempotent = match section.text("idempotent") {
+    let idempotent = match section.raw_value("idempotent") {
         Some("yes") => true,
         Some("no") => false,
-        Some(_) => return Err(section.bad("idempotent", &"must be `yes` or `no`")),
+        Some(_) => return Err(section.invalid_value("idempotent", &"must be `yes` or `no`")),
         None => IDEMPOTENT_METHODS.contains(&method),
     };
     Ok(RouteRules {
@@ -327,9 +332,9 @@
 }
 
 fn read_model(section: &Section) -> Result<ModelRules, DocumentError> {
-    let min_engines = match section.text("min_engines") {
+    let min_engines = match section.raw_value("min_engines") {
         None => None,
-        Some(_) => Some(section.read_within("min_engines", 1, 1, MAX_COUNT)?),
+        Some(_) => Some(section.read_in_range("min_engines", 1, 1, MAX_COUNT)?),
     };
     Ok(ModelRules {
         version: section.read_required("version")?,
@@ -346,8 +351,8 @@
 
 fn read_placement(section: &Section) -> Result<PlacementRules, DocumentError> {
     let default = PlacementRules::default();
-    let span = |key, default| section.read_within(key, default, MIN_SPAN, MAX_SPAN);
-    let count = |key, default, least| section.read_within(key, default, least, MAX_COUNT);
+    let span = |key, default| section.read_in_range(key, default, MIN_SPAN, MAX_SPAN);
+    let count = |key, default, lower| section.read_in_range(key, default, lower, MAX_COUNT);
     Ok(PlacementRules {
         load_interval_us: span("load_interval", default.load_interval_us)?,
         max_loading: count("max_loading", default.max_loading, 1)?,
--- a/clementinepick/src/dump.rs
+++ b/clementinepick/src/dump.rs
@@ -1,4 +1,4 @@
-//! The whole state of an entry, for operators.
+//! Dumps the state of an entry for operators.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 use crate::units::TimeUs;
 
 impl Entry {
-    /// The peers, with what their last heartbeat said.
+    /// Returns the peers with the contents of their last heartbeats.
     fn dump_peers(&self, now: TimeUs) -> Vec<Value> {
         let peers = self.peers.iter().map(|(vm, state)| {
             let peer = &state.peer;
@@ -24,7 +24,7 @@
         peers.collect()
     }
 
-    /// The sizes of the state, by name, for gauges.
+    /// Returns the sizes of the entry's collections by gauge name.
     #[must_use]
     pub fn counts(&self) -> BTreeMap<&'static str, usize> {
         BTreeMap::from([
@@ -38,7 +38,7 @@
         ])
     }
 
-    /// The whole state, for operators.
+    /// Returns the state as JSON.
     #[must_use]
     pub fn dump(&self, now: TimeUs) -> Value {
         let owned: Vec<PartitionId> = self
--- a/clementinepick/src/event_stream.rs
+++ b/clementinepick/src/event_stream.rs
@@ -1,4 +1,4 @@
-//! Cuts the body of an event stream into whole events.
+//! Splits a server-sent event stream into events.
 //!
 //! ```
 //! use bytes::Bytes;
@@ -14,55 +14,55 @@
 
 use bytes::{Bytes, BytesMut};
 
-/// The largest event that is accepted, in bytes; it bounds what one stream holds in memory.
+/// The maximum size of an event, in bytes; limits the memory used by one stream.
 pub const MAX_EVENT_BYTES: usize = 262_144;
 
-/// One whole event.
+/// A complete event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StreamEvent {
-    /// The event as it came, with the blank line that ends it.
+    /// The bytes of the event, including the blank line that ends it.
     pub raw: Bytes,
-    /// Its id, if it has one that is a number.
+    /// The id, if it is present and a number.
     pub id: Option<u64>,
-    /// Its data; several data lines are joined by line feeds.
+    /// The data; multiple data lines are joined by line feeds.
     pub data: Bytes,
 }
 
-/// Collects a stream's bytes and gives out whole events.
+/// Buffers the bytes of a stream and splits them into events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    held: BytesMut,
+    buffer: BytesMut,
 }
 
 impl EventSplitter {
-    /// Adds bytes as they came.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
-        self.held.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether no part of an event is held.
+    /// Returns whether the buffer is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.buffer.is_empty()
     }
 
-    /// Whether what is held is longer than any event may be.
+    /// Returns whether the buffer exceeds [`MAX_EVENT_BYTES`].
     #[must_use]
     pub fn exceeds_limit(&self) -> bool {
-        self.held.len() > MAX_EVENT_BYTES
+        self.buffer.len() > MAX_EVENT_BYTES
     }
 
-    /// The next whole event.
+    /// Removes and returns the next complete event.
     pub fn next_event(&mut self) -> Option<StreamEvent> {
-        let end = event_end(&self.held)?;
-        let raw = self.held.split_to(end).freeze();
+        let end = find_event_end(&self.buffer)?;
+        let raw = self.buffer.split_to(end).freeze();
         let mut id = None;
         let mut data: Option<BytesMut> = None;
         for line in raw.split(|b| *b == b'\n') {
             let line = line.strip_suffix(b"\r").unwrap_or(line);
-            if let Some(value) = field(line, b"id") {
+            if let Some(value) = field_value(line, b"id") {
                 id = std::str::from_utf8(value).ok().and_then(|v| v.parse().ok());
-            } else if let Some(value) = field(line, b"data") {
+            } else if let Some(value) = field_value(line, b"data") {
                 match &mut data {
                     Some(data) => {
                         data.extend_from_slice(b"\n");
@@ -77,14 +77,14 @@
     }
 }
 
-/// The value of `line` if its field has this name; one space after the colon is dropped.
-fn field<'a>(line: &'a [u8], name: &[u8]) -> Option<&'a [u8]> {
+/// Returns the value of `line` if its key is `name`, without one space after the colon.
+fn field_value<'a>(line: &'a [u8], name: &[u8]) -> Option<&'a [u8]> {
     let value = line.strip_prefix(name)?.strip_prefix(b":")?;
     Some(value.strip_prefix(b" ").unwrap_or(value))
 }
 
-/// The length of the first event with its blank line.
-fn event_end(bytes: &[u8]) -> Option<usize> {
+/// Returns the length of the first event, including its blank line.
+fn find_event_end(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (at, byte) in bytes.iter().enumerate() {
         if *byte != b'\n' {
--- a/clementinepick/src/http_request.rs
+++ b/clementinepick/src/http_request.rs
@@ -1,4 +1,4 @@
-//! First filter: turns an HTTP request of a caller into a [`Request`], or says which field is wrong.
+//! Parses a caller's HTTP request into a [`Request`], the first step of a call.
 
 use std::collections::BTreeMap;
 use std::str::FromStr;
@@ -12,35 +12,35 @@
 use crate::prompt::Prompt;
 use crate::units::{Bytes, SpanUs, Tokens};
 
-/// Names the service of a chat call; absent: the entry's default.
+/// The service of a chat call; defaults to the entry's default service.
 pub const SERVICE_HEADER: &str = "clementinepick-service";
-/// Names the program.
+/// The program.
 pub const PROGRAM_HEADER: &str = "clementinepick-program";
-/// The call's place in the program, from 0.
+/// The call's sequence number in the program, from 0.
 pub const CALL_HEADER: &str = "clementinepick-call";
-/// Names the parent program of a sub-agent.
+/// The parent program of a sub-agent.
 pub const PARENT_HEADER: &str = "clementinepick-parent";
-/// Names the root program of a sub-agent's sub-agent; absent: the parent is the root.
+/// The root program of a nested sub-agent; defaults to the parent.
 pub const ROOT_HEADER: &str = "clementinepick-root";
-/// `append` when a chat call brings only messages that the history on record lacks.
+/// `append` if a chat call contains only messages that follow the recorded history.
 pub const HISTORY_HEADER: &str = "clementinepick-history";
-/// The chain of the history that an appending call builds on, from the last answer.
+/// The hash chain of the history that an appending call continues, from the last response.
 pub const HISTORY_CHAIN_HEADER: &str = "clementinepick-history-chain";
-/// Names the class.
+/// The class of the call.
 pub const CLASS_HEADER: &str = "clementinepick-class";
-/// The milliseconds until the caller gives up.
+/// The caller's timeout, in milliseconds.
 pub const DEADLINE_HEADER: &str = "clementinepick-deadline-ms";
-/// The token budget of the program.
+/// The program's token budget.
 pub const BUDGET_HEADER: &str = "clementinepick-budget-tokens";
-/// Names the tool that the program calls after this turn.
+/// The tool that the program calls after this turn.
 pub const TOOL_HEADER: &str = "clementinepick-next-tool";
-/// `yes` when the call may not run twice.
+/// `yes` if the call is not idempotent.
 pub const NON_IDEMPOTENT_HEADER: &str = "clementinepick-non-idempotent";
 /// The caller's idempotency key.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
-/// Headers between two hops, which are not passed on.
-const HOP_HEADERS: &[&str] = &[
+/// The hop-by-hop headers, which are not forwarded.
+const HOP_BY_HOP_HEADERS: &[&str] = &[
     "connection",
     "content-length",
     "expect",
@@ -54,18 +54,18 @@
     "upgrade",
 ];
 
-/// Whether a header, named in lower case, belongs to one hop and is not passed on.
+/// Returns whether a header, named in lower case, is hop-by-hop and not forwarded.
 #[must_use]
 pub fn is_hop_by_hop_header(name: &str) -> bool {
-    HOP_HEADERS.contains(&name)
+    HOP_BY_HOP_HEADERS.contains(&name)
 }
 
-/// What an entry accepts.
+/// The settings for parsing requests.
 #[derive(Debug, Clone)]
 pub struct ParseSettings {
-    /// The service of chat calls that name none.
+    /// The service of chat calls that specify none.
     pub default_service: Option<ServiceName>,
-    /// The largest body.
+    /// The maximum size of a request body.
     pub max_body_bytes: Bytes,
 }
 
@@ -78,14 +78,14 @@
     }
 }
 
-/// An HTTP request as far as the parser needs it.
+/// The parts of an HTTP request that are parsed.
 #[derive(Debug, Clone, Default)]
 pub struct HttpRequest {
-    /// The method, in capitals.
+    /// The method, in upper case.
     pub method: String,
-    /// The path with its query.
+    /// The path and query.
     pub path: String,
-    /// The headers, names in lower case.
+    /// The headers, with names in lower case.
     pub headers: Vec<(String, String)>,
     /// The body.
     pub body: Vec<u8>,
@@ -99,7 +99,7 @@
             .map(|(_, value)| value.as_str())
     }
 
-    fn read<T>(&self, name: &'static str) -> Result<Option<T>, CallError>
+    fn parse_header<T>(&self, name: &'static str) -> Result<Option<T>, CallError>
     where
         T: FromStr,
         T::Err: ToString,
@@ -113,7 +113,7 @@
             .map_err(|err: T::Err| CallError::in_field(ErrorKind::BadHeader, name, err.to_string()))
     }
 
-    fn read_flag(&self, name: &'static str) -> Result<bool, CallError> {
+    fn parse_flag(&self, name: &'static str) -> Result<bool, CallError> {
         match self.header(name).map(str::trim) {
             None | Some("no") => Ok(false),
             Some("yes") => Ok(true),
@@ -126,42 +126,42 @@
     }
 }
 
-/// Reads a call of `POST /v1/chat/completions`.
+/// Parses a request to `POST /v1/chat/completions`.
 ///
 /// # Errors
 ///
-/// Which header or field of the body is wrong.
+/// Returns an error that names the invalid header or body field.
 pub fn parse_chat(
     settings: &ParseSettings,
     id: RequestId,
     http: &HttpRequest,
 ) -> Result<Request, CallError> {
-    check_size(settings, http)?;
-    let service = match http.read(SERVICE_HEADER)? {
+    check_body_size(settings, http)?;
+    let service = match http.parse_header(SERVICE_HEADER)? {
         Some(service) => service,
         None => settings.default_service.clone().ok_or_else(|| {
             CallError::in_field(
                 ErrorKind::UnknownService,
                 SERVICE_HEADER,
-                "name the service here",
+                "required, since the entry has no default service",
             )
         })?,
     };
-    let call = read_chat_body(&http.body)?;
-    read_request(id, service, Payload::Chat(call), http)
+    let call = parse_chat_body(&http.body)?;
+    build_request(id, service, Payload::Chat(call), http)
 }
 
-/// Reads a call of `/services/{service}/{path}`.
+/// Parses a request to `/services/{service}/{path}`.
 ///
 /// # Errors
 ///
-/// Which header or part of the path is wrong.
+/// Returns an error that names the invalid header or part of the path.
 pub fn parse_plain(
     settings: &ParseSettings,
     id: RequestId,
     http: &HttpRequest,
 ) -> Result<Request, CallError> {
-    check_size(settings, http)?;
+    check_body_size(settings, http)?;
     let rest = http.path.strip_prefix("/services/").unwrap_or_default();
     let (service, path) = rest.split_at(rest.find(['/', '?']).unwrap_or(rest.len()));
     let service: ServiceName = service.parse().map_err(|_| {
@@ -188,16 +188,17 @@
         headers,
         body: http.body.clone(),
     };
-    read_request(id, service, Payload::Plain(call), http)
+    build_request(id, service, Payload::Plain(call), http)
 }
 
-/// Reads `GET /v1/programs/{program}/calls/{call}?position={characters}`.
+/// Parses `GET /v1/programs/{program}/calls/{call}?position={characters}`.
 ///
 /// # Errors
 ///
-/// Which part of the path is wrong.
+/// Returns an error that names the invalid part of the path.
 pub fn parse_fetch(id: RequestId, http: &HttpRequest) -> Result<Fetch, CallError> {
-    let bad = |field: &str, detail: &str| CallError::in_field(ErrorKind::BadHeader, field, detail);
+    let invalid =
+        |field: &str, detail: &str| CallError::in_field(ErrorKind::BadHeader, field, detail);
     let (path, query) = http.path.split_once('?').unwrap_or((&http.path, ""));
     let parts: Vec<&str> = path.split('/').collect();
     let ["", "v1", "programs", program, "calls", call] = parts[..] else {
@@ -209,16 +210,20 @@
         .find_map(|part| part.strip_prefix("position="));
     Ok(Fetch {
         id,
-        program: program.parse().map_err(|_| bad("program", "is no name"))?,
-        root: http.read(ROOT_HEADER)?,
-        seq: call.parse().map_err(|_| bad("call", "is no number"))?,
+        program: program
+            .parse()
+            .map_err(|_| invalid("program", "must be a valid program name"))?,
+        root: http.parse_header(ROOT_HEADER)?,
+        seq: call
+            .parse()
+            .map_err(|_| invalid("call", "must be a whole number"))?,
         position: position
             .map_or(Ok(0), str::parse)
-            .map_err(|_| bad("position", "is no number"))?,
+            .map_err(|_| invalid("position", "must be a whole number"))?,
     })
 }
 
-fn check_size(settings: &ParseSettings, http: &HttpRequest) -> Result<(), CallError> {
+fn check_body_size(settings: &ParseSettings, http: &HttpRequest) -> Result<(), CallError> {
     if http.body.len() as u64 > settings.max_body_bytes.0 {
         let detail = format!("the limit is {}", settings.max_body_bytes);
         return Err(CallError::in_field(ErrorKind::BodyTooLarge, "body", detail));
@@ -226,19 +231,19 @@
     Ok(())
 }
 
-fn read_request(
+fn build_request(
     id: RequestId,
     service: ServiceName,
     payload: Payload,
     http: &HttpRequest,
 ) -> Result<Request, CallError> {
-    let program: Option<ProgramId> = http.read(PROGRAM_HEADER)?;
+    let program: Option<ProgramId> = http.parse_header(PROGRAM_HEADER)?;
     let single_call = program.is_none();
-    let parent = http.read(PARENT_HEADER)?;
-    let root = http.read(ROOT_HEADER)?;
-    let key: Option<IdempotencyKey> = http.read(IDEMPOTENCY_KEY_HEADER)?;
+    let parent = http.parse_header(PARENT_HEADER)?;
+    let root = http.parse_header(ROOT_HEADER)?;
+    let key: Option<IdempotencyKey> = http.parse_header(IDEMPOTENCY_KEY_HEADER)?;
     if parent.is_none() && root.is_some() {
-        let detail = format!("needs `{PARENT_HEADER}` as well");
+        let detail = format!("requires the header `{PARENT_HEADER}`");
         return Err(CallError::in_field(
             ErrorKind::BadHeader,
             ROOT_HEADER,
@@ -258,7 +263,7 @@
         }
     };
     if single_call && append {
-        let detail = format!("needs `{PROGRAM_HEADER}` as well");
+        let detail = format!("requires the header `{PROGRAM_HEADER}`");
         return Err(CallError::in_field(
             ErrorKind::BadHeader,
             HISTORY_HEADER,
@@ -266,40 +271,40 @@
         ));
     }
     if single_call && parent.is_some() {
-        let detail = format!("needs `{PROGRAM_HEADER}` as well");
+        let detail = format!("requires the header `{PROGRAM_HEADER}`");
         return Err(CallError::in_field(
             ErrorKind::BadHeader,
             PARENT_HEADER,
             detail,
         ));
     }
-    let deadline_ms: Option<u64> = http.read(DEADLINE_HEADER)?;
-    let budget: Option<u64> = http.read(BUDGET_HEADER)?;
+    let deadline_ms: Option<u64> = http.parse_header(DEADLINE_HEADER)?;
+    let budget: Option<u64> = http.parse_header(BUDGET_HEADER)?;
     Ok(Request {
         id,
-        program: program.map_or_else(|| single_program(id, &service, key.as_ref()), Ok)?,
+        program: program.map_or_else(|| single_call_program(id, &service, key.as_ref()), Ok)?,
         service,
         single_call,
-        seq: http.read(CALL_HEADER)?,
+        seq: http.parse_header(CALL_HEADER)?,
         parent,
         root,
         append,
-        history_chain: http.read(HISTORY_CHAIN_HEADER)?,
-        class: http.read(CLASS_HEADER)?,
+        history_chain: http.parse_header(HISTORY_CHAIN_HEADER)?,
+        class: http.parse_header(CLASS_HEADER)?,
         deadline_left_us: deadline_ms.map(SpanUs::from_ms),
         budget_tokens: budget.map(Tokens),
         idempotency_key: key,
-        non_idempotent: http.read_flag(NON_IDEMPOTENT_HEADER)?,
-        next_tool: http.read(TOOL_HEADER)?,
+        non_idempotent: http.parse_flag(NON_IDEMPOTENT_HEADER)?,
+        next_tool: http.parse_header(TOOL_HEADER)?,
         payload,
     })
 }
 
-/// The program of a request that names none.
+/// Returns the program of a request that specifies none.
 ///
-/// A repeat under the same idempotency key must find the first one's record, at whichever entry it
-/// comes in; so the key gives the program, where there is one.
-fn single_program(
+/// A repeat with the same idempotency key must find the record of the first request at any entry,
+/// so the program's name is derived from the key if there is one.
+fn single_call_program(
     id: RequestId,
     service: &ServiceName,
     key: Option<&IdempotencyKey>,
@@ -315,45 +320,48 @@
     program.map_err(|err| CallError::new(ErrorKind::Internal, format!("{err}")))
 }
 
-fn read_chat_body(body: &[u8]) -> Result<ChatCall, CallError> {
-    let bad = |field: &str, detail: &str| CallError::in_field(ErrorKind::BadBody, field, detail);
+fn parse_chat_body(body: &[u8]) -> Result<ChatCall, CallError> {
+    let invalid =
+        |field: &str, detail: &str| CallError::in_field(ErrorKind::BadBody, field, detail);
     let value: Value = serde_json::from_slice(body)
         .map_err(|err| CallError::in_field(ErrorKind::BadBody, "body", err.to_string()))?;
     let Value::Object(mut fields) = value else {
-        return Err(bad("body", "must be a JSON object"));
+        return Err(invalid("body", "must be a JSON object"));
     };
     let model = match fields.remove("model") {
-        Some(Value::String(model)) => model.parse().map_err(|_| bad("model", "is no name"))?,
-        _ => return Err(bad("model", "must be a string")),
+        Some(Value::String(model)) => model
+            .parse()
+            .map_err(|_| invalid("model", "must be a valid model name"))?,
+        _ => return Err(invalid("model", "must be a string")),
     };
     let Some(Value::Array(messages)) = fields.remove("messages") else {
-        return Err(bad("messages", "must be an array"));
+        return Err(invalid("messages", "must be an array"));
     };
     if messages.is_empty() {
-        return Err(bad("messages", "must not be empty"));
+        return Err(invalid("messages", "must not be empty"));
     }
     let messages: Result<Vec<_>, _> = messages
         .into_iter()
         .enumerate()
-        .map(|(at, message)| read_message(at, message))
+        .map(|(at, message)| parse_message(at, message))
         .collect();
     let messages = messages?;
     let stream = match fields.remove("stream") {
         None | Some(Value::Null) => false,
         Some(Value::Bool(stream)) => stream,
-        Some(_) => return Err(bad("stream", "must be true or false")),
+        Some(_) => return Err(invalid("stream", "must be true or false")),
     };
     Ok(ChatCall {
         model,
         prompt: Prompt::of_messages(&messages),
         messages,
-        max_output_tokens: read_max_output(&mut fields)?,
+        max_output_tokens: parse_max_output(&mut fields)?,
         stream,
         extra: fields.into_iter().collect(),
     })
 }
 
-fn read_max_output(fields: &mut Map<String, Value>) -> Result<Option<Tokens>, CallError> {
+fn parse_max_output(fields: &mut Map<String, Value>) -> Result<Option<Tokens>, CallError> {
     for name in ["max_completion_tokens", "max_tokens"] {
         match fields.remove(name) {
             None | Some(Value::Null) => {}
@@ -368,23 +376,23 @@
     Ok(None)
 }
 
-fn read_message(at: usize, message: Value) -> Result<ChatMessage, CallError> {
-    let bad = |field: &str, detail: &str| {
+fn parse_message(at: usize, message: Value) -> Result<ChatMessage, CallError> {
+    let invalid = |field: &str, detail: &str| {
         CallError::in_field(ErrorKind::BadBody, format!("messages[{at}]{field}"), detail)
     };
     let Value::Object(mut fields) = message else {
-        return Err(bad("", "must be an object"));
+        return Err(invalid("", "must be an object"));
     };
     let Some(Value::String(role)) = fields.remove("role") else {
-        return Err(bad(".role", "must be a string"));
+        return Err(invalid(".role", "must be a string"));
     };
     let content = match fields.remove("content") {
         None | Some(Value::Null) => String::new(),
         Some(Value::String(text)) => text,
-        Some(Value::Array(parts)) => join_parts(&parts)
-            .ok_or_else(|| bad(".content", "must be a string or an array of text parts"))?,
+        Some(Value::Array(parts)) => join_text_parts(&parts)
+            .ok_or_else(|| invalid(".content", "must be a string or an array of text parts"))?,
         Some(_) => {
-            return Err(bad(
+            return Err(invalid(
                 ".content",
                 "must be a string or an array of text parts",
             ));
@@ -398,7 +406,7 @@
     })
 }
 
-fn join_parts(parts: &[Value]) -> Option<String> {
+fn join_text_parts(parts: &[Value]) -> Option<String> {
     parts
         .iter()
         .map(|part| part.get("text")?.as_str())
@@ -411,7 +419,7 @@
 
     fn chat(headers: &[(&str, &str)], body: &str) -> Result<Request, CallError> {
         let settings = ParseSettings {
-            default_service: Some("agent-llm".parse().expect("a name")),
+            default_service: Some("agent-llm".parse().expect("valid name")),
             ..Default::default()
         };
         let headers = headers
@@ -429,8 +437,8 @@
     const BODY: &str = r#"{"model":"m","messages":[{"role":"user","content":"hi"}],"top_p":1}"#;
 
     #[test]
-    fn a_plain_client_needs_no_header() {
-        let request = chat(&[], BODY).expect("right");
+    fn headers_are_optional() {
+        let request = chat(&[], BODY).expect("valid request");
         assert!(request.single_call);
         let Payload::Chat(call) = request.payload else {
             panic!("a chat call")
@@ -440,8 +448,9 @@
     }
 
     #[test]
-    fn an_error_names_its_field() {
-        let field = |headers: &[(&str, &str)], body| chat(headers, body).expect_err("wrong").field;
+    fn error_names_the_invalid_field() {
+        let field =
+            |headers: &[(&str, &str)], body| chat(headers, body).expect_err("invalid").field;
         assert_eq!(field(&[], "{").as_deref(), Some("body"));
         assert_eq!(field(&[], r#"{"model":"m"}"#).as_deref(), Some("messages"));
         let body = r#"{"model":"m","messages":[{"role":"user","content":7}]}"#;
@@ -457,14 +466,15 @@
     }
 
     #[test]
-    fn a_plain_path_is_split_from_its_service() {
+    fn service_is_split_from_the_plain_path() {
         let http = HttpRequest {
             method: "POST".into(),
             path: "/services/book-app/holds?x=1".into(),
             headers: vec![("host".into(), "h".into()), ("accept".into(), "a".into())],
             body: Vec::new(),
         };
-        let request = parse_plain(&ParseSettings::default(), RequestId(7), &http).expect("right");
+        let request =
+            parse_plain(&ParseSettings::default(), RequestId(7), &http).expect("valid request");
         assert_eq!(request.service.as_str(), "book-app");
         let Payload::Plain(call) = request.payload else {
             panic!("a plain call")
--- a/clementinepick/src/ini_sections.rs
+++ b/clementinepick/src/ini_sections.rs
@@ -1,4 +1,4 @@
-//! The sections and keys of an INI text, each read once and named where it is wrong.
+//! Parses an INI text into sections and reports errors by section and key.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,10 +8,10 @@
 
 use crate::document::DocumentError;
 
-/// The most edits between a wrong word and the one that is suggested for it.
-const MAX_EDITS: usize = 2;
+/// The maximum edit distance between an unknown word and its suggestion.
+const MAX_EDIT_DISTANCE: usize = 2;
 
-/// One section as read: its kind, its name within the kind, and its keys.
+/// A section with its kind, its name within the kind, and its keys.
 pub(crate) struct Section {
     pub(crate) title: String,
     pub(crate) kind: String,
@@ -26,12 +26,12 @@
             Some(key) => Err(DocumentError::UnknownKey {
                 section: self.title.clone(),
                 key: key.clone(),
-                nearest: nearest(key, known),
+                nearest: most_similar_key(key, known),
             }),
         }
     }
 
-    pub(crate) fn bad(&self, key: &str, detail: &dyn fmt::Display) -> DocumentError {
+    pub(crate) fn invalid_value(&self, key: &str, detail: &dyn fmt::Display) -> DocumentError {
         DocumentError::BadValue {
             section: self.title.clone(),
             key: key.to_owned(),
@@ -39,14 +39,14 @@
         }
     }
 
-    pub(crate) fn missing(&self, key: &'static str) -> DocumentError {
+    pub(crate) fn missing_key(&self, key: &'static str) -> DocumentError {
         DocumentError::Missing {
             section: self.title.clone(),
             key,
         }
     }
 
-    pub(crate) fn text(&self, key: &str) -> Option<&str> {
+    pub(crate) fn raw_value(&self, key: &str) -> Option<&str> {
         self.keys.get(key).map(String::as_str)
     }
 
@@ -55,10 +55,10 @@
         T: FromStr,
         T::Err: ToString,
     {
-        self.text(key)
+        self.raw_value(key)
             .map(|text| {
                 text.parse()
-                    .map_err(|err: T::Err| self.bad(key, &err.to_string()))
+                    .map_err(|err: T::Err| self.invalid_value(key, &err.to_string()))
             })
             .transpose()
     }
@@ -71,21 +71,21 @@
         Ok(self.read(key)?.unwrap_or(default))
     }
 
-    /// Reads a value that must lie between `least` and `most`.
-    pub(crate) fn read_within<T>(
+    /// Reads a value that must lie between `lower` and `upper`, inclusive.
+    pub(crate) fn read_in_range<T>(
         &self,
         key: &str,
         default: T,
-        least: T,
-        most: T,
+        lower: T,
+        upper: T,
     ) -> Result<T, DocumentError>
     where
         T: Copy + FromStr + PartialOrd + fmt::Display,
         T::Err: ToString,
     {
         let value = self.read_or(key, default)?;
-        if value < least || value > most {
-            return Err(self.bad(key, &format!("must be from {least} to {most}")));
+        if value < lower || value > upper {
+            return Err(self.invalid_value(key, &format!("must be from {lower} to {upper}")));
         }
         Ok(value)
     }
@@ -95,10 +95,10 @@
         T: FromStr,
         T::Err: ToString,
     {
-        self.read(key)?.ok_or_else(|| self.missing(key))
+        self.read(key)?.ok_or_else(|| self.missing_key(key))
     }
 
-    /// Reads the name in the section's title.
+    /// Reads the name from the section's title.
     pub(crate) fn read_name<T>(&self) -> Result<T, DocumentError>
     where
         T: FromStr,
@@ -106,14 +106,14 @@
     {
         self.name
             .parse()
-            .map_err(|err: T::Err| self.bad("name", &err.to_string()))
+            .map_err(|err: T::Err| self.invalid_value("name", &err.to_string()))
     }
 }
 
-/// Reads the sections of `text`; those of a kind in `named` carry a name after the kind.
+/// Reads the sections of `text`; sections of a kind in `named` have a name after the kind.
 pub(crate) fn read_sections(
     text: &str,
-    plain: &'static [&'static str],
+    unnamed: &'static [&'static str],
     named: &'static [&'static str],
 ) -> Result<Vec<Section>, DocumentError> {
     let option = ParseOption {
@@ -128,20 +128,20 @@
     let mut sections: Vec<Section> = Vec::new();
     for (title, properties) in &ini {
         let Some(title) = title else {
-            refuse_keys_without_section(properties)?;
+            reject_keys_without_section(properties)?;
             continue;
         };
         let section = read_section(title, properties)?;
         if sections.iter().any(|known| known.title == section.title) {
-            return Err(repeated(&section.title, ""));
+            return Err(repeated_error(&section.title, ""));
         }
         let expected = if section.name.is_empty() {
-            plain
+            unnamed
         } else {
             named
         };
         if !expected.contains(&section.kind.as_str()) {
-            return Err(unknown_section(&section, plain, named));
+            return Err(unknown_section_error(&section, unnamed, named));
         }
         sections.push(section);
     }
@@ -156,7 +156,7 @@
     for (key, value) in properties {
         let value = value.split([';', '#']).next().unwrap_or_default().trim();
         if keys.insert(key.to_owned(), value.to_owned()).is_some() {
-            return Err(repeated(&title, key));
+            return Err(repeated_error(&title, key));
         }
     }
     Ok(Section {
@@ -167,7 +167,7 @@
     })
 }
 
-fn refuse_keys_without_section(properties: &Properties) -> Result<(), DocumentError> {
+fn reject_keys_without_section(properties: &Properties) -> Result<(), DocumentError> {
     match properties.iter().next() {
         None => Ok(()),
         Some((key, _)) => Err(DocumentError::UnknownKey {
@@ -178,34 +178,34 @@
     }
 }
 
-fn repeated(section: &str, key: &str) -> DocumentError {
+fn repeated_error(section: &str, key: &str) -> DocumentError {
     DocumentError::Repeated {
         section: section.to_owned(),
         key: key.to_owned(),
     }
 }
 
-fn unknown_section(
+fn unknown_section_error(
     section: &Section,
-    plain: &'static [&'static str],
+    unnamed: &'static [&'static str],
     named: &'static [&'static str],
 ) -> DocumentError {
-    let all = plain.iter().chain(named).copied();
+    let all = unnamed.iter().chain(named).copied();
     DocumentError::UnknownSection {
         section: section.title.clone(),
-        nearest: nearest_of(&section.kind, all),
+        nearest: most_similar(&section.kind, all),
     }
 }
 
-/// The known word that is a few edits away, if there is one.
-fn nearest(word: &str, known: &'static [&'static str]) -> Option<&'static str> {
-    nearest_of(word, known.iter().copied())
+/// Returns the known word most similar to `word`, within [`MAX_EDIT_DISTANCE`].
+fn most_similar_key(word: &str, known: &'static [&'static str]) -> Option<&'static str> {
+    most_similar(word, known.iter().copied())
 }
 
-fn nearest_of(word: &str, known: impl Iterator<Item = &'static str>) -> Option<&'static str> {
+fn most_similar(word: &str, known: impl Iterator<Item = &'static str>) -> Option<&'static str> {
     known
         .map(|name| (edit_distance(word, name), name))
-        .filter(|(edits, _)| *edits <= MAX_EDITS)
+        .filter(|(edits, _)| *edits <= MAX_EDIT_DISTANCE)
         .min()
         .map(|(_, name)| name)
 }
