--- a/clementinepick/src/config_replay.rs
+++ b/clementinepick/src/config_replay.rs
@@ -185,10 +185,11 @@
                 if self.publication(*operation).is_some() {
                     return None;
                 }
-                self.publish(offset, record).map(ConfigChange::Published)
+                self.apply_publication(offset, record)
+                    .map(ConfigChange::Published)
             }
             RecordBody::DeciderClaim { service, over } => {
-                Some(self.claim(offset, record, service, *over))
+                Some(self.apply_decider_claim(offset, record, service, *over))
             }
             RecordBody::ConfigSnapshot { up_to, .. } => {
                 Some(ConfigChange::Snapshot { up_to: *up_to })
@@ -197,7 +198,7 @@
         }
     }
 
-    fn publish(&mut self, offset: Offset, record: &Record) -> Option<Publication> {
+    fn apply_publication(&mut self, offset: Offset, record: &Record) -> Option<Publication> {
         let RecordBody::Publish {
             operation,
             service,
@@ -207,7 +208,7 @@
         else {
             return None;
         };
-        let verdict = self.judge(record, *operation, service, *base, document);
+        let verdict = self.evaluate(record, *operation, service, *base, document);
         let publication = Publication {
             offset,
             operation: *operation,
@@ -222,7 +223,7 @@
         Some(publication)
     }
 
-    fn judge(
+    fn evaluate(
         &mut self,
         record: &Record,
         operation: OperationId,
@@ -258,7 +259,7 @@
         }
     }
 
-    fn claim(
+    fn apply_decider_claim(
         &mut self,
         offset: Offset,
         record: &Record,
--- a/clementinepick/src/document_read.rs
+++ b/clementinepick/src/document_read.rs
@@ -100,9 +100,9 @@
 pub(crate) fn read_document(text: &str) -> Result<Document, DocumentError> {
     let mut builder = DocumentBuilder::default();
     for section in read_sections(text, UNNAMED_SECTIONS, NAMED_SECTIONS)? {
-        builder.add(&section)?;
+        builder.add_section(&section)?;
     }
-    builder.finish()
+    builder.build()
 }
 
 /// Collects the sections of a document.
@@ -130,7 +130,7 @@
 }
 
 impl DocumentBuilder {
-    fn add(&mut self, section: &Section) -> Result<(), DocumentError> {
+    fn add_section(&mut self, section: &Section) -> Result<(), DocumentError> {
         let keys = KEYS.iter().find(|(kind, _)| *kind == section.kind);
         section.check_keys(keys.map_or(&[], |(_, keys)| *keys))?;
         match section.kind.as_str() {
@@ -160,7 +160,7 @@
         Ok(())
     }
 
-    fn finish(self) -> Result<Document, DocumentError> {
+    fn build(self) -> Result<Document, DocumentError> {
         let missing = |section: &str, key| DocumentError::Missing {
             section: section.into(),
             key,
--- a/clementinepick/src/event.rs
+++ b/clementinepick/src/event.rs
@@ -221,7 +221,7 @@
     use super::*;
 
     #[test]
-    fn numbers_rise_and_names_are_unique() {
+    fn numbers_increase_and_names_are_unique() {
         for pair in EventKind::ALL.windows(2) {
             assert!(pair[0].number() < pair[1].number(), "{pair:?}");
         }
--- a/clementinepick/src/partition_replay.rs
+++ b/clementinepick/src/partition_replay.rs
@@ -125,8 +125,10 @@
         partition: PartitionId,
     ) -> Effect {
         match &record.body {
-            RecordBody::Claim { over, .. } => self.claim(offset, record, partition, *over),
-            RecordBody::Owned { epoch, entry, .. } => self.owned(record, partition, *epoch, entry),
+            RecordBody::Claim { over, .. } => self.apply_claim(offset, record, partition, *over),
+            RecordBody::Owned { epoch, entry, .. } => {
+                self.apply_owned(record, partition, *epoch, entry)
+            }
             RecordBody::Publish { .. }
             | RecordBody::DeciderClaim { .. }
             | RecordBody::ConfigSnapshot { .. } => Effect::Other,
@@ -179,7 +181,7 @@
         self.apply_complete(offset, record, partition)
     }
 
-    fn claim(
+    fn apply_claim(
         &mut self,
         offset: Offset,
         record: &Record,
@@ -206,7 +208,7 @@
         Effect::Claimed(partition)
     }
 
-    fn owned(
+    fn apply_owned(
         &mut self,
         record: &Record,
         partition: PartitionId,
@@ -298,7 +300,7 @@
         )
     }
 
-    // Two entries replace the same dead owner at once. If both claims took effect, two owners would
+    // Two entries replace the same failed owner at once. If both claims took effect, two owners would
     // run the same program's calls.
     #[test]
     fn first_of_two_claims_over_the_same_owner_takes_effect() {
--- a/clementinepick/src/recovery.rs
+++ b/clementinepick/src/recovery.rs
@@ -314,7 +314,7 @@
         let mut calls = calls;
         calls.sort_by(|a, b| a.call.cmp(&b.call));
         for kept in calls {
-            if self.is_on_record(partition, &kept) {
+            if self.is_recorded(partition, &kept) {
                 tell_committed(from, kept.attempt, out);
             } else if !kept.idempotent {
                 if let Some(open) = self.open_calls.get_mut(&kept.call) {
@@ -346,7 +346,7 @@
         }
     }
 
-    fn is_on_record(&self, partition: PartitionId, kept: &KeptCall) -> bool {
+    fn is_recorded(&self, partition: PartitionId, kept: &KeptCall) -> bool {
         let state = self.partitions.program(partition, &kept.call.program);
         state.is_some_and(|state| {
             let turn = state.turns.get(&kept.call.seq);
