--- a/clementinepick/src/answer.rs
+++ b/clementinepick/src/answer.rs
@@ -286,7 +286,7 @@
             .retries
             .entry(call.request.service.clone())
             .or_default();
-        budget.take()
+        budget.try_withdraw()
     }
 
     /// A call that may not run twice was sent on and failed: its end goes on record.
--- a/clementinepick/src/budget.rs
+++ b/clementinepick/src/budget.rs
@@ -202,7 +202,7 @@
 
     /// Whether the time is used up.
     #[must_use]
-    pub fn is_overdue(&self, spending: &Spending) -> bool {
+    pub fn is_time_exhausted(&self, spending: &Spending) -> bool {
         self.spent(spending).time_us >= self.budget.time_us
     }
 
@@ -210,7 +210,7 @@
     ///
     /// A program that always has a slice in hand goes on when the log is down.
     #[must_use]
-    pub fn slice_ahead(&self, spending: &Spending) -> Option<Amount> {
+    pub fn prefetch_slice(&self, spending: &Spending) -> Option<Amount> {
         let used = self.spent_before.plus(spending.total());
         let step = Amount::from(self.budget).part(SLICE_DIVISOR);
         let wanted = used.plus(step.part(AHEAD_DIVISOR));
@@ -256,7 +256,7 @@
     }
 
     /// An unspent rest was given back.
-    pub fn give_back(&mut self, before: Amount, unused: Amount) {
+    pub fn return_unused(&mut self, before: Amount, unused: Amount) {
         if self.reserved == before {
             self.reserved = self.reserved.minus(unused);
         }
@@ -343,6 +343,6 @@
         let grant = account.hold(&mut spending, Tokens(10));
         assert!(matches!(grant, Grant::NeedsSlice(slice) if slice.time_us == SpanUs::from_s(1)));
         spending.set_time(SpanUs::from_s(16));
-        assert!(account.is_overdue(&spending));
+        assert!(account.is_time_exhausted(&spending));
     }
 }
--- a/clementinepick/src/budget_ledger.rs
+++ b/clementinepick/src/budget_ledger.rs
@@ -22,7 +22,7 @@
 //! assert_eq!(view.reserved("p", Tokens(1_000)), Tokens(250));
 //! let next = view.slice("p", Tokens(1_000), Tokens(750));
 //! view.apply("p/a", &BudgetRecord::Slice(next));
-//! assert_eq!(view.decide("p", Tokens(1_000), Tokens(200)), SliceDecision::Spent);
+//! assert_eq!(view.decide("p", Tokens(1_000), Tokens(200)), SliceDecision::Exhausted);
 //! ```
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -164,7 +164,7 @@
         tokens: Tokens,
     },
     /// All is reserved.
-    Spent,
+    Exhausted,
 }
 
 /// What one process has read of one partition.
@@ -236,13 +236,13 @@
 
     /// Whether the record of a home with this key is in the partition.
     #[must_use]
-    pub fn has_key(&self, key: &str) -> bool {
+    pub fn has_home(&self, key: &str) -> bool {
         self.homes.contains_key(key)
     }
 
     /// The size of the slice with this key, if it is in the partition.
     #[must_use]
-    pub fn tokens(&self, program: &str, key: &str) -> Option<Tokens> {
+    pub fn slice_tokens(&self, program: &str, key: &str) -> Option<Tokens> {
         let slice = self.programs.get(program)?.slices.get(key)?;
         Some(slice.tokens)
     }
@@ -258,14 +258,14 @@
 
     /// Whether the program has records.
     #[must_use]
-    pub fn knows(&self, program: &str) -> bool {
+    pub fn has_program(&self, program: &str) -> bool {
         self.programs.contains_key(program)
     }
 
     /// Whether the home with this number has a standing slice of the program: the program has no
     /// records, or the first of them counts it.
     #[must_use]
-    pub fn has_standing(&self, program: &str, home: u64) -> bool {
+    pub fn has_standing_slice(&self, program: &str, home: u64) -> bool {
         let known = self.programs.get(program);
         known.is_none_or(|known| known.homes.contains(&home))
     }
@@ -300,7 +300,7 @@
 
     /// The latest home.
     #[must_use]
-    pub fn home(&self) -> Option<&HomeRecord> {
+    pub fn latest_home(&self) -> Option<&HomeRecord> {
         self.homes.values().max_by_key(|home| home.number)
     }
 
@@ -347,7 +347,7 @@
     pub fn decide(&self, program: &str, budget: Tokens, turn: Tokens) -> SliceDecision {
         let left = budget.saturating_sub(self.reserved(program, budget));
         if left == Tokens(0) {
-            return SliceDecision::Spent;
+            return SliceDecision::Exhausted;
         }
         let beyond = if self.counts_first_home(program, budget) {
             turn.min(standing_slice(budget, FIRST_HALVINGS))
@@ -385,7 +385,7 @@
 /// A home goes when another one came after it, its lease has ended, and all programs that it began
 /// have ended or have records that count it.
 #[must_use]
-pub fn expired_records(records: &[(String, BudgetRecord)], now_unix_ms: u64) -> Vec<String> {
+pub fn expired_keys(records: &[(String, BudgetRecord)], now_unix_ms: u64) -> Vec<String> {
     let mut is_live: BTreeMap<&str, bool> = BTreeMap::new();
     let mut latest: Option<&HomeRecord> = None;
     for (_, record) in records {
@@ -451,7 +451,7 @@
     }
 
     /// Sets all that is free aside for a turn that needs `least` at the least; none where less is free.
-    pub fn start_rest(&mut self, least: Tokens) -> Option<Tokens> {
+    pub fn start_with_remaining(&mut self, least: Tokens) -> Option<Tokens> {
         let committed = Tokens(self.spent.0 + self.outstanding.0);
         let free = self.granted.saturating_sub(committed);
         let starts = free > Tokens(0) && free >= least;
@@ -472,7 +472,7 @@
     }
 
     /// Gives the standing slice up, and returns how much of it was used: what has no record yet.
-    pub fn end_standing(&mut self) -> Tokens {
+    pub fn release_standing(&mut self) -> Tokens {
         let committed = Tokens(self.spent.0 + self.outstanding.0);
         let free = self.granted.saturating_sub(committed).min(self.standing);
         let used = self.standing.saturating_sub(free);
--- a/clementinepick/src/dump.rs
+++ b/clementinepick/src/dump.rs
@@ -17,7 +17,7 @@
             json!({
                 "vm": vm, "incarnation": peer.incarnation, "role": peer.role, "zone": peer.zone,
                 "service": peer.service, "revisions": state.revisions, "leaving": state.leaving,
-                "standing": self.membership.standing(vm),
+                "standing": self.membership.status(vm),
                 "silence_ms": self.membership.silence(now, vm).as_ms(),
             })
         });
@@ -79,7 +79,7 @@
             "revisions": self.config.revisions(),
             "publications": self.config.publications(),
             "peers": self.dump_peers(now),
-            "serving_zones": self.membership.zones(VmRole::Sidecar),
+            "serving_zones": self.membership.serving_peers_by_zone(VmRole::Sidecar),
             "placements": self.dump_placements(),
             "owned_partitions": owned,
             "calls": calls,
--- a/clementinepick/src/entry.rs
+++ b/clementinepick/src/entry.rs
@@ -22,7 +22,7 @@
 use crate::membership::{Membership, MembershipSettings};
 use crate::message::{Message, Peer};
 use crate::placement::Placement;
-use crate::platform::{ReadAnswer, StreamName, Vm, VmRole};
+use crate::platform::{ReadResponse, StreamName, Vm, VmRole};
 use crate::record::EndReason;
 use crate::replay::Partitions;
 use crate::retry::RetryBudget;
@@ -125,7 +125,7 @@
         /// The stream.
         stream: StreamName,
         /// The answer.
-        answer: Option<ReadAnswer>,
+        answer: Option<ReadResponse>,
     },
     /// The log has answered an append.
     LogAppended {
--- a/clementinepick/src/links.rs
+++ b/clementinepick/src/entry_links.rs
@@ -131,9 +131,9 @@
         self.peers.insert(vm.clone(), state);
         self.lost_us.remove(&vm);
         self.membership.on_link_up(now, peer.clone());
-        self.judge_member(now, &vm, out);
+        self.evaluate_member(now, &vm, out);
         if let Some(service) = &peer.service {
-            self.steer_work(service);
+            self.update_routable_servers(service);
         }
         match role {
             VmRole::Sidecar => {
@@ -158,9 +158,9 @@
         self.router.remove(vm);
         self.on_engine_gone(vm);
         self.membership.on_link_down(now, vm);
-        self.judge_member(now, vm, out);
+        self.evaluate_member(now, vm, out);
         if let Some(service) = &peer.peer.service {
-            self.steer_work(service);
+            self.update_routable_servers(service);
         }
         for open in self.open_calls.values_mut().filter(|o| o.target == *vm) {
             open.is_attached = false;
@@ -195,15 +195,15 @@
     }
 
     pub(crate) fn on_vms(&mut self, now: TimeUs, vms: Vec<Vm>, out: &mut Vec<EntryAction>) {
-        self.membership.on_list(vms.clone());
+        self.membership.update_vm_list(vms.clone());
         self.next_judge_us = now;
-        self.judge_members(now, out);
+        self.evaluate_members(now, out);
         self.vms = vms.into_iter().map(|vm| (vm.id.clone(), vm)).collect();
         let others = self.vms.values().filter(|vm| vm.id != self.settings.vm);
         out.push(EntryAction::Connect(others.cloned().collect()));
     }
 
-    pub(crate) fn drop_silent_peers(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
+    pub(crate) fn disconnect_silent_peers(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
         let timeout = self.settings.peer_timeout_us;
         let silent: Vec<VmId> = self
             .peers
--- a/clementinepick/src/entry_log.rs
+++ b/clementinepick/src/entry_log.rs
@@ -4,7 +4,7 @@
 use crate::entry::{Entry, EntryAction};
 use crate::event::{Event, EventKind};
 use crate::ids::{Offset, PartitionId, RecordId};
-use crate::platform::{ReadAnswer, StreamName};
+use crate::platform::{ReadResponse, StreamName};
 use crate::record::{OwnedRecord, Record, RecordBody};
 use crate::replay::{Applied, Partitions};
 use crate::step_record::tell_committed;
@@ -52,7 +52,7 @@
         &mut self,
         now: TimeUs,
         stream: StreamName,
-        answer: Option<ReadAnswer>,
+        answer: Option<ReadResponse>,
         out: &mut Vec<EntryAction>,
     ) {
         let was_ready = self.is_caught_up();
--- a/clementinepick/src/members.rs
+++ b/clementinepick/src/entry_members.rs
@@ -6,7 +6,7 @@
 use crate::entry::{Entry, EntryAction};
 use crate::event::{Event, EventKind};
 use crate::ids::{Revision, ServiceName, VmId};
-use crate::membership::{Standing, StandingChange};
+use crate::membership::{PeerStatus, PeerStatusChange};
 use crate::message::{Heartbeat, Message};
 use crate::platform::VmRole;
 use crate::units::{SpanUs, TimeUs};
@@ -55,7 +55,7 @@
             peer.is_ready = is_ready;
         }
         self.membership.on_heartbeat(now, from, leaving, silence_us);
-        self.judge_member(now, from, out);
+        self.evaluate_member(now, from, out);
         self.pass_documents(from, revisions, out);
     }
 
@@ -85,16 +85,16 @@
     }
 
     /// Judges all peers anew, a few times a second: silence and held links show with time only.
-    pub(crate) fn judge_members(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
+    pub(crate) fn evaluate_members(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
         if now >= self.next_judge_us {
             self.next_judge_us = now.after(JUDGE_INTERVAL);
-            let changes = self.membership.judge(now);
+            let changes = self.membership.evaluate(now);
             self.on_standings(now, changes, out);
         }
     }
 
-    pub(crate) fn judge_member(&mut self, now: TimeUs, vm: &VmId, out: &mut Vec<EntryAction>) {
-        let change = self.membership.judge_one(now, vm);
+    pub(crate) fn evaluate_member(&mut self, now: TimeUs, vm: &VmId, out: &mut Vec<EntryAction>) {
+        let change = self.membership.evaluate_one(now, vm);
         self.on_standings(now, change.into_iter().collect(), out);
     }
 
@@ -102,7 +102,7 @@
     fn on_standings(
         &mut self,
         now: TimeUs,
-        changes: Vec<StandingChange>,
+        changes: Vec<PeerStatusChange>,
         out: &mut Vec<EntryAction>,
     ) {
         let mut services = BTreeSet::new();
@@ -110,17 +110,17 @@
             if let Some(peer) = self.peers.get_mut(&change.vm) {
                 let event = event_of(change, peer.peer.role);
                 out.extend(event.map(EntryAction::Event));
-                peer.leaving = matches!(change.to, Standing::Leaving | Standing::Deaf);
+                peer.leaving = matches!(change.to, PeerStatus::Leaving | PeerStatus::Deaf);
                 services.extend(peer.peer.service.clone());
             }
         }
         for service in services {
-            self.steer_work(&service);
+            self.update_routable_servers(&service);
         }
         // What was sent to a peer that hears nothing will never be answered: its calls go elsewhere
         // now, not at their deadlines, and the link is opened anew.
-        let deaf = changes.into_iter().filter(|c| c.to == Standing::Deaf);
-        for StandingChange { vm, .. } in deaf {
+        let deaf = changes.into_iter().filter(|c| c.to == PeerStatus::Deaf);
+        for PeerStatusChange { vm, .. } in deaf {
             self.on_link_down(now, &vm, out);
             out.push(EntryAction::Disconnect(vm));
         }
@@ -130,31 +130,31 @@
     ///
     /// Where only flapping ones are left they get it: a call that may be lost is better off than
     /// one that is surely refused.
-    pub(crate) fn steer_work(&mut self, service: &ServiceName) {
-        let of_service: Vec<(VmId, Standing)> = self
+    pub(crate) fn update_routable_servers(&mut self, service: &ServiceName) {
+        let of_service: Vec<(VmId, PeerStatus)> = self
             .membership
-            .of_role(VmRole::Sidecar)
+            .peers_with_role(VmRole::Sidecar)
             .filter(|(peer, _)| peer.service.as_ref() == Some(service))
             .map(|(peer, standing)| (peer.vm.clone(), standing))
             .collect();
-        let any_serving = of_service.iter().any(|(_, s)| *s == Standing::Serving);
+        let any_serving = of_service.iter().any(|(_, s)| *s == PeerStatus::Serving);
         for (vm, standing) in of_service {
             let may = match standing {
-                Standing::Serving => true,
-                Standing::Flapping => !any_serving,
-                Standing::Deaf | Standing::Leaving | Standing::Gone => false,
+                PeerStatus::Serving => true,
+                PeerStatus::Flapping => !any_serving,
+                PeerStatus::Deaf | PeerStatus::Leaving | PeerStatus::Gone => false,
             };
             self.router.set_leaving(&vm, !may);
         }
     }
 }
 
-fn event_of(change: &StandingChange, role: VmRole) -> Option<Event> {
+fn event_of(change: &PeerStatusChange, role: VmRole) -> Option<Event> {
     let kind = match change.to {
-        Standing::Leaving if role == VmRole::Sidecar => EventKind::BackendLeaving,
-        Standing::Flapping => EventKind::PeerFlapping,
-        Standing::Deaf => EventKind::PeerDeaf,
-        Standing::Leaving | Standing::Serving | Standing::Gone => return None,
+        PeerStatus::Leaving if role == VmRole::Sidecar => EventKind::BackendLeaving,
+        PeerStatus::Flapping => EventKind::PeerFlapping,
+        PeerStatus::Deaf => EventKind::PeerDeaf,
+        PeerStatus::Leaving | PeerStatus::Serving | PeerStatus::Gone => return None,
     };
     Some(Event::new(kind).with("vm", &change.vm))
 }
--- a/clementinepick/src/sweep.rs
+++ b/clementinepick/src/entry_tick.rs
@@ -20,8 +20,8 @@
             self.send_heartbeats(now, out);
             self.renew_leases(out);
         }
-        self.drop_silent_peers(now, out);
-        self.judge_members(now, out);
+        self.disconnect_silent_peers(now, out);
+        self.evaluate_members(now, out);
         // After a pause others may have taken over: nothing is decided before the log is read.
         if self.is_unsure && !self.journal.is_down() {
             return;
--- a/clementinepick/src/server_health.rs
+++ b/clementinepick/src/failure_rate.rs
@@ -4,11 +4,11 @@
 //! failures, so that a pause which a success ends does not keep requests from it.
 //!
 //! ```
-//! use clementinepick::server_health::FailureRate;
+//! use clementinepick::failure_rate::FailureRate;
 //! use clementinepick::units::{SpanUs, TimeUs};
 //!
 //! let mut rate = FailureRate::default();
-//! rate.note(TimeUs(0), true);
+//! rate.record(TimeUs(0), true);
 //! assert_eq!(rate.at(TimeUs(0)), 0.25);
 //! assert_eq!(rate.at(TimeUs(0).after(SpanUs::from_s(1))), 0.125);
 //! ```
@@ -33,7 +33,7 @@
 
 impl FailureRate {
     /// Notes how a request ended.
-    pub fn note(&mut self, now: TimeUs, has_failed: bool) {
+    pub fn record(&mut self, now: TimeUs, has_failed: bool) {
         let before = self.at(now);
         let outcome = if has_failed { 1.0 } else { 0.0 };
         self.rate = before + (outcome - before) * ANSWER_WEIGHT;
--- a/clementinepick/src/ids.rs
+++ b/clementinepick/src/ids.rs
@@ -15,7 +15,7 @@
 /// Text that can't serve as a name or identifier.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("`{text}` is not {expected}")]
-pub struct BadId {
+pub struct ParseIdError {
     /// What was read, cut to [`MAX_NAME_BYTES`].
     pub text: String,
     /// What would have been right.
@@ -46,22 +46,22 @@
         }
 
         impl FromStr for $name {
-            type Err = BadId;
+            type Err = ParseIdError;
 
-            fn from_str(text: &str) -> Result<Self, BadId> {
+            fn from_str(text: &str) -> Result<Self, ParseIdError> {
                 Self::try_from(text.to_owned())
             }
         }
 
         impl TryFrom<String> for $name {
-            type Error = BadId;
+            type Error = ParseIdError;
 
-            fn try_from(text: String) -> Result<Self, BadId> {
+            fn try_from(text: String) -> Result<Self, ParseIdError> {
                 if is_name(&text) {
                     return Ok(Self(text));
                 }
                 let text = text.chars().take(MAX_NAME_BYTES).collect();
-                Err(BadId { text, expected: "a name of 1 to 128 letters, digits or `._-:`" })
+                Err(ParseIdError { text, expected: "a name of 1 to 128 letters, digits or `._-:`" })
             }
         }
     )*};
@@ -148,10 +148,10 @@
         }
 
         impl FromStr for $name {
-            type Err = BadId;
+            type Err = ParseIdError;
 
-            fn from_str(text: &str) -> Result<Self, BadId> {
-                let bad = || BadId {
+            fn from_str(text: &str) -> Result<Self, ParseIdError> {
+                let bad = || ParseIdError {
                     text: text.chars().take(MAX_NAME_BYTES).collect(),
                     expected: "an identifier of 32 hexadecimal digits",
                 };
@@ -163,9 +163,9 @@
         }
 
         impl TryFrom<String> for $name {
-            type Error = BadId;
+            type Error = ParseIdError;
 
-            fn try_from(text: String) -> Result<Self, BadId> {
+            fn try_from(text: String) -> Result<Self, ParseIdError> {
                 text.parse()
             }
         }
--- a/clementinepick/src/journal.rs
+++ b/clementinepick/src/journal.rs
@@ -7,7 +7,7 @@
 
 use crate::event::{Event, EventKind};
 use crate::ids::{Offset, RecordId};
-use crate::platform::{ReadAnswer, StreamName};
+use crate::platform::{ReadResponse, StreamName};
 use crate::record::Record;
 use crate::units::{SpanUs, TimeUs};
 
@@ -290,7 +290,7 @@
     pub fn on_read(
         &mut self,
         now: TimeUs,
-        answer: Option<ReadAnswer>,
+        answer: Option<ReadResponse>,
         events: &mut Vec<Event>,
     ) -> Vec<(Offset, Record)> {
         self.reading = false;
@@ -321,7 +321,7 @@
 
     fn take_records(
         &mut self,
-        answer: &ReadAnswer,
+        answer: &ReadResponse,
         events: &mut Vec<Event>,
     ) -> Vec<(Offset, Record)> {
         if answer.earliest > self.position {
@@ -418,12 +418,12 @@
         }
     }
 
-    fn read(records: &[(u64, &Record)], end: u64) -> ReadAnswer {
+    fn read(records: &[(u64, &Record)], end: u64) -> ReadResponse {
         let records = records
             .iter()
             .map(|(offset, record)| stored(*offset, record))
             .collect();
-        ReadAnswer {
+        ReadResponse {
             earliest: Offset(0),
             end: Offset(end),
             records,
--- a/clementinepick/src/lib.rs
+++ b/clementinepick/src/lib.rs
@@ -21,7 +21,7 @@
 //! | put the turn on record | `step_record` | [`journal`], [`record`] |
 //!
 //! What an owner's death leaves open is taken up by `recovery`; what programs hold in engines by
-//! [`retain`] and `sidecar_cache`.
+//! [`prefix_retention`] and `sidecar_cache`.
 //!
 //! ```
 //! use clementinepick::document::Document;
@@ -47,11 +47,15 @@
 mod dump;
 pub mod entry;
 mod entry_config;
+mod entry_links;
 mod entry_log;
+mod entry_members;
 mod entry_orders;
+mod entry_tick;
 pub mod error;
 pub mod event;
 pub mod event_stream;
+pub mod failure_rate;
 mod fetch;
 pub mod gate;
 mod handover;
@@ -60,12 +64,10 @@
 mod ini_sections;
 mod invariants;
 pub mod journal;
-mod links;
-pub mod list_outage;
-mod members;
 pub mod membership;
 pub mod message;
 pub mod order;
+pub mod outage_detector;
 pub mod own;
 pub mod parse;
 pub mod peer_liveness;
@@ -73,6 +75,7 @@
 pub mod placement_target;
 pub mod platform;
 pub mod predict;
+pub mod prefix_retention;
 mod program_end;
 pub mod prompt;
 pub mod record;
@@ -82,14 +85,12 @@
 mod repeat;
 pub mod replay;
 mod replay_state;
-pub mod retain;
 pub mod retry;
 pub mod route;
 pub mod rules;
 pub mod safeguards;
-pub mod server_choice;
-pub mod server_health;
 pub mod server_list;
+pub mod server_selection;
 pub mod sidecar;
 mod sidecar_cache;
 mod sidecar_calls;
@@ -105,7 +106,6 @@
 mod step_own;
 mod step_record;
 mod step_route;
-mod sweep;
 pub mod traffic_config;
 pub mod turn_chain;
 pub mod units;
--- a/clementinepick/src/membership.rs
+++ b/clementinepick/src/membership.rs
@@ -44,7 +44,7 @@
 /// Whether a peer may get new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Display, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Standing {
+pub enum PeerStatus {
     /// It may.
     #[display("serving")]
     Serving,
@@ -64,13 +64,13 @@
 
 /// A change of a peer's standing.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct StandingChange {
+pub struct PeerStatusChange {
     /// The peer.
     pub vm: VmId,
     /// What it was.
-    pub from: Standing,
+    pub from: PeerStatus,
     /// What it is.
-    pub to: Standing,
+    pub to: PeerStatus,
 }
 
 #[derive(Debug, Clone)]
@@ -84,7 +84,7 @@
     /// How long it had not heard this process when it last said so.
     deaf_for_us: SpanUs,
     losses_us: VecDeque<TimeUs>,
-    standing: Standing,
+    standing: PeerStatus,
 }
 
 /// All peers that had a link, and the list of VMs.
@@ -106,7 +106,7 @@
     }
 
     /// Takes the platform's list.
-    pub fn on_list(&mut self, vms: Vec<Vm>) {
+    pub fn update_vm_list(&mut self, vms: Vec<Vm>) {
         self.listed = vms.into_iter().map(|vm| (vm.id.clone(), vm)).collect();
         // A VM without link that is listed no more will not come back under this name.
         let listed = &self.listed;
@@ -131,7 +131,7 @@
             said_leaving: same_life.is_some_and(|m| m.said_leaving),
             deaf_for_us: SpanUs(0),
             losses_us: known.map(|m| m.losses_us.clone()).unwrap_or_default(),
-            standing: known.map_or(Standing::Gone, |m| m.standing),
+            standing: known.map_or(PeerStatus::Gone, |m| m.standing),
             peer,
         };
         self.members.insert(vm, member);
@@ -174,44 +174,46 @@
     }
 
     /// Judges every peer anew; the changes in the order of names.
-    pub fn judge(&mut self, now: TimeUs) -> Vec<StandingChange> {
+    pub fn evaluate(&mut self, now: TimeUs) -> Vec<PeerStatusChange> {
         let mut changes = Vec::new();
         for (vm, member) in &mut self.members {
             let listed = self.listed.get(vm).map(|vm| vm.state);
-            let to = member.judge(now, &self.settings, listed);
+            let to = member.evaluate(now, &self.settings, listed);
             let from = std::mem::replace(&mut member.standing, to);
             if from != to {
                 let vm = vm.clone();
-                changes.push(StandingChange { vm, from, to });
+                changes.push(PeerStatusChange { vm, from, to });
             }
         }
         changes
     }
 
     /// Judges one peer anew; its change, if there is one.
-    pub fn judge_one(&mut self, now: TimeUs, vm: &VmId) -> Option<StandingChange> {
+    pub fn evaluate_one(&mut self, now: TimeUs, vm: &VmId) -> Option<PeerStatusChange> {
         let listed = self.listed.get(vm).map(|vm| vm.state);
         let member = self.members.get_mut(vm)?;
-        let to = member.judge(now, &self.settings, listed);
+        let to = member.evaluate(now, &self.settings, listed);
         let from = std::mem::replace(&mut member.standing, to);
         let vm = vm.clone();
-        (from != to).then_some(StandingChange { vm, from, to })
+        (from != to).then_some(PeerStatusChange { vm, from, to })
     }
 
     /// A peer's standing as last judged.
     #[must_use]
-    pub fn standing(&self, vm: &VmId) -> Standing {
-        self.members.get(vm).map_or(Standing::Gone, |m| m.standing)
+    pub fn status(&self, vm: &VmId) -> PeerStatus {
+        self.members
+            .get(vm)
+            .map_or(PeerStatus::Gone, |m| m.standing)
     }
 
     /// Whether a peer may get new work without reserve.
     #[must_use]
     pub fn is_serving(&self, vm: &VmId) -> bool {
-        self.standing(vm) == Standing::Serving
+        self.status(vm) == PeerStatus::Serving
     }
 
     /// The peers of a role, with their standing.
-    pub fn of_role(&self, role: VmRole) -> impl Iterator<Item = (&Peer, Standing)> {
+    pub fn peers_with_role(&self, role: VmRole) -> impl Iterator<Item = (&Peer, PeerStatus)> {
         let members = self.members.values().filter(move |m| m.peer.role == role);
         members.map(|m| (&m.peer, m.standing))
     }
@@ -233,23 +235,23 @@
 
     /// The count of serving peers of a role by availability zone; zones without any are listed.
     #[must_use]
-    pub fn zones(&self, role: VmRole) -> BTreeMap<ZoneName, usize> {
+    pub fn serving_peers_by_zone(&self, role: VmRole) -> BTreeMap<ZoneName, usize> {
         let mut zones = BTreeMap::new();
-        for (peer, standing) in self.of_role(role) {
+        for (peer, standing) in self.peers_with_role(role) {
             let count = zones.entry(peer.zone.clone()).or_default();
-            *count += usize::from(standing == Standing::Serving);
+            *count += usize::from(standing == PeerStatus::Serving);
         }
         zones
     }
 }
 
 impl Member {
-    fn judge(
+    fn evaluate(
         &mut self,
         now: TimeUs,
         settings: &MembershipSettings,
         listed: Option<VmState>,
-    ) -> Standing {
+    ) -> PeerStatus {
         let window = settings.flap_window_us;
         while self
             .losses_us
@@ -259,22 +261,22 @@
             self.losses_us.pop_front();
         }
         if !self.linked || now.since(self.heard_us) >= settings.silence_us {
-            return Standing::Gone;
+            return PeerStatus::Gone;
         }
         // The list may lag by minutes and still say that it lives. A process that says itself that
         // it leaves would refuse what is sent to it, or be gone before the end of a call.
         if self.said_leaving || listed == Some(VmState::Leaving) {
-            return Standing::Leaving;
+            return PeerStatus::Leaving;
         }
         // Heartbeats still come in, and nothing sent there arrives: a call would wait for its
         // deadline. Only the peer can tell, so it says for how long it has heard nothing.
         if self.deaf_for_us >= settings.silence_us {
-            return Standing::Deaf;
+            return PeerStatus::Deaf;
         }
         if now < self.trusted_from(settings) {
-            return Standing::Flapping;
+            return PeerStatus::Flapping;
         }
-        Standing::Serving
+        PeerStatus::Serving
     }
 
     /// When a peer that lost its link repeatedly is trusted again.
--- a/clementinepick/src/list_outage.rs
+++ b/clementinepick/src/outage_detector.rs
@@ -1,15 +1,15 @@
 //! Whether entries may have lapsed with the store, by the readings of the list that they stand in.
 //!
 //! ```
-//! use clementinepick::list_outage::ListOutage;
+//! use clementinepick::outage_detector::OutageDetector;
 //! use clementinepick::units::{SpanUs, TimeUs};
 //!
-//! let mut outage = ListOutage::default();
-//! outage.read_failed(TimeUs(0));
+//! let mut outage = OutageDetector::default();
+//! outage.record_failed_read(TimeUs(0));
 //! let back = TimeUs(0).after(SpanUs::from_s(3));
-//! assert!(outage.read_succeeded(back).is_some());
-//! assert!(outage.keeps_lapsed(back));
-//! assert!(!outage.keeps_lapsed(back.after(SpanUs::from_s(2))));
+//! assert!(outage.record_successful_read(back).is_some());
+//! assert!(outage.is_in_grace_period(back));
+//! assert!(!outage.is_in_grace_period(back.after(SpanUs::from_s(2))));
 //! ```
 
 use crate::units::{SpanUs, TimeUs};
@@ -38,22 +38,22 @@
 /// is busy with other news believes in an outage, and keeps sending requests to a server that has
 /// just left, for as long as lapsed entries are believed.
 #[derive(Debug, Clone, Default)]
-pub struct ListOutage {
+pub struct OutageDetector {
     /// The start of the first reading that failed since the last one that went well.
     failing_since: Option<TimeUs>,
     failed_reads: u32,
     returned_at: Option<TimeUs>,
 }
 
-impl ListOutage {
+impl OutageDetector {
     /// Notes that a reading which began at `begun` failed.
-    pub fn read_failed(&mut self, begun: TimeUs) {
+    pub fn record_failed_read(&mut self, begun: TimeUs) {
         self.failing_since.get_or_insert(begun);
         self.failed_reads = self.failed_reads.saturating_add(1);
     }
 
     /// Notes a reading that went well; returns the outage that it ends, if it ends one.
-    pub fn read_succeeded(&mut self, now: TimeUs) -> Option<EndedOutage> {
+    pub fn record_successful_read(&mut self, now: TimeUs) -> Option<EndedOutage> {
         let failed_reads = std::mem::take(&mut self.failed_reads);
         let silence_us = now.since(self.failing_since.take()?);
         if silence_us <= OUTAGE_US {
@@ -69,7 +69,7 @@
     /// Whether entries that have vanished are still believed, until their servers have had time to
     /// register again.
     #[must_use]
-    pub fn keeps_lapsed(&self, now: TimeUs) -> bool {
+    pub fn is_in_grace_period(&self, now: TimeUs) -> bool {
         self.returned_at
             .is_some_and(|at| now.since(at) < LAPSE_GRACE_US)
     }
--- a/clementinepick/src/peer_liveness.rs
+++ b/clementinepick/src/peer_liveness.rs
@@ -6,10 +6,10 @@
 //!
 //! let peer = "10.0.0.1:80".parse().unwrap();
 //! let mut liveness = PeerLiveness::default();
-//! liveness.failed(TimeUs(0), peer);
+//! liveness.record_failure(TimeUs(0), peer);
 //! assert!(liveness.is_silent(TimeUs(500_000), peer));
 //! assert!(!liveness.is_lost(TimeUs(500_000), peer));
-//! liveness.failed(TimeUs(2_500_000), peer);
+//! liveness.record_failure(TimeUs(2_500_000), peer);
 //! assert!(liveness.is_lost(TimeUs(2_500_000), peer));
 //! ```
 
@@ -58,7 +58,7 @@
 
 impl PeerLiveness {
     /// Notes that a call to a peer brought no answer.
-    pub fn failed(&mut self, now: TimeUs, peer: SocketAddr) {
+    pub fn record_failure(&mut self, now: TimeUs, peer: SocketAddr) {
         let first = Silence {
             since: now,
             last: now,
@@ -71,7 +71,7 @@
     }
 
     /// Notes that a peer answered, or that another process has its address now.
-    pub fn answered(&mut self, peer: SocketAddr) {
+    pub fn record_answer(&mut self, peer: SocketAddr) {
         self.silent.remove(&peer);
     }
 
--- a/clementinepick/src/platform.rs
+++ b/clementinepick/src/platform.rs
@@ -2,18 +2,18 @@
 //!
 //! | peer | method and path | request | answer |
 //! |---|---|---|---|
-//! | log | `POST /v1/streams/{stream}` | [`AppendBody`] | [`AppendAnswer`]; 429 and 503 mean not appended, anything else unknown |
-//! | log | `GET /v1/streams/{stream}?from=N&max=M` | | [`ReadAnswer`] |
+//! | log | `POST /v1/streams/{stream}` | [`AppendBody`] | [`AppendResponse`]; 429 and 503 mean not appended, anything else unknown |
+//! | log | `GET /v1/streams/{stream}?from=N&max=M` | | [`ReadResponse`] |
 //! | VM list | `GET /v1/vms` | | `Vec<`[`Vm`]`>` |
 //! | weight store | `GET /v1/weights/{model}/{version}` | | 200, or 429 with `retry-after` |
 //! | engine | `POST /v1/generate` | [`GenerateBody`] | one [`GenerateLine`] of JSON a line |
 //! | engine | `POST /v1/resume` | [`ResumeBody`] | as above, from the position asked for |
 //! | engine | `POST /v1/cancel` | [`CancelBody`] | 204 |
-//! | engine | `POST /v1/cache/release` | [`ReleaseBody`] | [`ReleaseAnswer`] |
-//! | engine | `POST /v1/cache/retain` | [`RetainBody`] | [`ReleaseAnswer`] |
+//! | engine | `POST /v1/cache/release` | [`ReleaseBody`] | [`ReleaseResponse`] |
+//! | engine | `POST /v1/cache/retain` | [`RetainBody`] | [`ReleaseResponse`] |
 //! | engine | `POST /v1/cache/export` | [`ReleaseBody`] | [`CacheImage`] |
 //! | engine | `POST /v1/cache/import` | [`CacheImage`] | 204, or 507 when it does not fit |
-//! | engine | `GET /v1/cache/events?after=N` | | [`CacheEventsAnswer`] |
+//! | engine | `GET /v1/cache/events?after=N` | | [`CacheEventsResponse`] |
 //! | engine | `GET /v1/load` | | [`LoadReport`] |
 //! | engine | `GET /v1/state` | | [`EngineState`] |
 //! | engine | `POST /v1/orders` | [`OrderBody`] | [`EngineState`]; 409 for an old fencing number |
@@ -61,7 +61,7 @@
 
 /// A batch that was appended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AppendAnswer {
+pub struct AppendResponse {
     /// The offset of the batch's first record.
     pub first_offset: Offset,
 }
@@ -77,7 +77,7 @@
 
 /// A part of a stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ReadAnswer {
+pub struct ReadResponse {
     /// The offset of the oldest record that is kept.
     pub earliest: Offset,
     /// The offset that the stream's next record will get.
@@ -205,7 +205,7 @@
 
 /// What a release freed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ReleaseAnswer {
+pub struct ReleaseResponse {
     /// The tokens freed.
     pub freed_tokens: Tokens,
 }
@@ -231,7 +231,7 @@
 
 /// Changes of an engine's cache; they come late, and a jump of `first` past `after` is a gap.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CacheEventsAnswer {
+pub struct CacheEventsResponse {
     /// The number of the first event in the list.
     pub first: u64,
     /// The events, numbered on from `first`.
--- a/clementinepick/src/predict.rs
+++ b/clementinepick/src/predict.rs
@@ -44,7 +44,7 @@
     }
 
     /// Counts one observation that has no end.
-    pub fn add_never(&mut self) {
+    pub fn add_unbounded(&mut self) {
         self.never += ONE;
         self.grown();
     }
@@ -136,10 +136,10 @@
 
 impl Predictor {
     /// Learns one observation; nothing for one that has no end.
-    pub fn learn(&mut self, class: &ClassName, tool: Option<&ToolName>, value: Option<u64>) {
+    pub fn observe(&mut self, class: &ClassName, tool: Option<&ToolName>, value: Option<u64>) {
         let count = |histogram: &mut Histogram| match value {
             Some(value) => histogram.add(value),
-            None => histogram.add_never(),
+            None => histogram.add_unbounded(),
         };
         count(self.by_class.entry(class.clone()).or_default());
         let key = (class.clone(), tool.cloned());
@@ -158,22 +158,22 @@
 }
 
 /// The quantile of past outputs that is set aside for the next.
-pub const OUTPUT_PERCENT: u32 = 90;
+pub const OUTPUT_QUANTILE_PERCENT: u32 = 90;
 
 /// The output that a call will probably stay below; `limit` before anything is known.
 #[must_use]
-pub fn expected_output(outputs: &Predictor, class: &ClassName, limit: Tokens) -> Tokens {
+pub fn predict_output(outputs: &Predictor, class: &ClassName, limit: Tokens) -> Tokens {
     let known = outputs
         .histogram(class, None)
         .filter(|h| h.observations() >= TRUSTED);
-    let quantile = known.and_then(|histogram| histogram.quantile(OUTPUT_PERCENT));
+    let quantile = known.and_then(|histogram| histogram.quantile(OUTPUT_QUANTILE_PERCENT));
     quantile.map_or(limit, |tokens| Tokens(tokens).min(limit))
 }
 
 /// How long to keep what is worth `1` when the program returns and costs `price_per_s` a second
 /// until then: the time that maximizes the expected worth; zero where keeping never pays.
 #[must_use]
-pub fn best_keep(pauses: &Histogram, price_milli_per_s: u64) -> SpanUs {
+pub fn optimal_retention(pauses: &Histogram, price_milli_per_s: u64) -> SpanUs {
     let total = u128::from(pauses.total());
     let (mut left, mut returned) = (total, 0_u128);
     let (mut from_us, mut held) = (0_u64, 0_u128);
@@ -224,12 +224,12 @@
     fn a_prefix_is_kept_for_the_short_pauses_only() {
         let mut pauses = Histogram::default();
         (0..50).for_each(|_| pauses.add(1_000_000));
-        (0..50).for_each(|_| pauses.add_never());
-        let keep = best_keep(&pauses, 50);
+        (0..50).for_each(|_| pauses.add_unbounded());
+        let keep = optimal_retention(&pauses, 50);
         assert!(
             keep >= SpanUs::from_s(1) && keep < SpanUs::from_s(2),
             "{keep}"
         );
-        assert_eq!(best_keep(&pauses, 100_000), SpanUs(0));
+        assert_eq!(optimal_retention(&pauses, 100_000), SpanUs(0));
     }
 }
--- a/clementinepick/src/retain.rs
+++ b/clementinepick/src/prefix_retention.rs
@@ -7,30 +7,30 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::ids::{ClassName, ProgramId, ToolName};
-use crate::predict::{Predictor, best_keep};
+use crate::predict::{Predictor, optimal_retention};
 use crate::prompt::{ChainHash, Segment};
 use crate::units::{SpanUs, TimeUs, Tokens};
 
 /// How prefixes are kept.
 #[derive(Debug, Clone)]
-pub struct RetainSettings {
+pub struct PrefixRetentionSettings {
     /// The price of a prefix's memory a second, in thousandths of what its prefill costs.
     pub price_milli_per_s: u64,
     /// How long a prefix is kept before anything is known of pauses.
-    pub unknown_us: SpanUs,
+    pub default_keep_us: SpanUs,
     /// The longest that one is kept.
     pub max_keep_us: SpanUs,
     /// How long a prefix that several programs have used is kept after its last use.
-    pub shared_us: SpanUs,
+    pub shared_keep_us: SpanUs,
 }
 
-impl Default for RetainSettings {
+impl Default for PrefixRetentionSettings {
     fn default() -> Self {
         Self {
             price_milli_per_s: 10,
-            unknown_us: SpanUs::from_s(30),
+            default_keep_us: SpanUs::from_s(30),
             max_keep_us: SpanUs::from_s(120),
-            shared_us: SpanUs(0),
+            shared_keep_us: SpanUs(0),
         }
     }
 }
@@ -57,8 +57,8 @@
 
 /// The prefixes that one engine keeps, and what is known of pauses.
 #[derive(Debug, Clone, Default)]
-pub struct Retention {
-    settings: RetainSettings,
+pub struct PrefixRetention {
+    settings: PrefixRetentionSettings,
     pauses: Predictor,
     held: BTreeMap<ProgramId, Held>,
     timers: BTreeSet<(TimeUs, ProgramId)>,
@@ -69,10 +69,10 @@
     lingering: BTreeMap<ChainHash, TimeUs>,
 }
 
-impl Retention {
+impl PrefixRetention {
     /// An engine that keeps nothing yet.
     #[must_use]
-    pub fn new(settings: RetainSettings) -> Self {
+    pub fn new(settings: PrefixRetentionSettings) -> Self {
         Self {
             settings,
             ..Self::default()
@@ -80,7 +80,7 @@
     }
 
     /// Takes new settings; they hold from each prefix's next pause on.
-    pub fn set(&mut self, settings: RetainSettings) {
+    pub fn set(&mut self, settings: PrefixRetentionSettings) {
         self.settings = settings;
     }
 
@@ -92,7 +92,7 @@
         if let Some(since_us) = held.idle_since_us.take() {
             let pause_us = now.since(since_us).0;
             self.pauses
-                .learn(&held.class, held.tool.as_ref(), Some(pause_us));
+                .observe(&held.class, held.tool.as_ref(), Some(pause_us));
         }
         if let Some(until_us) = held.until_us.take() {
             self.timers.remove(&(until_us, program.clone()));
@@ -144,16 +144,21 @@
     #[must_use]
     pub fn keep_us(&self, class: &ClassName, tool: Option<&ToolName>) -> SpanUs {
         let Some(pauses) = self.pauses.histogram(class, tool) else {
-            return self.settings.unknown_us;
+            return self.settings.default_keep_us;
         };
-        best_keep(pauses, self.settings.price_milli_per_s).min(self.settings.max_keep_us)
+        optimal_retention(pauses, self.settings.price_milli_per_s).min(self.settings.max_keep_us)
     }
 
     /// The program has ended, or has moved to another engine; names what nobody else uses.
     ///
     /// A program that is known to have ended teaches nothing about pauses; one that nobody ended
     /// (`known` false) is one that never came back.
-    pub fn on_end(&mut self, now: TimeUs, program: &ProgramId, known: bool) -> Vec<ChainHash> {
+    pub fn on_program_end(
+        &mut self,
+        now: TimeUs,
+        program: &ProgramId,
+        known: bool,
+    ) -> Vec<ChainHash> {
         let Some(held) = self.held.remove(program) else {
             return Vec::new();
         };
@@ -161,13 +166,13 @@
             self.timers.remove(&(until_us, program.clone()));
         }
         if held.idle_since_us.is_some() && !known {
-            self.pauses.learn(&held.class, held.tool.as_ref(), None);
+            self.pauses.observe(&held.class, held.tool.as_ref(), None);
         }
         self.drop_unused(now, &held.chains)
     }
 
     /// Names the prefixes that do not pay any more, by program; shared ones come without a program.
-    pub fn due(&mut self, now: TimeUs) -> Vec<(Option<ProgramId>, Vec<ChainHash>)> {
+    pub fn take_expired(&mut self, now: TimeUs) -> Vec<(Option<ProgramId>, Vec<ChainHash>)> {
         let mut due = vec![(None, self.drop_orphans())];
         while let Some((until_us, program)) = self.timers.first().cloned() {
             if until_us > now {
@@ -200,7 +205,7 @@
     }
 
     /// The engine has lost its cache; what is known of pauses stays.
-    pub fn forget_all(&mut self) {
+    pub fn on_cache_lost(&mut self) {
         self.held.clear();
         self.timers.clear();
         self.users.clear();
@@ -254,9 +259,9 @@
                 continue;
             };
             match (users.count, users.shared) {
-                (0, true) if self.settings.shared_us.0 > 0 => {
+                (0, true) if self.settings.shared_keep_us.0 > 0 => {
                     self.lingering
-                        .insert(segment.chain, now.after(self.settings.shared_us));
+                        .insert(segment.chain, now.after(self.settings.shared_keep_us));
                 }
                 (0, _) => {
                     self.users.remove(&segment.chain);
@@ -290,28 +295,31 @@
 
     #[test]
     fn what_a_sub_agent_shares_stays_until_its_last_user_ends() {
-        let mut retention = Retention::new(RetainSettings {
-            shared_us: SpanUs::from_s(300),
+        let mut retention = PrefixRetention::new(PrefixRetentionSettings {
+            shared_keep_us: SpanUs::from_s(300),
             ..Default::default()
         });
         let (parent, child) = (name("p"), name("p.1"));
         let class = name("c");
         retention.on_turn_end(TimeUs(0), &parent, &class, None, &segments(&[1, 2]));
         retention.on_turn_end(TimeUs(1), &child, &class, None, &segments(&[1, 2, 3]));
-        assert_eq!(retention.on_end(TimeUs(2), &child, true), [ChainHash(3)]);
-        assert_eq!(retention.on_end(TimeUs(3), &parent, true), []);
-        let shared = retention.due(TimeUs(3).after(SpanUs::from_s(300)));
+        assert_eq!(
+            retention.on_program_end(TimeUs(2), &child, true),
+            [ChainHash(3)]
+        );
+        assert_eq!(retention.on_program_end(TimeUs(3), &parent, true), []);
+        let shared = retention.take_expired(TimeUs(3).after(SpanUs::from_s(300)));
         assert_eq!(shared, [(None, vec![ChainHash(1), ChainHash(2)])]);
     }
 
     #[test]
     fn pauses_that_never_end_are_learned() {
-        let mut retention = Retention::default();
+        let mut retention = PrefixRetention::default();
         let class: ClassName = name("c");
         for n in 0..20 {
             let program = name(&format!("p{n}"));
             retention.on_turn_end(TimeUs(0), &program, &class, None, &segments(&[n]));
-            retention.on_end(TimeUs(900_000_000), &program, false);
+            retention.on_program_end(TimeUs(900_000_000), &program, false);
         }
         assert_eq!(retention.keep_us(&class, None), SpanUs(0));
     }
--- a/clementinepick/src/program_end.rs
+++ b/clementinepick/src/program_end.rs
@@ -366,7 +366,7 @@
             overdue.extend(late);
             live.spending.set_time(now.since(live.since_us));
             let is_root = state.root.is_none();
-            if is_root && state.account.is_overdue(&live.spending) {
+            if is_root && state.account.is_time_exhausted(&live.spending) {
                 over.push((program.clone(), EndReason::Deadline));
             } else if live.is_spent && live.order.is_idle() {
                 over.push((program.clone(), EndReason::Budget));
--- a/clementinepick/src/prompt.rs
+++ b/clementinepick/src/prompt.rs
@@ -7,7 +7,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::call::ChatMessage;
-use crate::ids::{BadId, MAX_NAME_BYTES};
+use crate::ids::{MAX_NAME_BYTES, ParseIdError};
 use crate::units::Tokens;
 
 /// Bytes of text that make about one token, for estimates before an engine has counted.
@@ -36,10 +36,10 @@
 pub struct ChainHash(pub u64);
 
 impl FromStr for ChainHash {
-    type Err = BadId;
+    type Err = ParseIdError;
 
-    fn from_str(text: &str) -> Result<Self, BadId> {
-        let bad = || BadId {
+    fn from_str(text: &str) -> Result<Self, ParseIdError> {
+        let bad = || ParseIdError {
             text: text.chars().take(MAX_NAME_BYTES).collect(),
             expected: "a chain of 16 hexadecimal digits",
         };
--- a/clementinepick/src/replay_state.rs
+++ b/clementinepick/src/replay_state.rs
@@ -136,7 +136,7 @@
                 unused,
             } => {
                 if let Some(state) = self.programs.get_mut(program) {
-                    state.account.give_back(*before, *unused);
+                    state.account.return_unused(*before, *unused);
                 }
             }
             OwnedRecord::CallStarted { .. } => self.start_call(epoch, entry),
--- a/clementinepick/src/retry.rs
+++ b/clementinepick/src/retry.rs
@@ -26,12 +26,12 @@
 
 impl RetryBudget {
     /// A call was sent for the first time; `share` of a retry is earned.
-    pub fn on_call(&mut self, share: Percent) {
+    pub fn deposit(&mut self, share: Percent) {
         self.left_milli = (self.left_milli + share.of(RETRY)).min(MOST);
     }
 
     /// Takes one retry out; false when none is left.
-    pub fn take(&mut self) -> bool {
+    pub fn try_withdraw(&mut self) -> bool {
         let Some(left) = self.left_milli.checked_sub(RETRY) else {
             return false;
         };
@@ -52,8 +52,8 @@
         let share = Percent::new(10).expect("a share");
         let mut retries = 0;
         for _ in 0..1_000 {
-            budget.on_call(share);
-            retries += u32::from(budget.take()) + u32::from(budget.take());
+            budget.deposit(share);
+            retries += u32::from(budget.try_withdraw()) + u32::from(budget.try_withdraw());
         }
         assert!((100..=110).contains(&retries), "{retries}");
     }
--- a/clementinepick/src/server_choice.rs
+++ b/clementinepick/src/server_selection.rs
@@ -10,7 +10,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::server_health::FailureRate;
+use crate::failure_rate::FailureRate;
 use crate::server_list::BackendServer;
 use crate::units::{SpanUs, TimeUs};
 
@@ -86,7 +86,7 @@
 
 /// The inputs by which a server was chosen.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct PlacingReason {
+pub struct SelectionReason {
     /// Whether it failed lately and all others did too.
     pub is_paused: bool,
     /// How many of this process's requests are there.
@@ -101,7 +101,7 @@
     pub is_kept_here: bool,
 }
 
-impl PlacingReason {
+impl SelectionReason {
     /// What the request costs there, by load, reading and rank.
     fn cost_us(&self) -> f64 {
         let read_us = approx(self.tokens_to_read) * TOKEN_COST_US;
@@ -113,7 +113,7 @@
     }
 }
 
-impl fmt::Display for PlacingReason {
+impl fmt::Display for SelectionReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -138,7 +138,7 @@
 
 /// The loads of all backend servers as one process sees them.
 #[derive(Debug, Default)]
-pub struct ServerChoice {
+pub struct ServerSelector {
     servers: BTreeMap<String, ServerState>,
     lines: Remembered<String>,
     prefixes: Remembered<(String, String)>,
@@ -179,7 +179,7 @@
     }
 }
 
-impl ServerChoice {
+impl ServerSelector {
     /// Chooses among `candidates`, leaving out those named in `tried`.
     ///
     /// A paused server is chosen only when all others are paused too: a request that waits for
@@ -204,7 +204,7 @@
         candidates: &[&'a BackendServer],
         tried: &[String],
         affinity: Affinity<'_>,
-    ) -> Option<(&'a BackendServer, PlacingReason)> {
+    ) -> Option<(&'a BackendServer, SelectionReason)> {
         // A server that is gone or leaving keeps nothing for anyone: its lines go where their ranks say.
         let is_there = |id: &&str| candidates.iter().any(|server| server.id == *id);
         let kept_at = self.line_server(affinity).filter(is_there);
@@ -220,7 +220,7 @@
         let reason = |server: &BackendServer| {
             let state = self.state(&server.id);
             let rank = rank_of(server);
-            PlacingReason {
+            SelectionReason {
                 is_paused: now < state.paused_until,
                 load: state.in_flight,
                 failing_load: state.failure_rate.at(now) * FAILING_FACTOR * (1.0 + mean_load),
@@ -287,7 +287,7 @@
     }
 
     /// Notes that a request is on its way to a server.
-    pub fn start(&mut self, id: &str, affinity: Affinity<'_>) {
+    pub fn start_request(&mut self, id: &str, affinity: Affinity<'_>) {
         self.servers.entry(id.to_owned()).or_default().in_flight += 1;
         if let Some(prefix) = affinity.prefix() {
             self.prefixes.insert((prefix.id.clone(), id.to_owned()), id);
@@ -298,18 +298,18 @@
     }
 
     /// Notes that a request is no longer at a server.
-    pub fn end(&mut self, id: &str) {
+    pub fn end_request(&mut self, id: &str) {
         if let Some(state) = self.servers.get_mut(id) {
             state.in_flight = state.in_flight.saturating_sub(1);
         }
     }
 
     /// Notes that a server answered; `has_failed` says that it answered with a failure of its own.
-    pub fn answered(&mut self, now: TimeUs, id: &str, has_failed: bool) {
+    pub fn record_answer(&mut self, now: TimeUs, id: &str, has_failed: bool) {
         if let Some(state) = self.servers.get_mut(id) {
             state.failures = 0;
             state.paused_until = TimeUs(0);
-            state.failure_rate.note(now, has_failed);
+            state.failure_rate.record(now, has_failed);
         }
     }
 
@@ -317,21 +317,21 @@
     /// one that its entry names.
     ///
     /// A server that refuses is idle: without this, it looks the best of all and gets every request.
-    pub fn refused(&mut self, now: TimeUs, id: &str, is_another: bool) {
+    pub fn record_refusal(&mut self, now: TimeUs, id: &str, is_another: bool) {
         if is_another {
-            self.failed(now, id);
+            self.record_failure(now, id);
         } else if let Some(state) = self.servers.get_mut(id) {
-            state.failure_rate.note(now, true);
+            state.failure_rate.record(now, true);
         }
     }
 
     /// Notes that a server could not be reached, broke off or gave no answer in time.
-    pub fn failed(&mut self, now: TimeUs, id: &str) {
+    pub fn record_failure(&mut self, now: TimeUs, id: &str) {
         let state = self.servers.entry(id.to_owned()).or_default();
         let pause_us = FIRST_PAUSE_US.0 << state.failures.min(8);
         if state.failures == 0 {
             // The pause alone is for a server that answers nothing any more.
-            state.failure_rate.note(now, true);
+            state.failure_rate.record(now, true);
         }
         state.failures += 1;
         state.paused_until = now.after(SpanUs(pause_us.min(MAX_PAUSE_US.0)));
@@ -341,7 +341,7 @@
     ///
     /// Without this, turns would follow their lines to an empty server, and all parts that they
     /// share would be read there again at once, while another keeps them.
-    pub fn note_start(&mut self, id: &str, started_unix_ms: Option<u64>) {
+    pub fn record_start_time(&mut self, id: &str, started_unix_ms: Option<u64>) {
         let state = self.servers.entry(id.to_owned()).or_default();
         let before = std::mem::replace(&mut state.started_unix_ms, started_unix_ms);
         if before.is_some() && before != started_unix_ms {
--- a/clementinepick/src/sidecar.rs
+++ b/clementinepick/src/sidecar.rs
@@ -15,7 +15,7 @@
 use crate::message::{BackendLoad, Heartbeat, Message, Peer};
 use crate::platform::{LoadReport, VmRole};
 use crate::predict::Predictor;
-use crate::retain::{RetainSettings, Retention};
+use crate::prefix_retention::{PrefixRetention, PrefixRetentionSettings};
 use crate::sidecar_fence::Fence;
 use crate::sidecar_orders::OrderSlot;
 pub(crate) use crate::sidecar_types::{Attempt, Closed, Lease, Phase, log, refuse, send};
@@ -45,7 +45,7 @@
     /// The highest epoch of which closed attempts were dropped, by partition.
     pub(crate) forgotten: BTreeMap<PartitionId, Epoch>,
     pub(crate) leases: BTreeMap<ProgramId, Lease>,
-    pub(crate) retention: Retention,
+    pub(crate) retention: PrefixRetention,
     /// The outputs of completed turns.
     pub(crate) outputs: Predictor,
     pub(crate) orders: OrderSlot,
@@ -80,7 +80,7 @@
             closed: BTreeMap::new(),
             forgotten: BTreeMap::new(),
             leases: BTreeMap::new(),
-            retention: Retention::default(),
+            retention: PrefixRetention::default(),
             outputs: Predictor::default(),
             told_blocked: false,
             next_retain_us: None,
@@ -278,9 +278,9 @@
             categories: document.categories.clone(),
             ..GateSettings::default()
         });
-        self.retention.set(RetainSettings {
+        self.retention.set(PrefixRetentionSettings {
             max_keep_us: document.retention.max_keep_us,
-            ..RetainSettings::default()
+            ..PrefixRetentionSettings::default()
         });
     }
 
--- a/clementinepick/src/sidecar_cache.rs
+++ b/clementinepick/src/sidecar_cache.rs
@@ -66,7 +66,7 @@
         }
         // A pause as long as the idle limit means that nobody ended the program: it never came back.
         let is_ended = self.retention.idle_us(now, &program) < Some(self.idle_limit_us());
-        self.retention.on_end(now, &program, is_ended);
+        self.retention.on_program_end(now, &program, is_ended);
         let Some(lease) = self.leases.get_mut(&program) else {
             if let Some(to) = notify {
                 out.push(send(
@@ -112,7 +112,7 @@
         if !self.settings.safeguards.lease_lapse {
             return;
         }
-        for (program, _) in self.retention.due(now) {
+        for (program, _) in self.retention.take_expired(now) {
             let Some(program) = program else { continue };
             if !self.is_active(&program) {
                 self.order_release(program, out);
--- a/clementinepick/src/sidecar_calls.rs
+++ b/clementinepick/src/sidecar_calls.rs
@@ -7,7 +7,7 @@
 use crate::ids::{AttemptId, VmId};
 use crate::message::Dispatch;
 use crate::platform::GenerateBody;
-use crate::predict::expected_output;
+use crate::predict::predict_output;
 use crate::prompt::Segment;
 use crate::units::{SpanUs, TimeUs, Tokens};
 
@@ -77,7 +77,7 @@
             return;
         };
         let (dispatch, output) = (&attempt.dispatch, attempt.used.output_tokens);
-        self.outputs.learn(&dispatch.class, None, Some(output.0));
+        self.outputs.observe(&dispatch.class, None, Some(output.0));
         let (program, class) = (&dispatch.call.program, &dispatch.class);
         let tool = dispatch.next_tool.as_ref();
         self.retention
@@ -177,7 +177,7 @@
             max_wait_us: rules.max_wait_us,
             attained_tokens: dispatch.attained_tokens,
             memory_tokens: prompt_tokens
-                + expected_output(
+                + predict_output(
                     &self.outputs,
                     &dispatch.class,
                     dispatch.expected_output_tokens,
--- a/clementinepick/src/step_budget.rs
+++ b/clementinepick/src/step_budget.rs
@@ -116,7 +116,7 @@
                 if state.root.is_some() || state.ended.is_some() {
                     return None;
                 }
-                let slice = state.account.slice_ahead(&live.spending)?;
+                let slice = state.account.prefetch_slice(&live.spending)?;
                 Some((live.partition, program.clone(), slice))
             })
             .collect();
--- a/clementinepick/src/step_route.rs
+++ b/clementinepick/src/step_route.rs
@@ -109,7 +109,7 @@
                 .retries
                 .entry(call.request.service.clone())
                 .or_default();
-            budget.on_call(call.in_force.document.retry.budget);
+            budget.deposit(call.in_force.document.retry.budget);
         }
         call.tried.insert(target.clone());
         self.router.on_sent(target, call.prefill_tokens);
--- a/clementinepick/src/traffic_config.rs
+++ b/clementinepick/src/traffic_config.rs
@@ -114,7 +114,7 @@
 impl TrafficRoute {
     /// The service for a request, chosen by weight with `draw`, a uniform random number.
     #[must_use]
-    pub fn service(&self, draw: u64) -> Option<&str> {
+    pub fn choose_service(&self, draw: u64) -> Option<&str> {
         let total: u64 = self.services.iter().map(|(_, w)| u64::from(*w)).sum();
         let mut left = draw.checked_rem(total)?;
         for (name, weight) in &self.services {
--- a/clementinepick/src/turn_chain.rs
+++ b/clementinepick/src/turn_chain.rs
@@ -50,7 +50,7 @@
 
 /// The prompt of a new turn: all inputs and outputs before it, oldest first, then `input`.
 #[must_use]
-pub fn prompt(previous: Option<&Arc<Turn>>, input: &Bytes) -> Bytes {
+pub fn build_prompt(previous: Option<&Arc<Turn>>, input: &Bytes) -> Bytes {
     let Some(previous) = previous else {
         return input.clone();
     };
@@ -127,7 +127,7 @@
 /// A record that can't be read.
 #[derive(Debug, Error)]
 #[error("the record of turn {id} can't be read: {detail}")]
-pub struct BadTurnRecord {
+pub struct InvalidTurnRecord {
     /// The turn.
     pub id: String,
     /// Why.
@@ -168,10 +168,14 @@
     /// # Errors
     ///
     /// The lengths in the record contradict each other.
-    pub fn into_turn(self, id: String, parent: Option<Arc<Turn>>) -> Result<Turn, BadTurnRecord> {
+    pub fn into_turn(
+        self,
+        id: String,
+        parent: Option<Arc<Turn>>,
+    ) -> Result<Turn, InvalidTurnRecord> {
         if self.input_bytes > self.body.len() {
             let detail = "the input is longer than the body".to_owned();
-            return Err(BadTurnRecord { id, detail });
+            return Err(InvalidTurnRecord { id, detail });
         }
         let mut input = self.body;
         let output = input.split_off(self.input_bytes);
--- a/clementinepick/src/units.rs
+++ b/clementinepick/src/units.rs
@@ -18,7 +18,7 @@
 /// Text that is no quantity of the expected unit.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("`{text}` is not {expected}")]
-pub struct BadUnit {
+pub struct ParseQuantityError {
     /// What was read.
     pub text: String,
     /// What would have been right, with an example.
@@ -112,10 +112,10 @@
 }
 
 impl FromStr for SpanUs {
-    type Err = BadUnit;
+    type Err = ParseQuantityError;
 
-    fn from_str(text: &str) -> Result<Self, BadUnit> {
-        let bad = || BadUnit {
+    fn from_str(text: &str) -> Result<Self, ParseQuantityError> {
+        let bad = || ParseQuantityError {
             text: text.to_owned(),
             expected: "a time with its unit (us, ms, s, min or h), such as `250 ms`",
         };
@@ -168,10 +168,10 @@
 }
 
 impl FromStr for Tokens {
-    type Err = BadUnit;
+    type Err = ParseQuantityError;
 
-    fn from_str(text: &str) -> Result<Self, BadUnit> {
-        let bad = || BadUnit {
+    fn from_str(text: &str) -> Result<Self, ParseQuantityError> {
+        let bad = || ParseQuantityError {
             text: text.to_owned(),
             expected: "a count of tokens, such as `4096 tokens`",
         };
@@ -210,10 +210,10 @@
 }
 
 impl FromStr for Bytes {
-    type Err = BadUnit;
+    type Err = ParseQuantityError;
 
-    fn from_str(text: &str) -> Result<Self, BadUnit> {
-        let bad = || BadUnit {
+    fn from_str(text: &str) -> Result<Self, ParseQuantityError> {
+        let bad = || ParseQuantityError {
             text: text.to_owned(),
             expected: "a size with its unit (B, KB, MB or GB), such as `16 MB`",
         };
@@ -263,10 +263,10 @@
 }
 
 impl FromStr for MilliPerS {
-    type Err = BadUnit;
+    type Err = ParseQuantityError;
 
-    fn from_str(text: &str) -> Result<Self, BadUnit> {
-        let bad = || BadUnit {
+    fn from_str(text: &str) -> Result<Self, ParseQuantityError> {
+        let bad = || ParseQuantityError {
             text: text.to_owned(),
             expected: "a rate a second, such as `50 /s`",
         };
@@ -315,10 +315,10 @@
 }
 
 impl FromStr for Percent {
-    type Err = BadUnit;
+    type Err = ParseQuantityError;
 
-    fn from_str(text: &str) -> Result<Self, BadUnit> {
-        let bad = || BadUnit {
+    fn from_str(text: &str) -> Result<Self, ParseQuantityError> {
+        let bad = || ParseQuantityError {
             text: text.to_owned(),
             expected: "a share from 0% to 100%, such as `20%`",
         };
--- a/clementinepick/tests/budget_ledger.rs
+++ b/clementinepick/tests/budget_ledger.rs
@@ -2,7 +2,7 @@
 
 use clementinepick::budget_ledger::{
     BudgetRecord, BudgetView, HOME_LEASE_MS, HomeRecord, ProgramSlices, SliceDecision, SliceRecord,
-    expired_records, first_grant, home_key,
+    expired_keys, first_grant, home_key,
 };
 use clementinepick::units::Tokens;
 use proptest::prelude::*;
@@ -94,7 +94,7 @@
         let Some((number, halvings)) = self.home else {
             return;
         };
-        if self.standing_home != Some(number) && self.view.has_standing("p", number) {
+        if self.standing_home != Some(number) && self.view.has_standing_slice("p", number) {
             let tokens = first_grant(budget, halvings, most);
             self.standing_home = Some(number);
             self.slices.standing = tokens;
@@ -121,13 +121,13 @@
         let Some((number, _)) = self.home.take() else {
             return;
         };
-        let used = self.slices.end_standing();
+        let used = self.slices.release_standing();
         partition.read_on(&mut self.view);
         let home_key = home_key(&name.to_string(), number);
         let mut after = self.view.clone();
         after.drop_key(&home_key);
         let mut records = Vec::new();
-        if used > Tokens(0) && !self.view.knows("p") {
+        if used > Tokens(0) && !self.view.has_program("p") {
             let record = after.slice("p", budget, used);
             records.push((self.key(name), Some(BudgetRecord::Slice(record))));
         }
@@ -198,7 +198,7 @@
                 Step::BecomeHome => process.become_home(name, &mut partition),
                 Step::FailToRelease => {
                     process.home = None;
-                    process.slices.end_standing();
+                    process.slices.release_standing();
                 }
                 Step::Release => process.release(name, &mut partition, program.budget),
             }
@@ -266,9 +266,9 @@
         ("long/b".to_owned(), slice("long", 7_200, 0)),
         ("short/a".to_owned(), slice("short", 0, 400)),
     ];
-    assert!(expired_records(&records, 100_000).is_empty());
-    assert_eq!(expired_records(&records, 7_300_000), ["short/a"]);
-    let after_the_end = expired_records(&records, 7_400_000);
+    assert!(expired_keys(&records, 100_000).is_empty());
+    assert_eq!(expired_keys(&records, 7_300_000), ["short/a"]);
+    let after_the_end = expired_keys(&records, 7_400_000);
     assert_eq!(after_the_end, ["long/a", "long/b", "short/a"]);
 }
 
@@ -311,9 +311,9 @@
 fn a_lost_home_counts_until_its_programs_have_ended() {
     let records = [home(1, 0), home(8, 50_000)];
     let first_safe_ms = 50_000 + HOME_LEASE_MS + 3 * 60_000 + 10_000;
-    assert!(expired_records(&records, first_safe_ms).is_empty());
-    assert_eq!(expired_records(&records, first_safe_ms + 1), ["home/1"]);
-    assert_eq!(expired_records(&records, u64::MAX), ["home/1"]);
+    assert!(expired_keys(&records, first_safe_ms).is_empty());
+    assert_eq!(expired_keys(&records, first_safe_ms + 1), ["home/1"]);
+    assert_eq!(expired_keys(&records, u64::MAX), ["home/1"]);
 }
 
 /// A program that a home began is recorded by another process. That record counts the standing
@@ -332,8 +332,8 @@
     view.end = 2;
     let second = view.next_home(address, "two");
     view.apply("home/two", &BudgetRecord::Home(second.clone()));
-    assert!(view.has_standing("p", first.number));
-    assert!(!view.has_standing("p", second.number));
+    assert!(view.has_standing_slice("p", first.number));
+    assert!(!view.has_standing_slice("p", second.number));
     assert_eq!(view.reserved("p", budget), Tokens(300));
     assert_eq!(
         view.reserved("q", budget),
@@ -390,7 +390,7 @@
         turns += 1;
     }
     process.home = None;
-    process.slices.end_standing();
+    process.slices.release_standing();
     process.become_home(0, &mut partition);
     while process.turn(0, &mut partition, program, Tokens(500)) {
         turns += 1;
--- a/clementinepick/tests/burst.rs
+++ b/clementinepick/tests/burst.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 use std::ops::Range;
 
-use clementinepick::server_choice::{Affinity, PromptPart, ServerChoice};
 use clementinepick::server_list::BackendServer;
+use clementinepick::server_selection::{Affinity, PromptPart, ServerSelector};
 use clementinepick::units::TimeUs;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -98,7 +98,7 @@
 struct World {
     listed: Vec<BackendServer>,
     servers: Vec<Server>,
-    gateways: Vec<ServerChoice>,
+    gateways: Vec<ServerSelector>,
     programs: Vec<Program>,
     /// Programs whose next turn is sent, by time.
     due: BTreeMap<u64, Vec<usize>>,
@@ -121,7 +121,7 @@
         Self {
             listed: listed.collect(),
             servers: (0..SERVERS).map(|_| Server::default()).collect(),
-            gateways: (0..GATEWAYS).map(|_| ServerChoice::default()).collect(),
+            gateways: (0..GATEWAYS).map(|_| ServerSelector::default()).collect(),
             programs: Vec::new(),
             due: BTreeMap::new(),
             random: ChaCha8Rng::seed_from_u64(seed),
@@ -181,7 +181,7 @@
         let now = TimeUs(now_ms * 1_000);
         let chosen = choice.choose(now, &candidates, &[], affinity);
         let id = chosen.expect("a server").id.clone();
-        choice.start(&id, affinity);
+        choice.start_request(&id, affinity);
         let server = self.listed.iter().position(|server| server.id == id);
         let server = server.expect("a listed server");
         let is_kept = program.server.is_none_or(|kept_at| kept_at == server);
@@ -194,7 +194,7 @@
 
     fn end_turn(&mut self, now_ms: u64, number: usize, server: usize) {
         let program = &mut self.programs[number];
-        self.gateways[program.gateway].end(&self.listed[server].id);
+        self.gateways[program.gateway].end_request(&self.listed[server].id);
         program.turns += 1;
         if program.turns < TURNS {
             let next_ms = now_ms + PAUSE_MS;
--- a/clementinepick/tests/common/mod.rs
+++ b/clementinepick/tests/common/mod.rs
@@ -19,7 +19,7 @@
 use clementinepick::journal::{AppendOutcome, JournalAction};
 use clementinepick::message::{Message, Peer};
 use clementinepick::platform::{
-    EngineOrder, EngineState, GenerateBody, OrderBody, ReadAnswer, StoredRecord, StreamName,
+    EngineOrder, EngineState, GenerateBody, OrderBody, ReadResponse, StoredRecord, StreamName,
 };
 use clementinepick::prompt::ChainHash;
 use clementinepick::prompt::{Prompt, Segment};
@@ -578,7 +578,7 @@
         }
     }
 
-    fn read(&self, stream: StreamName, from: Offset) -> ReadAnswer {
+    fn read(&self, stream: StreamName, from: Offset) -> ReadResponse {
         let earliest = self.log.earliest[&stream];
         let records = &self.log.records[&stream];
         let start = from.0.max(earliest);
@@ -587,7 +587,7 @@
             .enumerate()
             .skip(usize::try_from(start).expect("small"))
             .take(500);
-        ReadAnswer {
+        ReadResponse {
             earliest: Offset(earliest),
             end: Offset(records.len() as u64),
             records: part
--- a/clementinepick/tests/membership.rs
+++ b/clementinepick/tests/membership.rs
@@ -1,7 +1,7 @@
 //! Membership: who leaves, is cut off or flaps gets no new work, whatever a list that lags says.
 
 use clementinepick::ids::{Incarnation, VmId};
-use clementinepick::membership::{Membership, MembershipSettings, Standing};
+use clementinepick::membership::{Membership, MembershipSettings, PeerStatus};
 use clementinepick::message::Peer;
 use clementinepick::platform::{Vm, VmRole, VmState};
 use clementinepick::units::{SpanUs, TimeUs};
@@ -46,35 +46,35 @@
             membership: Membership::new(MembershipSettings::default()),
             now: TimeUs(1_000_000),
         };
-        bench.membership.on_list(list(VmState::Live));
+        bench.membership.update_vm_list(list(VmState::Live));
         bench.membership.on_link_up(bench.now, peer(1));
         bench.beat(false, SpanUs(0), 1);
         bench
     }
 
     /// Heartbeats for a while; the standing at the end.
-    fn beat(&mut self, leaving: bool, deaf_for: SpanUs, count: u32) -> Standing {
+    fn beat(&mut self, leaving: bool, deaf_for: SpanUs, count: u32) -> PeerStatus {
         for _ in 0..count {
             self.now = self.now.after(HEARTBEAT);
             let deaf_for = SpanUs(deaf_for.0);
             self.membership
                 .on_heartbeat(self.now, &car(), leaving, deaf_for);
-            self.membership.judge(self.now);
+            self.membership.evaluate(self.now);
         }
-        self.membership.standing(&car())
+        self.membership.status(&car())
     }
 
     fn lose_and_regain(&mut self, incarnation: u64) {
         self.membership.on_link_down(self.now, &car());
-        self.membership.judge(self.now);
+        self.membership.evaluate(self.now);
         self.now = self.now.after(HEARTBEAT);
         self.membership.on_link_up(self.now, peer(incarnation));
     }
 
-    fn silence(&mut self, span: SpanUs) -> Standing {
+    fn silence(&mut self, span: SpanUs) -> PeerStatus {
         self.now = self.now.after(span);
-        self.membership.judge(self.now);
-        self.membership.standing(&car())
+        self.membership.evaluate(self.now);
+        self.membership.status(&car())
     }
 }
 
@@ -83,9 +83,9 @@
 #[test]
 fn a_list_that_lags_does_not_revive_who_leaves() {
     let mut bench = Bench::new();
-    assert_eq!(bench.beat(true, SpanUs(0), 1), Standing::Leaving);
-    bench.membership.on_list(list(VmState::Live));
-    assert_eq!(bench.beat(true, SpanUs(0), 120), Standing::Leaving);
+    assert_eq!(bench.beat(true, SpanUs(0), 1), PeerStatus::Leaving);
+    bench.membership.update_vm_list(list(VmState::Live));
+    assert_eq!(bench.beat(true, SpanUs(0), 120), PeerStatus::Leaving);
 }
 
 // The same, with a link that is lost and regained on the way: the new link says nothing yet, the
@@ -95,21 +95,21 @@
     let mut bench = Bench::new();
     bench.beat(true, SpanUs(0), 1);
     bench.lose_and_regain(1);
-    bench.membership.on_list(list(VmState::Live));
-    bench.membership.judge(bench.now);
-    assert_eq!(bench.membership.standing(&car()), Standing::Leaving);
+    bench.membership.update_vm_list(list(VmState::Live));
+    bench.membership.evaluate(bench.now);
+    assert_eq!(bench.membership.status(&car()), PeerStatus::Leaving);
     bench.lose_and_regain(2);
-    bench.membership.judge(bench.now);
-    assert_eq!(bench.membership.standing(&car()), Standing::Serving);
+    bench.membership.evaluate(bench.now);
+    assert_eq!(bench.membership.status(&car()), PeerStatus::Serving);
 }
 
 #[test]
 fn the_list_alone_takes_work_away() {
     let mut bench = Bench::new();
-    bench.membership.on_list(list(VmState::Leaving));
-    assert_eq!(bench.beat(false, SpanUs(0), 1), Standing::Leaving);
-    bench.membership.on_list(list(VmState::Live));
-    assert_eq!(bench.beat(false, SpanUs(0), 1), Standing::Serving);
+    bench.membership.update_vm_list(list(VmState::Leaving));
+    assert_eq!(bench.beat(false, SpanUs(0), 1), PeerStatus::Leaving);
+    bench.membership.update_vm_list(list(VmState::Live));
+    assert_eq!(bench.beat(false, SpanUs(0), 1), PeerStatus::Serving);
 }
 
 // The VM dies without a word: the list says live, the link stays open. Three seconds later it
@@ -117,8 +117,8 @@
 #[test]
 fn a_silent_peer_is_gone_whatever_the_list_says() {
     let mut bench = Bench::new();
-    assert_eq!(bench.silence(SpanUs::from_ms(2_900)), Standing::Serving);
-    assert_eq!(bench.silence(SpanUs::from_ms(100)), Standing::Gone);
+    assert_eq!(bench.silence(SpanUs::from_ms(2_900)), PeerStatus::Serving);
+    assert_eq!(bench.silence(SpanUs::from_ms(100)), PeerStatus::Gone);
 }
 
 // The network drops what this process sends to the sidecar, and not what comes back: heartbeats
@@ -127,9 +127,9 @@
 #[test]
 fn a_cut_in_one_direction_takes_work_away() {
     let mut bench = Bench::new();
-    assert_eq!(bench.beat(false, SpanUs::from_s(1), 2), Standing::Serving);
-    assert_eq!(bench.beat(false, SpanUs::from_s(3), 1), Standing::Deaf);
-    assert_eq!(bench.beat(false, SpanUs(0), 1), Standing::Serving);
+    assert_eq!(bench.beat(false, SpanUs::from_s(1), 2), PeerStatus::Serving);
+    assert_eq!(bench.beat(false, SpanUs::from_s(3), 1), PeerStatus::Deaf);
+    assert_eq!(bench.beat(false, SpanUs(0), 1), PeerStatus::Serving);
 }
 
 // A link breaks every few seconds. Each time, the calls that run there are lost and tried again
@@ -140,14 +140,14 @@
     let mut bench = Bench::new();
     for _ in 0..2 {
         bench.lose_and_regain(1);
-        assert_eq!(bench.beat(false, SpanUs(0), 4), Standing::Serving);
+        assert_eq!(bench.beat(false, SpanUs(0), 4), PeerStatus::Serving);
     }
     bench.lose_and_regain(1);
-    assert_eq!(bench.beat(false, SpanUs(0), 4), Standing::Flapping);
-    assert_eq!(bench.beat(false, SpanUs(0), 16), Standing::Serving);
+    assert_eq!(bench.beat(false, SpanUs(0), 4), PeerStatus::Flapping);
+    assert_eq!(bench.beat(false, SpanUs(0), 16), PeerStatus::Serving);
     bench.lose_and_regain(1);
-    assert_eq!(bench.beat(false, SpanUs(0), 36), Standing::Flapping);
-    assert_eq!(bench.beat(false, SpanUs(0), 4), Standing::Serving);
+    assert_eq!(bench.beat(false, SpanUs(0), 36), PeerStatus::Flapping);
+    assert_eq!(bench.beat(false, SpanUs(0), 4), PeerStatus::Serving);
 }
 
 // A sidecar is replaced three times within a minute, each time after it said that it leaves. That
@@ -159,7 +159,7 @@
         bench.beat(true, SpanUs(0), 1);
         bench.lose_and_regain(life);
     }
-    assert_eq!(bench.beat(false, SpanUs(0), 1), Standing::Serving);
+    assert_eq!(bench.beat(false, SpanUs(0), 1), PeerStatus::Serving);
 }
 
 // The link of a former life comes up after that of the new one, through a slow path. It must not
@@ -229,15 +229,15 @@
                 Step::Listed(leaving) => {
                     listed_leaving = leaving;
                     let state = if leaving { VmState::Leaving } else { VmState::Live };
-                    membership.on_list(list(state));
+                    membership.update_vm_list(list(state));
                 }
                 Step::Wait(ms) => now = now.after(SpanUs::from_ms(ms)),
             }
-            membership.judge(now);
+            membership.evaluate(now);
             let may = linked && now.since(heard) < silence && deaf < silence && !left && !listed_leaving;
-            let standing = membership.standing(&car());
-            prop_assert!(may || standing > Standing::Flapping, "{standing}");
-            prop_assert!(!may || standing <= Standing::Flapping, "{standing}");
+            let standing = membership.status(&car());
+            prop_assert!(may || standing > PeerStatus::Flapping, "{standing}");
+            prop_assert!(!may || standing <= PeerStatus::Flapping, "{standing}");
         }
     }
 }
--- a/clementinepick/tests/peer_liveness.rs
+++ b/clementinepick/tests/peer_liveness.rs
@@ -19,9 +19,9 @@
 fn a_peer_that_answers_between_failures_is_not_lost() {
     let mut liveness = PeerLiveness::default();
     for second in 0..20 {
-        liveness.failed(at_ms(second * 1_000), peer());
+        liveness.record_failure(at_ms(second * 1_000), peer());
         assert!(liveness.is_silent(at_ms(second * 1_000 + 100), peer()));
-        liveness.answered(peer());
+        liveness.record_answer(peer());
         assert!(!liveness.is_silent(at_ms(second * 1_000 + 200), peer()));
     }
     assert!(liveness.lost(at_ms(20_000)).is_empty());
@@ -32,16 +32,16 @@
 #[test]
 fn a_peer_that_answers_nothing_is_lost_until_it_answers() {
     let mut liveness = PeerLiveness::default();
-    liveness.failed(at_ms(0), peer());
-    liveness.failed(at_ms(1_100), peer());
+    liveness.record_failure(at_ms(0), peer());
+    liveness.record_failure(at_ms(1_100), peer());
     assert!(!liveness.is_lost(at_ms(1_100), peer()));
-    liveness.failed(at_ms(2_200), peer());
+    liveness.record_failure(at_ms(2_200), peer());
     assert!(liveness.is_lost(at_ms(2_200), peer()));
     assert!(liveness.lost(at_ms(12_000)).contains(&peer()));
     assert!(!liveness.is_silent(at_ms(12_300), peer()), "asked again");
-    liveness.failed(at_ms(12_300), peer());
+    liveness.record_failure(at_ms(12_300), peer());
     assert!(liveness.is_lost(at_ms(12_300), peer()));
-    liveness.answered(peer());
+    liveness.record_answer(peer());
     assert!(!liveness.is_silent(at_ms(12_400), peer()));
 }
 
@@ -51,11 +51,11 @@
 #[test]
 fn failures_with_no_call_between_them_are_no_silence() {
     let mut liveness = PeerLiveness::default();
-    liveness.failed(at_ms(0), peer());
-    liveness.failed(at_ms(30_000), peer());
+    liveness.record_failure(at_ms(0), peer());
+    liveness.record_failure(at_ms(30_000), peer());
     assert!(!liveness.is_lost(at_ms(30_000), peer()));
-    liveness.failed(at_ms(31_100), peer());
+    liveness.record_failure(at_ms(31_100), peer());
     assert!(!liveness.is_lost(at_ms(31_100), peer()));
-    liveness.failed(at_ms(32_200), peer());
+    liveness.record_failure(at_ms(32_200), peer());
     assert!(liveness.is_lost(at_ms(32_200), peer()));
 }
--- a/clementinepick/tests/server_choice.rs
+++ b/clementinepick/tests/server_selection.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-use clementinepick::server_choice::{Affinity, PromptPart, ServerChoice};
 use clementinepick::server_list::BackendServer;
+use clementinepick::server_selection::{Affinity, PromptPart, ServerSelector};
 use clementinepick::units::{SpanUs, TimeUs};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -45,12 +45,12 @@
 fn plain_requests_go_where_the_load_is_least() {
     let servers = servers(3);
     let candidates: Vec<&BackendServer> = servers.iter().collect();
-    let mut choice = ServerChoice::default();
+    let mut choice = ServerSelector::default();
     let mut counts: BTreeMap<String, u32> = BTreeMap::new();
     for _ in 0..30 {
         let chosen = choice.choose(NOW, &candidates, &[], Affinity::default());
         let id = chosen.expect("a server").id.clone();
-        choice.start(&id, Affinity::default());
+        choice.start_request(&id, Affinity::default());
         *counts.entry(id).or_default() += 1;
     }
     assert!(counts.values().all(|count| *count == 10), "{counts:?}");
@@ -60,14 +60,14 @@
 fn a_line_of_turns_stays_where_it_is_kept() {
     let servers = servers(6);
     let candidates: Vec<&BackendServer> = servers.iter().collect();
-    let mut choice = ServerChoice::default();
+    let mut choice = ServerSelector::default();
     let line = parts("line", 3_000);
     let first = choice.choose(NOW, &candidates, &[], affinity(&line));
     let first = first.expect("a server").id.clone();
-    choice.start(&first, affinity(&line));
+    choice.start_request(&first, affinity(&line));
     for number in 0..10 {
         let other = parts(&format!("other-{number}"), 500);
-        choice.start(&first, affinity(&other));
+        choice.start_request(&first, affinity(&other));
     }
     let next = choice.choose(NOW, &candidates, &[], affinity(&line));
     assert_eq!(next.expect("a server").id, first);
@@ -79,7 +79,7 @@
 fn processes_agree_on_a_line_without_speaking() {
     let servers = servers(9);
     let candidates: Vec<&BackendServer> = servers.iter().collect();
-    let (one, other) = (ServerChoice::default(), ServerChoice::default());
+    let (one, other) = (ServerSelector::default(), ServerSelector::default());
     for number in 0..50 {
         let line = parts(&format!("line-{number}"), 2_000);
         let first = one.choose(NOW, &candidates, &[], affinity(&line));
@@ -92,7 +92,7 @@
 fn the_record_of_the_turn_before_names_the_server() {
     let servers = servers(9);
     let candidates: Vec<&BackendServer> = servers.iter().collect();
-    let choice = ServerChoice::default();
+    let choice = ServerSelector::default();
     let line = parts("line", 5_000);
     for server in &servers {
         let affinity = Affinity {
@@ -110,21 +110,21 @@
 fn a_failing_server_is_passed_over_and_tried_again() {
     let servers = servers(2);
     let candidates: Vec<&BackendServer> = servers.iter().collect();
-    let mut choice = ServerChoice::default();
-    choice.start("e-1", Affinity::default());
-    let chosen = |choice: &ServerChoice, now: TimeUs| {
+    let mut choice = ServerSelector::default();
+    choice.start_request("e-1", Affinity::default());
+    let chosen = |choice: &ServerSelector, now: TimeUs| {
         let server = choice.choose(now, &candidates, &[], Affinity::default());
         server.expect("a server").id.clone()
     };
     assert_eq!(chosen(&choice, NOW), "e-0");
     for _ in 0..10 {
-        choice.failed(NOW, "e-0");
+        choice.record_failure(NOW, "e-0");
     }
     assert_eq!(chosen(&choice, NOW), "e-1");
     assert_eq!(chosen(&choice, NOW.after(SpanUs::from_ms(1_900))), "e-1");
     assert_eq!(chosen(&choice, NOW.after(SpanUs::from_ms(2_100))), "e-0");
     let back = NOW.after(SpanUs::from_ms(100));
-    choice.answered(back, "e-0", false);
+    choice.record_answer(back, "e-0", false);
     assert_eq!(chosen(&choice, back.after(SpanUs::from_ms(1_500))), "e-0");
 }
 
@@ -135,7 +135,7 @@
 fn a_server_that_fails_now_and_then_gets_little() {
     let servers = servers(5);
     let candidates: Vec<&BackendServer> = servers.iter().collect();
-    let mut choice = ServerChoice::default();
+    let mut choice = ServerSelector::default();
     let mut random = ChaCha8Rng::seed_from_u64(7);
     let mut lost = [0; 3];
     let mut to_grey = [0; 3];
@@ -145,7 +145,7 @@
         let phase = usize::from(call >= 1_000) + usize::from(call >= 1_500);
         let chosen = choice.choose(now, &candidates, &[], Affinity::default());
         let id = chosen.expect("a server").id.clone();
-        choice.start(&id, Affinity::default());
+        choice.start_request(&id, Affinity::default());
         let is_grey = id == "e-0" || id == "e-1";
         to_grey[phase] += u32::from(is_grey);
         running.push_back(id);
@@ -153,12 +153,12 @@
         if running.len() > 8 {
             let id = running.pop_front().expect("a call");
             let is_grey = id == "e-0" || id == "e-1";
-            choice.end(&id);
+            choice.end_request(&id);
             if phase == 0 && is_grey && random.random::<f64>() < 0.4 {
-                choice.failed(now, &id);
+                choice.record_failure(now, &id);
                 lost[phase] += 1;
             } else {
-                choice.answered(now, &id, false);
+                choice.record_answer(now, &id, false);
             }
         }
     }
@@ -176,25 +176,25 @@
     for is_another in [false, true] {
         let servers = servers(5);
         let candidates: Vec<&BackendServer> = servers.iter().collect();
-        let mut choice = ServerChoice::default();
+        let mut choice = ServerSelector::default();
         let mut running: VecDeque<String> = VecDeque::new();
         let mut refused = 0;
         for call in 0..1_000_u64 {
             let now = NOW.after(SpanUs::from_ms(call * 10));
             let chosen = choice.choose(now, &candidates, &[], Affinity::default());
             let id = chosen.expect("a server").id.clone();
-            choice.start(&id, Affinity::default());
+            choice.start_request(&id, Affinity::default());
             if id == "e-0" {
-                choice.end(&id);
-                choice.refused(now, &id, is_another);
+                choice.end_request(&id);
+                choice.record_refusal(now, &id, is_another);
                 refused += 1;
                 continue;
             }
             running.push_back(id);
             if running.len() > 8 {
                 let id = running.pop_front().expect("a call");
-                choice.end(&id);
-                choice.answered(now, &id, false);
+                choice.end_request(&id);
+                choice.record_answer(now, &id, false);
             }
         }
         assert!(refused <= 50, "{refused} of 1,000 refused");
@@ -205,8 +205,8 @@
 fn a_lone_paused_server_is_still_used() {
     let servers = servers(1);
     let candidates: Vec<&BackendServer> = servers.iter().collect();
-    let mut choice = ServerChoice::default();
-    choice.failed(NOW, "e-0");
+    let mut choice = ServerSelector::default();
+    choice.record_failure(NOW, "e-0");
     let chosen = choice.choose(NOW, &candidates, &[], Affinity::default());
     assert!(chosen.is_some());
     let tried = ["e-0".to_owned()];
@@ -224,14 +224,14 @@
 fn a_full_server_keeps_its_lines() {
     let servers = servers(9);
     let candidates: Vec<&BackendServer> = servers.iter().collect();
-    let mut choice = ServerChoice::default();
+    let mut choice = ServerSelector::default();
     let line = parts("line", 3_000);
     let keeps_it = servers[4].id.clone();
-    choice.start(&keeps_it, affinity(&line));
-    choice.end(&keeps_it);
+    choice.start_request(&keeps_it, affinity(&line));
+    choice.end_request(&keeps_it);
     for server in &servers {
         for _ in 0..if server.id == keeps_it { 67 } else { 62 } {
-            choice.start(&server.id, Affinity::default());
+            choice.start_request(&server.id, Affinity::default());
         }
     }
     let next = choice.choose(NOW, &candidates, &[], affinity(&line));
@@ -244,25 +244,25 @@
 fn a_server_that_started_anew_keeps_nothing() {
     let servers = servers(9);
     let candidates: Vec<&BackendServer> = servers.iter().collect();
-    let mut choice = ServerChoice::default();
+    let mut choice = ServerSelector::default();
     let line = parts("line", 5_000);
     let by_rank = choice.choose(NOW, &candidates, &[], affinity(&line));
     let by_rank = by_rank.expect("a server").id.clone();
     let other = servers.iter().find(|server| server.id != by_rank);
     let other = other.expect("another server").id.clone();
-    choice.note_start(&other, Some(1));
-    choice.start(&other, affinity(&line));
-    choice.end(&other);
-    let chosen = |choice: &ServerChoice| {
+    choice.record_start_time(&other, Some(1));
+    choice.start_request(&other, affinity(&line));
+    choice.end_request(&other);
+    let chosen = |choice: &ServerSelector| {
         let chosen = choice.choose_with_reason(NOW, &candidates, &[], affinity(&line));
         let (server, reason) = chosen.expect("a server");
         (server.id.clone(), reason.to_string())
     };
     let kept = "load 0, 0 tokens to read, keeps the line".to_owned();
     assert_eq!(chosen(&choice), (other.clone(), kept.clone()));
-    choice.note_start(&other, Some(1));
+    choice.record_start_time(&other, Some(1));
     assert_eq!(chosen(&choice), (other.clone(), kept));
-    choice.note_start(&other, Some(2));
+    choice.record_start_time(&other, Some(2));
     let (server, reason) = chosen(&choice);
     assert_eq!(server, by_rank);
     assert_eq!(reason, "load 0, 13100 tokens to read, rank 0");
--- a/clementinepick/tests/traffic_config.rs
+++ b/clementinepick/tests/traffic_config.rs
@@ -50,7 +50,7 @@
 #[test]
 fn services_share_requests_by_weight() {
     let route = route("h", "/", &[("a", 9), ("b", 1)]);
-    let to_b = (0..1_000).filter(|draw| route.service(*draw) == Some("b"));
+    let to_b = (0..1_000).filter(|draw| route.choose_service(*draw) == Some("b"));
     assert_eq!(to_b.count(), 100);
 }
 
--- a/clementinepick/tests/turn_chain.rs
+++ b/clementinepick/tests/turn_chain.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use clementinepick::record_age::KEPT_RETENTIONS;
-use clementinepick::turn_chain::{Turn, TurnRecord, needs_whole_chain, prompt};
+use clementinepick::turn_chain::{Turn, TurnRecord, build_prompt, needs_whole_chain};
 
 fn turn(id: &str, parent: Option<Arc<Turn>>, recorded_unix_ms: u64) -> Arc<Turn> {
     Arc::new(Turn {
@@ -23,9 +23,15 @@
     let second = turn("b", Some(Arc::clone(&first)), 1);
     let other = turn("c", Some(first), 2);
     let input = Bytes::from("new");
-    assert_eq!(prompt(None, &input), "new");
-    assert_eq!(prompt(Some(&second), &input), "<a>a-out\n<b>b-out\nnew");
-    assert_eq!(prompt(Some(&other), &input), "<a>a-out\n<c>c-out\nnew");
+    assert_eq!(build_prompt(None, &input), "new");
+    assert_eq!(
+        build_prompt(Some(&second), &input),
+        "<a>a-out\n<b>b-out\nnew"
+    );
+    assert_eq!(
+        build_prompt(Some(&other), &input),
+        "<a>a-out\n<c>c-out\nnew"
+    );
 }
 
 #[test]
--- a/clementinepickctl/src/client.rs
+++ b/clementinepickctl/src/client.rs
@@ -6,7 +6,7 @@
 use awc::{Client, ClientResponse};
 use clementinepick::ids::Offset;
 use clementinepick::journal::AppendOutcome;
-use clementinepick::platform::{AppendAnswer, AppendBody, ReadAnswer, StreamName, Vm};
+use clementinepick::platform::{AppendBody, AppendResponse, ReadResponse, StreamName, Vm};
 use clementinepick::record::Record;
 use percent_encoding::{NON_ALPHANUMERIC, utf8_percent_encode};
 use serde::de::DeserializeOwned;
@@ -48,7 +48,7 @@
     }
 
     /// Reads the configuration stream; `None` when the log gives no answer.
-    pub async fn read(&self, log: &str, from: Offset) -> Option<ReadAnswer> {
+    pub async fn read(&self, log: &str, from: Offset) -> Option<ReadResponse> {
         let stream = StreamName::Config;
         let path = format!("/v1/streams/{stream}?from={from}&max={READ_COUNT}");
         self.get(log, &path).await.ok()
@@ -64,7 +64,7 @@
         let sent = self.client.post(url).send_json(&AppendBody { records });
         match sent.await {
             Ok(mut response) if response.status().is_success() => {
-                let answer = response.json::<AppendAnswer>().await;
+                let answer = response.json::<AppendResponse>().await;
                 answer.map_or(AppendOutcome::Unknown, |answer| {
                     AppendOutcome::Appended(answer.first_offset)
                 })
--- a/clementinepickctl/src/history.rs
+++ b/clementinepickctl/src/history.rs
@@ -2,7 +2,7 @@
 
 use clementinepick::config_replay::{ConfigReplay, Publication};
 use clementinepick::ids::{Offset, OperationId, ServiceName};
-use clementinepick::platform::ReadAnswer;
+use clementinepick::platform::ReadResponse;
 use clementinepick::record::RecordBody;
 use serde_json::{Value, json};
 
@@ -31,7 +31,7 @@
     }
 
     /// Takes a part of the stream; says whether there is more.
-    pub fn take(&mut self, answer: &ReadAnswer) -> bool {
+    pub fn take(&mut self, answer: &ReadResponse) -> bool {
         for record in self.reader.take(answer) {
             self.keep_text(record.body);
         }
--- a/clementinepickctl/src/publish.rs
+++ b/clementinepickctl/src/publish.rs
@@ -9,7 +9,7 @@
     Incarnation, Offset, OperationId, RecordId, Revision, ServiceName, VmId,
 };
 use clementinepick::journal::AppendOutcome;
-use clementinepick::platform::ReadAnswer;
+use clementinepick::platform::ReadResponse;
 use clementinepick::record::{Record, RecordBody};
 use clementinepick::units::SpanUs;
 
@@ -143,7 +143,7 @@
     }
 
     /// Takes the log's answer to a read; `None` when it failed.
-    pub fn on_read(&mut self, answer: Option<&ReadAnswer>) -> Step {
+    pub fn on_read(&mut self, answer: Option<&ReadResponse>) -> Step {
         let Some(answer) = answer else {
             return match self.fail() {
                 Some(wait) => self.read(wait),
--- a/clementinepickctl/src/reader.rs
+++ b/clementinepickctl/src/reader.rs
@@ -2,7 +2,7 @@
 
 use clementinepick::config_replay::ConfigReplay;
 use clementinepick::ids::Offset;
-use clementinepick::platform::ReadAnswer;
+use clementinepick::platform::ReadResponse;
 use clementinepick::record::Record;
 
 /// What was read of the configuration stream so far.
@@ -15,7 +15,7 @@
 
 impl ConfigReader {
     /// Replays a part of the stream; returns the records that were new.
-    pub(crate) fn take(&mut self, answer: &ReadAnswer) -> Vec<Record> {
+    pub(crate) fn take(&mut self, answer: &ReadResponse) -> Vec<Record> {
         if answer.earliest > self.position {
             self.replay.on_gap(answer.earliest);
             self.position = answer.earliest;
--- a/clementinepickctl/tests/publish.rs
+++ b/clementinepickctl/tests/publish.rs
@@ -3,7 +3,7 @@
 use clementinepick::config_replay::Verdict;
 use clementinepick::ids::{Offset, OperationId, Revision};
 use clementinepick::journal::AppendOutcome;
-use clementinepick::platform::{ReadAnswer, StoredRecord};
+use clementinepick::platform::{ReadResponse, StoredRecord};
 use clementinepick::record::Record;
 use clementinepick::units::SpanUs;
 use clementinepickctl::exit::ExitCode;
@@ -32,7 +32,7 @@
 }
 
 impl Log {
-    fn read(&mut self, from: Offset) -> Option<ReadAnswer> {
+    fn read(&mut self, from: Offset) -> Option<ReadResponse> {
         if self.reads_fail {
             return None;
         }
@@ -42,7 +42,7 @@
                 offset: Offset(offset),
                 text: serde_json::to_string(record).expect("serializable"),
             });
-        let answer = ReadAnswer {
+        let answer = ReadResponse {
             earliest: Offset(0),
             end: Offset(self.records.len() as u64),
             records: stored.filter(|stored| stored.offset >= from).collect(),
--- a/clementinepickd/src/engine_client.rs
+++ b/clementinepickd/src/engine_client.rs
@@ -9,8 +9,8 @@
 use awc::http::StatusCode;
 use clementinepick::ids::{AttemptId, VmId};
 use clementinepick::platform::{
-    CacheEventsAnswer, CancelBody, EngineState, GenerateBody, GenerateLine, LoadReport, OrderBody,
-    ReleaseAnswer, ReleaseBody, ResumeBody, RetainBody,
+    CacheEventsResponse, CancelBody, EngineState, GenerateBody, GenerateLine, LoadReport,
+    OrderBody, ReleaseBody, ReleaseResponse, ResumeBody, RetainBody,
 };
 use clementinepick::sidecar::{BackendEvent, SidecarAction, SidecarInput};
 use futures_util::StreamExt;
@@ -100,7 +100,7 @@
             }
             SidecarAction::Release { program, chains } => tasks.spawn(async move {
                 let body = ReleaseBody { chains };
-                let freed: Option<ReleaseAnswer> = engine.post("/v1/cache/release", &body).await;
+                let freed: Option<ReleaseResponse> = engine.post("/v1/cache/release", &body).await;
                 if freed.is_none() {
                     actix_rt::time::sleep(RELEASE_PAUSE).await;
                 }
@@ -115,7 +115,7 @@
             SidecarAction::Retain { chains } => tasks.spawn(async move {
                 let body = RetainBody { chains };
                 // A list that gets lost is made good by the next one.
-                let _: Option<ReleaseAnswer> = engine.post("/v1/cache/retain", &body).await;
+                let _: Option<ReleaseResponse> = engine.post("/v1/cache/retain", &body).await;
             }),
             SidecarAction::Order { from, order } => {
                 tasks.spawn(async move { engine.order(from, order).await });
@@ -331,8 +331,8 @@
             engine.report(SidecarInput::Engine(state)).await;
         }
         let path = format!("/v1/cache/events?after={after}");
-        let cache: Option<CacheEventsAnswer> = engine.get(&path).await;
-        if let Some(CacheEventsAnswer { first, events }) = cache {
+        let cache: Option<CacheEventsResponse> = engine.get(&path).await;
+        if let Some(CacheEventsResponse { first, events }) = cache {
             let next = first + events.len() as u64;
             if next != after {
                 after = next;
--- a/clementinepickd/src/gateway_exchange.rs
+++ b/clementinepickd/src/gateway_exchange.rs
@@ -5,8 +5,8 @@
 
 use actix_http::{ResponseHead, Uri};
 use actix_rt::time::timeout;
-use clementinepick::server_choice::{Affinity, PlacingReason};
 use clementinepick::server_list::BackendServer;
+use clementinepick::server_selection::{Affinity, SelectionReason};
 use clementinepick::traffic_config::TrafficRoute;
 use platform::request::{RequestInfo, SendInfo, forwarded};
 
@@ -49,7 +49,7 @@
         let now = shared.now_us(Instant::now());
         let has_failed = self.head.status.is_server_error();
         let mut choice = shared.choice.borrow_mut();
-        choice.answered(now, &self.slot.server.id, has_failed);
+        choice.record_answer(now, &self.slot.server.id, has_failed);
         drop(choice);
         shared
             .pool
@@ -62,7 +62,7 @@
     shared: Rc<Shared>,
     pub(crate) server: BackendServer,
     /// Why it was chosen.
-    pub(crate) reason: PlacingReason,
+    pub(crate) reason: SelectionReason,
 }
 
 impl ServerSlot {
@@ -74,7 +74,7 @@
 
 impl Drop for ServerSlot {
     fn drop(&mut self) {
-        self.shared.choice.borrow_mut().end(&self.server.id);
+        self.shared.choice.borrow_mut().end_request(&self.server.id);
     }
 }
 
@@ -111,7 +111,7 @@
         let now = shared.now_us(Instant::now());
         let (server, reason) = choice.choose_with_reason(now, &candidates, tried, affinity)?;
         let server = server.clone();
-        choice.start(&server.id, affinity);
+        choice.start_request(&server.id, affinity);
         drop(choice);
         Some(ServerSlot {
             shared: Rc::clone(shared),
--- a/clementinepickd/src/gateway_house.rs
+++ b/clementinepickd/src/gateway_house.rs
@@ -51,7 +51,7 @@
 fn note_servers(shared: &Shared, servers: &BTreeMap<String, BackendServer>) {
     let mut choice = shared.choice.borrow_mut();
     for server in servers.values() {
-        choice.note_start(&server.id, server.started_unix_ms);
+        choice.record_start_time(&server.id, server.started_unix_ms);
     }
     choice.retain(|id| servers.contains_key(id));
 }
--- a/clementinepickd/src/gateway_ledger.rs
+++ b/clementinepickd/src/gateway_ledger.rs
@@ -45,7 +45,7 @@
     drop(in_use);
     let view = state.view.borrow();
     let held = shared.budgets.held_of(id);
-    if held.is_none() && !view.knows(id) {
+    if held.is_none() && !view.has_program(id) {
         return Err(LedgerError::UnknownTurn);
     }
     let held = held.map(|slices| {
--- a/clementinepickd/src/gateway_request.rs
+++ b/clementinepickd/src/gateway_request.rs
@@ -192,7 +192,7 @@
     let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
     let path = request.head.uri().path();
     let route = config.route(host, path).ok_or(Refusal::NoRoute)?;
-    let service = route.service(rand::rng().random());
+    let service = route.choose_service(rand::rng().random());
     let timeout = duration(route.timeout_us);
     Ok(Job {
         received: request,
--- a/clementinepickd/src/gateway_shared.rs
+++ b/clementinepickd/src/gateway_shared.rs
@@ -10,7 +10,7 @@
 
 use clementinepick::event::{Event, EventKind};
 use clementinepick::retry::RetryBudget;
-use clementinepick::server_choice::ServerChoice;
+use clementinepick::server_selection::ServerSelector;
 use clementinepick::traffic_config::CallerLimits;
 use clementinepick::units::{Percent, TimeUs, Tokens};
 use slog::Logger;
@@ -50,7 +50,7 @@
     /// Where peers reach this process.
     pub(crate) peer_address: SocketAddr,
     pub(crate) pool: Pool,
-    pub(crate) choice: RefCell<ServerChoice>,
+    pub(crate) choice: RefCell<ServerSelector>,
     pub(crate) metrics: Arc<GatewayMetrics>,
     retries: RefCell<BTreeMap<String, RetryBudget>>,
     /// The bytes of request bodies that are held.
@@ -178,13 +178,15 @@
     /// Passes a server over for a while.
     pub(crate) fn note_failure(&self, server: &str) {
         let now = self.now_us(Instant::now());
-        self.choice.borrow_mut().failed(now, server);
+        self.choice.borrow_mut().record_failure(now, server);
     }
 
     /// Notes that a server refused a request without running it.
     pub(crate) fn note_refusal(&self, server: &str, is_another: bool) {
         let now = self.now_us(Instant::now());
-        self.choice.borrow_mut().refused(now, server, is_another);
+        self.choice
+            .borrow_mut()
+            .record_refusal(now, server, is_another);
     }
 
     /// From now on this process is not ready, and each answer ends its connection.
@@ -239,13 +241,16 @@
     pub(crate) fn earn_retry(&self, service: &str) {
         let mut retries = self.retries.borrow_mut();
         let budget = retries.entry(service.to_owned()).or_default();
-        budget.on_call(Percent::new(RETRY_PERCENT).unwrap_or_default());
+        budget.deposit(Percent::new(RETRY_PERCENT).unwrap_or_default());
     }
 
     /// Whether a request for a service may be sent again.
     pub(crate) fn take_retry(&self, service: &str, kind: &'static str) -> bool {
         let mut retries = self.retries.borrow_mut();
-        let may_retry = retries.entry(service.to_owned()).or_default().take();
+        let may_retry = retries
+            .entry(service.to_owned())
+            .or_default()
+            .try_withdraw();
         if may_retry {
             self.metrics.count_retry(kind);
         }
--- a/clementinepickd/src/gateway_stream.rs
+++ b/clementinepickd/src/gateway_stream.rs
@@ -11,8 +11,8 @@
 use clementinepick::event::{Event, EventKind};
 use clementinepick::event_stream::{EventSplitter, StreamEvent};
 use clementinepick::refusal::Refusal;
-use clementinepick::server_choice::PromptPart;
-use clementinepick::turn_chain::{Turn, prompt};
+use clementinepick::server_selection::PromptPart;
+use clementinepick::turn_chain::{Turn, build_prompt};
 use clementinepick::units::Tokens;
 
 use crate::gateway_attempts::{Attempts, TryEnd};
@@ -78,7 +78,7 @@
         trace,
         covered: hold.as_ref().map_or(Tokens(0), BudgetHold::turn),
         hold,
-        body: prompt(previous.as_ref(), &job.received.body),
+        body: build_prompt(previous.as_ref(), &job.received.body),
         last_server: previous
             .as_ref()
             .and_then(|turn| turn.server.clone())
--- a/clementinepickd/src/gateway_trace.rs
+++ b/clementinepickd/src/gateway_trace.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use clementinepick::event::Event;
-use clementinepick::server_choice::PlacingReason;
+use clementinepick::server_selection::SelectionReason;
 
 /// The steps of a request as they are reached.
 #[derive(Debug, Default)]
@@ -18,7 +18,7 @@
     pub(crate) status: Cell<u16>,
     servers: RefCell<Vec<String>>,
     /// Why each of them was chosen.
-    reasons: RefCell<Vec<PlacingReason>>,
+    reasons: RefCell<Vec<SelectionReason>>,
     admitted: Cell<Option<Instant>>,
     placed: Cell<Option<Instant>>,
     first_byte: Cell<Option<Instant>>,
@@ -33,7 +33,7 @@
     }
 
     /// The request is about to be sent to a server.
-    pub(crate) fn place(&self, server: &str, reason: PlacingReason, now: Instant) {
+    pub(crate) fn place(&self, server: &str, reason: SelectionReason, now: Instant) {
         self.may_have_run.set(true);
         self.placed.set(Some(now));
         self.servers.borrow_mut().push(server.to_owned());
--- a/clementinepickd/src/ledger_budgets.rs
+++ b/clementinepickd/src/ledger_budgets.rs
@@ -10,7 +10,7 @@
     BudgetRecord, ProgramSlices, SliceDecision, SliceRecord, first_grant,
 };
 use clementinepick::record_age::KEPT_RETENTIONS;
-use clementinepick::server_choice::PromptPart;
+use clementinepick::server_selection::PromptPart;
 use clementinepick::units::{SpanUs, Tokens};
 use platform::store::{KeyedRecord, MAX_KEY_BYTES};
 use tokio::sync::mpsc;
@@ -148,7 +148,7 @@
         if !self.is_usable(request.program, state, now) {
             return None;
         }
-        let turn = state.slices.start_rest(least)?;
+        let turn = state.slices.start_with_remaining(least)?;
         state.used_at = Some(now);
         let rest = BudgetRequest { turn, ..*request };
         Some(BudgetHold::new(self, &rest, None))
@@ -231,7 +231,7 @@
             self.append_next(partition, state, &records, deadline)
                 .await?;
             let known = state.view.borrow();
-            if let Some(tokens) = known.tokens(request.program, &key) {
+            if let Some(tokens) = known.slice_tokens(request.program, &key) {
                 let grant = SliceGrant {
                     tokens,
                     reserved: known.reserved(request.program, request.budget),
@@ -258,7 +258,7 @@
             Tokens(0)
         } else {
             match view.decide(request.program, request.budget, request.turn) {
-                SliceDecision::Spent => {
+                SliceDecision::Exhausted => {
                     return Err(LedgerError::Spent {
                         reserved: view.reserved(request.program, request.budget),
                         holders: view.holders(request.program),
@@ -316,7 +316,7 @@
             return;
         };
         let view = state.view.borrow();
-        let counts = view.has_standing(request.program, home.number);
+        let counts = view.has_standing_slice(request.program, home.number);
         if !counts && !Safeguard::StandingCount.is_left_out() {
             return;
         }
@@ -330,7 +330,7 @@
         program.standing_home = Some(home.number);
         program.slices.standing = tokens;
         program.slices.granted.0 += tokens.0;
-        if !view.knows(request.program) {
+        if !view.has_program(request.program) {
             program.recorded_at = Some(now);
         }
     }
@@ -440,8 +440,8 @@
             if !is_here || program.slices.standing == Tokens(0) {
                 continue;
             }
-            let tokens = program.slices.end_standing();
-            if tokens > Tokens(0) && !view.knows(name) {
+            let tokens = program.slices.release_standing();
+            if tokens > Tokens(0) && !view.has_program(name) {
                 used.push(UsedStanding {
                     program: name.clone(),
                     key: self.slice_key(name),
--- a/clementinepickd/src/ledger_homes.rs
+++ b/clementinepickd/src/ledger_homes.rs
@@ -132,12 +132,12 @@
     /// Notes that a peer did not answer.
     pub(crate) fn note_silent_peer(&self, peer: SocketAddr, now: Instant) {
         let now = self.clock.at(now);
-        self.liveness.borrow_mut().failed(now, peer);
+        self.liveness.borrow_mut().record_failure(now, peer);
     }
 
     /// Notes that a peer answered.
     pub(crate) fn note_answer(&self, peer: SocketAddr) {
-        self.liveness.borrow_mut().answered(peer);
+        self.liveness.borrow_mut().record_answer(peer);
     }
 
     /// Notes which process is the home of a program's partition.
@@ -210,7 +210,7 @@
         }
         let mut written_at = None;
         loop {
-            let latest = state.view.borrow().home().cloned();
+            let latest = state.view.borrow().latest_home().cloned();
             match latest {
                 Some(home) if home.writer == self.budgets.writer && written_at.is_some() => {
                     state.home.set(written_at.map(|seen_at| HeldHome {
@@ -237,7 +237,7 @@
                 .budgets
                 .append_next(partition, &state, &records, deadline);
             append.await?;
-            let is_written = state.view.borrow().has_key(&records[0].key);
+            let is_written = state.view.borrow().has_home(&records[0].key);
             written_at = is_written.then_some(begun);
         }
     }
@@ -267,7 +267,7 @@
     ) -> Result<(), LedgerError> {
         let in_use = state.in_use.lock().await;
         self.budgets.read_on(partition, state, deadline).await?;
-        let latest = state.view.borrow().home().map(|home| home.number);
+        let latest = state.view.borrow().latest_home().map(|home| home.number);
         let held = state.home.get().map(|home| home.number);
         drop(in_use);
         if latest != held {
@@ -299,7 +299,7 @@
                 .append_next(partition, state, &records, deadline);
             append.await?;
             let key = held.key(&self.budgets.writer);
-            if !state.view.borrow().has_key(&key) {
+            if !state.view.borrow().has_home(&key) {
                 return Ok(());
             }
         }
@@ -317,7 +317,7 @@
         let mut after = view.clone();
         after.drop_key(&key);
         // A program that has records by now counts the whole standing slice there.
-        let used = used.iter().filter(|used| !after.knows(&used.program));
+        let used = used.iter().filter(|used| !after.has_program(&used.program));
         let slices = used.map(|used| KeyedRecord {
             key: used.key.clone(),
             value: Some(to_cbor(&BudgetRecord::Slice(SliceRecord {
--- a/clementinepickd/src/ledger_partitions.rs
+++ b/clementinepickd/src/ledger_partitions.rs
@@ -112,7 +112,7 @@
 
 /// Notes that at `at` no later home was there, if the view says so.
 fn renew(state: &PartitionState, at: Instant) {
-    let latest = state.view.borrow().home().map(|home| home.number);
+    let latest = state.view.borrow().latest_home().map(|home| home.number);
     if let Some(home) = state.home.get()
         && latest == Some(home.number)
     {
--- a/clementinepickd/src/ledger_sweep.rs
+++ b/clementinepickd/src/ledger_sweep.rs
@@ -6,7 +6,7 @@
 
 use std::time::{Duration, Instant};
 
-use clementinepick::budget_ledger::{BudgetRecord, expired_records};
+use clementinepick::budget_ledger::{BudgetRecord, expired_keys};
 use clementinepick::record_age::is_expired;
 use clementinepick::turn_chain::TurnRecord;
 use platform::store::{KeyedRecord, Topic};
@@ -95,7 +95,7 @@
         .read_newest(partition, |page| records.extend(page))
         .await?;
     let keys = match partition.topic {
-        Topic::Budgets(_) => expired_records(&decode_budgets(&records), now_unix_ms),
+        Topic::Budgets(_) => expired_keys(&decode_budgets(&records), now_unix_ms),
         _ => expired_turns(&records, now_unix_ms),
     };
     if keys.is_empty() {
--- a/clementinepickd/src/ledger_turns.rs
+++ b/clementinepickd/src/ledger_turns.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use bytes::Bytes;
-use clementinepick::turn_chain::{Turn, TurnRecord, needs_whole_chain, prompt};
+use clementinepick::turn_chain::{Turn, TurnRecord, build_prompt, needs_whole_chain};
 use clementinepick::units::SpanUs;
 use platform::store::KeyedRecord;
 
@@ -196,7 +196,7 @@
         let retain_ms = retention.as_ms();
         let parent = turn.parent.as_ref();
         if parent.is_some_and(|p| needs_whole_chain(p, turn.recorded_unix_ms, retain_ms)) {
-            turn.input = prompt(turn.parent.as_ref(), &turn.input);
+            turn.input = build_prompt(turn.parent.as_ref(), &turn.input);
             turn.parent = None;
         }
         let partition = self.store.turn_partition(&turn.id);
--- a/clementinepickd/src/log_client.rs
+++ b/clementinepickd/src/log_client.rs
@@ -7,7 +7,7 @@
 use clementinepick::entry::EntryInput;
 use clementinepick::ids::Offset;
 use clementinepick::journal::{AppendOutcome, JournalAction};
-use clementinepick::platform::{AppendAnswer, AppendBody, ReadAnswer, StreamName};
+use clementinepick::platform::{AppendBody, AppendResponse, ReadResponse, StreamName};
 use clementinepick::record::Record;
 
 use crate::clients::{OrderClient, pooled, read_json, url};
@@ -92,7 +92,7 @@
     match response.status() {
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => AppendOutcome::Refused,
         _ => {
-            let answer: Option<AppendAnswer> = read_json(&mut response, MAX_ANSWER_BYTES).await;
+            let answer: Option<AppendResponse> = read_json(&mut response, MAX_ANSWER_BYTES).await;
             answer.map_or(AppendOutcome::Unknown, |answer| {
                 AppendOutcome::Appended(answer.first_offset)
             })
@@ -105,7 +105,7 @@
     address: SocketAddr,
     stream: StreamName,
     from: Offset,
-) -> Option<ReadAnswer> {
+) -> Option<ReadResponse> {
     let path = format!("/v1/streams/{stream}?from={from}&max={MAX_READ_RECORDS}");
     let sent = client.get(url(address, &path)).send().await;
     read_json(&mut sent.ok()?, MAX_READ_BYTES).await
--- a/clementinepickd/src/server_follower.rs
+++ b/clementinepickd/src/server_follower.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use clementinepick::event::{Event, EventKind};
-use clementinepick::list_outage::ListOutage;
+use clementinepick::outage_detector::OutageDetector;
 use clementinepick::server_list::{BackendServer, ServerList};
 use platform::store::Topic;
 
@@ -19,7 +19,7 @@
     context: FollowerContext<'a>,
     watch: TopicWatch,
     clock: SteadyClock,
-    outage: ListOutage,
+    outage: OutageDetector,
     /// The servers that were published last.
     known: BTreeMap<String, BackendServer>,
     /// Those of them whose entries have vanished.
@@ -34,7 +34,7 @@
             context,
             watch: TopicWatch::new(Topic::Servers, now),
             clock: SteadyClock::starting_at(now),
-            outage: ListOutage::default(),
+            outage: OutageDetector::default(),
             known: BTreeMap::new(),
             kept: BTreeSet::new(),
             bad_entries: BTreeMap::new(),
@@ -50,7 +50,7 @@
             match reading.result {
                 Ok(has_changed) => self.take(has_changed || is_settling, Instant::now()),
                 // The client counts the failure; an outage is logged as it ends.
-                Err(_) => self.outage.read_failed(self.clock.at(reading.begun)),
+                Err(_) => self.outage.record_failed_read(self.clock.at(reading.begun)),
             }
         }
     }
@@ -68,7 +68,7 @@
     }
 
     fn note_return(&mut self, now: Instant) {
-        let Some(ended) = self.outage.read_succeeded(self.clock.at(now)) else {
+        let Some(ended) = self.outage.record_successful_read(self.clock.at(now)) else {
             return;
         };
         let event = Event::new(EventKind::ServerListBack)
@@ -80,7 +80,7 @@
     /// The servers to use from now on, if they are others than before.
     fn newer(&mut self, now: Instant) -> Option<BTreeMap<String, BackendServer>> {
         let mut servers = self.decode();
-        let kept = if self.outage.keeps_lapsed(self.clock.at(now)) {
+        let kept = if self.outage.is_in_grace_period(self.clock.at(now)) {
             keep_lapsed(&mut servers, &self.known)
         } else {
             BTreeSet::new()
--- a/standins/src/chaos_platform.rs
+++ b/standins/src/chaos_platform.rs
@@ -3,7 +3,7 @@
 use clementinepick::entry::EntryInput;
 use clementinepick::ids::{Incarnation, Offset, OperationId, RecordId, Revision, VmId};
 use clementinepick::journal::{AppendOutcome, JournalAction};
-use clementinepick::platform::{ReadAnswer, StreamName, Vm, VmRole, VmState};
+use clementinepick::platform::{ReadResponse, StreamName, Vm, VmRole, VmState};
 use clementinepick::record::{Record, RecordBody};
 use rand::RngExt;
 
@@ -36,7 +36,7 @@
     }
 
     pub(crate) fn on_log_read(&mut self, vm: VmId, life: u64, stream: StreamName, from: Offset) {
-        let answer: Option<ReadAnswer> = self.log.read(self.now, stream, from, READ_MAX).ok();
+        let answer: Option<ReadResponse> = self.log.read(self.now, stream, from, READ_MAX).ok();
         let delay = self.log_delay();
         let input = Box::new(EntryInput::LogRead { stream, answer });
         self.schedule_after(delay, Due::LogAnswer { vm, life, input });
--- a/standins/src/chaos_world.rs
+++ b/standins/src/chaos_world.rs
@@ -9,7 +9,7 @@
 use clementinepick::ids::{Offset, ProgramId, RequestId, VmId, ZoneName};
 use clementinepick::journal::AppendOutcome;
 use clementinepick::message::Message;
-use clementinepick::platform::{AppendAnswer, StreamName, Vm, VmRole};
+use clementinepick::platform::{AppendResponse, StreamName, Vm, VmRole};
 use clementinepick::record::Record;
 use clementinepick::safeguards::Safeguards;
 use clementinepick::sidecar::{Sidecar, SidecarInput};
@@ -482,7 +482,7 @@
     }
 }
 
-pub(crate) fn outcome_of(answer: &Result<AppendAnswer, LogError>) -> AppendOutcome {
+pub(crate) fn outcome_of(answer: &Result<AppendResponse, LogError>) -> AppendOutcome {
     match answer {
         Ok(answer) => AppendOutcome::Appended(answer.first_offset),
         Err(LogError::RateLimited(_) | LogError::Down) => AppendOutcome::Refused,
--- a/standins/src/engine_memory.rs
+++ b/standins/src/engine_memory.rs
@@ -1,6 +1,6 @@
 //! What an engine tells and lets others do about its memory: release, export, import, reports.
 
-use clementinepick::platform::{CacheEventsAnswer, CacheImage, LoadReport};
+use clementinepick::platform::{CacheEventsResponse, CacheImage, LoadReport};
 use clementinepick::prompt::ChainHash;
 use clementinepick::units::{Bytes, SpanUs, TimeUs, Tokens};
 
@@ -74,7 +74,7 @@
 
     /// The cache events from number `after` on that can be read by now.
     #[must_use]
-    pub fn cache_events(&self, now: TimeUs, after: u64) -> CacheEventsAnswer {
+    pub fn cache_events(&self, now: TimeUs, after: u64) -> CacheEventsResponse {
         self.feed.read(now, after)
     }
 
--- a/standins/src/engine_reports.rs
+++ b/standins/src/engine_reports.rs
@@ -3,7 +3,7 @@
 
 use std::collections::VecDeque;
 
-use clementinepick::platform::{CacheEvent, CacheEventsAnswer, LoadReport};
+use clementinepick::platform::{CacheEvent, CacheEventsResponse, LoadReport};
 use clementinepick::units::{Percent, SpanUs, TimeUs};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha12Rng;
@@ -137,7 +137,7 @@
     }
 
     /// The readable events from `after` on, up to the next gap.
-    pub(crate) fn read(&self, now: TimeUs, after: u64) -> CacheEventsAnswer {
+    pub(crate) fn read(&self, now: TimeUs, after: u64) -> CacheEventsResponse {
         let from = self.kept.partition_point(|kept| kept.number < after);
         let first = self.kept.get(from).map_or(after, |kept| kept.number);
         let events: Vec<CacheEvent> = self
@@ -149,6 +149,6 @@
             .collect();
         // A gap shows only once the event behind it can be read.
         let first = if events.is_empty() { after } else { first };
-        CacheEventsAnswer { first, events }
+        CacheEventsResponse { first, events }
     }
 }
--- a/standins/src/http_engine.rs
+++ b/standins/src/http_engine.rs
@@ -15,7 +15,7 @@
 use bytes::Bytes;
 use clementinepick::ids::AttemptId;
 use clementinepick::platform::{
-    CacheImage, CancelBody, GenerateBody, GenerateLine, OrderBody, ReleaseAnswer, ReleaseBody,
+    CacheImage, CancelBody, GenerateBody, GenerateLine, OrderBody, ReleaseBody, ReleaseResponse,
     ResumeBody, RetainBody,
 };
 use clementinepick::units::{Percent, SpanUs, Tokens};
@@ -211,7 +211,7 @@
         let now = self.clock.now();
         Ok(self.with_up(|engine| {
             let freed_tokens = engine.release(now, &chains);
-            json(&ReleaseAnswer { freed_tokens })
+            json(&ReleaseResponse { freed_tokens })
         }))
     }
 
@@ -220,7 +220,7 @@
         let now = self.clock.now();
         Ok(self.with_up(|engine| {
             let freed_tokens = engine.retain(now, &chains);
-            json(&ReleaseAnswer { freed_tokens })
+            json(&ReleaseResponse { freed_tokens })
         }))
     }
 
--- a/standins/src/log_service.rs
+++ b/standins/src/log_service.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use clementinepick::ids::Offset;
-use clementinepick::platform::{AppendAnswer, ReadAnswer, StoredRecord, StreamName};
+use clementinepick::platform::{AppendResponse, ReadResponse, StoredRecord, StreamName};
 use clementinepick::units::{MilliPerS, Percent, SpanUs, TimeUs};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha12Rng;
@@ -182,7 +182,7 @@
         now: TimeUs,
         stream: StreamName,
         records: Vec<String>,
-    ) -> Result<AppendAnswer, LogError> {
+    ) -> Result<AppendResponse, LogError> {
         self.settle(now);
         if self.is_down(now) {
             return Err(LogError::Down);
@@ -191,7 +191,7 @@
         match self.next_fault() {
             None => {
                 let first_offset = self.write(now, stream, records);
-                Ok(AppendAnswer { first_offset })
+                Ok(AppendResponse { first_offset })
             }
             Some(AppendFault::LostRequest) => Err(LogError::NoAnswer),
             Some(AppendFault::LostAnswer) => {
@@ -220,7 +220,7 @@
         stream: StreamName,
         from: Offset,
         max: usize,
-    ) -> Result<ReadAnswer, LogError> {
+    ) -> Result<ReadResponse, LogError> {
         self.settle(now);
         if self.is_down(now) {
             return Err(LogError::Down);
@@ -229,7 +229,7 @@
         let first = from.0.max(stream.earliest);
         let skipped = usize::try_from(first - stream.earliest).unwrap_or(usize::MAX);
         let records = stream.kept.iter().skip(skipped).take(max);
-        Ok(ReadAnswer {
+        Ok(ReadResponse {
             earliest: Offset(stream.earliest),
             end: Offset(stream.end()),
             records: records
--- a/standins/src/policy_host.rs
+++ b/standins/src/policy_host.rs
@@ -6,9 +6,9 @@
 use clementinepick::gate::{Gate, GateCall, GateSettings};
 use clementinepick::ids::{AttemptId, ClassName, ProgramId, ToolName, VmId};
 use clementinepick::message::BackendLoad;
-use clementinepick::predict::{Predictor, expected_output};
+use clementinepick::predict::{Predictor, predict_output};
+use clementinepick::prefix_retention::PrefixRetention;
 use clementinepick::prompt::{ChainHash, Segment};
-use clementinepick::retain::Retention;
 use clementinepick::units::{SpanUs, TimeUs, Tokens};
 
 use crate::policy_engine::{EngineCall, EngineDone, EngineShape, Progress, VirtualEngine};
@@ -92,7 +92,7 @@
     pub next_cache_event: u64,
     gate: Option<Gate>,
     retain: Retaining,
-    retention: Retention,
+    retention: PrefixRetention,
     outputs: Predictor,
     calls: BTreeMap<AttemptId, Started>,
     /// Calls that were shed for others, until their entries are told.
@@ -144,7 +144,7 @@
             next_cache_event: 0,
             gate,
             retain: knobs.retain,
-            retention: Retention::new(knobs.retention.clone()),
+            retention: PrefixRetention::new(knobs.retention.clone()),
             outputs: Predictor::default(),
             calls: BTreeMap::new(),
             shed: Vec::new(),
@@ -179,7 +179,7 @@
         let memory_tokens = match &call.work {
             HostWork::Turn(turn) => {
                 let prompt: Tokens = turn.prompt.iter().map(|s| s.length_tokens).sum();
-                prompt + expected_output(&self.outputs, &call.class, rules.max_output_tokens)
+                prompt + predict_output(&self.outputs, &call.class, rules.max_output_tokens)
             }
             HostWork::Plain(_) => Tokens(0),
         };
@@ -219,7 +219,7 @@
         if let Some(call) = self.calls.remove(&attempt) {
             let (class, tool) = (&call.class, call.next_tool.as_ref());
             let output = call.segments.last().map(|answer| answer.length_tokens.0);
-            self.outputs.learn(class, None, output);
+            self.outputs.observe(class, None, output);
             self.retention
                 .on_turn_end(now, &call.program, class, tool, &call.segments);
         }
@@ -228,7 +228,7 @@
 
     /// A program has ended, by its own word or by the idle limit.
     pub fn program_ended(&mut self, now: TimeUs, program: &ProgramId, known: bool) {
-        let chains = self.retention.on_end(now, program, known);
+        let chains = self.retention.on_program_end(now, program, known);
         if self.retain != Retaining::Off {
             self.release(now, &chains);
         }
@@ -236,7 +236,7 @@
 
     /// Releases the prefixes that do not pay any more.
     pub fn tick(&mut self, now: TimeUs) {
-        for (_, chains) in self.retention.due(now) {
+        for (_, chains) in self.retention.take_expired(now) {
             if self.retain == Retaining::Worth {
                 self.release(now, &chains);
             }
@@ -346,7 +346,7 @@
         self.down = true;
         self.waiting.clear();
         self.calls.clear();
-        self.retention.forget_all();
+        self.retention.on_cache_lost();
         if let Some(gate) = &mut self.gate {
             gate.clear();
         }
--- a/standins/src/policy_knobs.rs
+++ b/standins/src/policy_knobs.rs
@@ -2,7 +2,7 @@
 
 use std::str::FromStr;
 
-use clementinepick::retain::RetainSettings;
+use clementinepick::prefix_retention::PrefixRetentionSettings;
 use clementinepick::route::RouteSettings;
 use clementinepick::units::{SpanUs, Tokens};
 use thiserror::Error;
@@ -25,7 +25,7 @@
     Off,
     /// When their program is known to have ended.
     Ended,
-    /// By [`clementinepick::retain`], and when their program ends.
+    /// By [`clementinepick::prefix_retention`], and when their program ends.
     Worth,
 }
 
@@ -41,7 +41,7 @@
     /// `retain`: when cached prefixes are released.
     pub retain: Retaining,
     /// How prefixes are kept: `price`.
-    pub retention: RetainSettings,
+    pub retention: PrefixRetentionSettings,
     /// How the router weighs: `per_running`, `prefill_weight`.
     pub route: RouteSettings,
     /// `max_prefill`: the prompt tokens that may be in prefill at once at one engine.
@@ -92,7 +92,7 @@
             } else {
                 Retaining::Off
             },
-            retention: RetainSettings::default(),
+            retention: PrefixRetentionSettings::default(),
             route: RouteSettings::default(),
             max_prefill: None,
             heartbeat_us: SpanUs::from_ms(500),
@@ -130,8 +130,8 @@
                 }
             }
             "price" => self.retention.price_milli_per_s = read(value).ok_or_else(bad)?,
-            "shared" => self.retention.shared_us = read(value).ok_or_else(bad)?,
-            "unknown" => self.retention.unknown_us = read(value).ok_or_else(bad)?,
+            "shared" => self.retention.shared_keep_us = read(value).ok_or_else(bad)?,
+            "unknown" => self.retention.default_keep_us = read(value).ok_or_else(bad)?,
             "per_running" => self.route.tokens_per_running = read(value).ok_or_else(bad)?,
             "prefill_weight" => self.route.prefill_weight = read(value).ok_or_else(bad)?,
             "max_prefill" => self.max_prefill = Some(read(value).ok_or_else(bad)?),
--- a/standins/tests/http.rs
+++ b/standins/tests/http.rs
@@ -7,8 +7,8 @@
 use clementinepick::call::ChatMessage;
 use clementinepick::ids::{AttemptId, FencingNumber, Offset, OrderId};
 use clementinepick::platform::{
-    AppendAnswer, AppendBody, EngineOrder, EngineRole, EngineState, GenerateBody, GenerateLine,
-    LoadReport, OrderBody, ReadAnswer, ResumeBody,
+    AppendBody, AppendResponse, EngineOrder, EngineRole, EngineState, GenerateBody, GenerateLine,
+    LoadReport, OrderBody, ReadResponse, ResumeBody,
 };
 use clementinepick::prompt::Prompt;
 use clementinepick::units::{SpanUs, Tokens};
@@ -135,12 +135,12 @@
     };
     let path = "/v1/streams/journal";
     let (status, answer) = post(log, path, &body("a")).await;
-    let answer: AppendAnswer = serde_json::from_slice(&answer).expect("an offset");
+    let answer: AppendResponse = serde_json::from_slice(&answer).expect("an offset");
     assert_eq!((status, answer.first_offset), (200, Offset(0)));
     post(log, "/control/lose-answers/1", &()).await;
     assert_eq!(post(log, path, &body("b")).await.0, 504);
     let read = get(log, &format!("{path}?from=0&max=10")).await;
-    let read: ReadAnswer = serde_json::from_slice(&read).expect("records");
+    let read: ReadResponse = serde_json::from_slice(&read).expect("records");
     let texts: Vec<_> = read.records.iter().map(|r| r.text.as_str()).collect();
     assert_eq!(texts, ["a", "b"]);
     post(log, "/control/outage/60000", &()).await;
