--- a/clementinepick/src/lib.rs
+++ b/clementinepick/src/lib.rs
@@ -9,7 +9,7 @@
 //! | step | module | rules in |
 //! |---|---|---|
 //! | read the request | [`parse`] | |
-//! | check it against the document in force | `admission` | [`config`], [`document`] |
+//! | check it against the document in force | `step_validate` | [`config`], [`document`] |
 //! | find the owner of its program | `step_own` | [`own`], [`replay`] |
 //! | tell a repeat from a new call | `repeat` | |
 //! | wait for its turn in the program | `step_order` | [`order`] |
@@ -32,7 +32,6 @@
 //! # Ok::<(), clementinepick::document::DocumentError>(())
 //! ```
 
-mod admission;
 mod answer;
 mod answer_text;
 pub mod budget;
@@ -106,6 +105,7 @@
 mod step_own;
 mod step_record;
 mod step_route;
+mod step_validate;
 pub mod traffic_config;
 pub mod turn_chain;
 pub mod units;
--- a/clementinepick/src/peer_liveness.rs
+++ b/clementinepick/src/peer_liveness.rs
@@ -71,7 +71,7 @@
     }
 
     /// Notes that a peer answered, or that another process has its address now.
-    pub fn record_answer(&mut self, peer: SocketAddr) {
+    pub fn record_response(&mut self, peer: SocketAddr) {
         self.silent.remove(&peer);
     }
 
--- a/clementinepick/src/server_selection.rs
+++ b/clementinepick/src/server_selection.rs
@@ -305,7 +305,7 @@
     }
 
     /// Notes that a server answered; `has_failed` says that it answered with a failure of its own.
-    pub fn record_answer(&mut self, now: TimeUs, id: &str, has_failed: bool) {
+    pub fn record_response(&mut self, now: TimeUs, id: &str, has_failed: bool) {
         if let Some(state) = self.servers.get_mut(id) {
             state.failures = 0;
             state.paused_until = TimeUs(0);
--- a/clementinepick/tests/peer_liveness.rs
+++ b/clementinepick/tests/peer_liveness.rs
@@ -21,7 +21,7 @@
     for second in 0..20 {
         liveness.record_failure(at_ms(second * 1_000), peer());
         assert!(liveness.is_silent(at_ms(second * 1_000 + 100), peer()));
-        liveness.record_answer(peer());
+        liveness.record_response(peer());
         assert!(!liveness.is_silent(at_ms(second * 1_000 + 200), peer()));
     }
     assert!(liveness.lost(at_ms(20_000)).is_empty());
@@ -41,7 +41,7 @@
     assert!(!liveness.is_silent(at_ms(12_300), peer()), "asked again");
     liveness.record_failure(at_ms(12_300), peer());
     assert!(liveness.is_lost(at_ms(12_300), peer()));
-    liveness.record_answer(peer());
+    liveness.record_response(peer());
     assert!(!liveness.is_silent(at_ms(12_400), peer()));
 }
 
--- a/clementinepick/tests/server_selection.rs
+++ b/clementinepick/tests/server_selection.rs
@@ -124,7 +124,7 @@
     assert_eq!(chosen(&choice, NOW.after(SpanUs::from_ms(1_900))), "e-1");
     assert_eq!(chosen(&choice, NOW.after(SpanUs::from_ms(2_100))), "e-0");
     let back = NOW.after(SpanUs::from_ms(100));
-    choice.record_answer(back, "e-0", false);
+    choice.record_response(back, "e-0", false);
     assert_eq!(chosen(&choice, back.after(SpanUs::from_ms(1_500))), "e-0");
 }
 
@@ -158,7 +158,7 @@
                 choice.record_failure(now, &id);
                 lost[phase] += 1;
             } else {
-                choice.record_answer(now, &id, false);
+                choice.record_response(now, &id, false);
             }
         }
     }
@@ -194,7 +194,7 @@
             if running.len() > 8 {
                 let id = running.pop_front().expect("a call");
                 choice.end_request(&id);
-                choice.record_answer(now, &id, false);
+                choice.record_response(now, &id, false);
             }
         }
         assert!(refused <= 50, "{refused} of 1,000 refused");
--- a/clementinepickd/src/gateway_exchange.rs
+++ b/clementinepickd/src/gateway_exchange.rs
@@ -49,7 +49,7 @@
         let now = shared.now_us(Instant::now());
         let has_failed = self.head.status.is_server_error();
         let mut choice = shared.choice.borrow_mut();
-        choice.record_answer(now, &self.slot.server.id, has_failed);
+        choice.record_response(now, &self.slot.server.id, has_failed);
         drop(choice);
         shared
             .pool
--- a/clementinepickd/src/ledger_homes.rs
+++ b/clementinepickd/src/ledger_homes.rs
@@ -137,7 +137,7 @@
 
     /// Notes that a peer answered.
     pub(crate) fn note_answer(&self, peer: SocketAddr) {
-        self.liveness.borrow_mut().record_answer(peer);
+        self.liveness.borrow_mut().record_response(peer);
     }
 
     /// Notes which process is the home of a program's partition.
