--- a/clementinepick/benches/decisions.rs
+++ b/clementinepick/benches/decisions.rs
@@ -74,7 +74,7 @@
         let choice = black_box(router.pick(TimeUs(round), &query)).expect("a backend server");
         router.on_sent(&choice.vm, choice.uncached_tokens);
         router.on_ended(&choice.vm, choice.uncached_tokens, false);
-        most = most.max(choice.looked_at);
+        most = most.max(choice.candidate_count);
     }
     (start.elapsed().as_nanos() / u128::from(ROUNDS), most)
 }
--- a/clementinepick/src/admission.rs
+++ b/clementinepick/src/admission.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::answer::answer;
+use crate::answer::send_part;
 use crate::answer_text::AnswerText;
 use crate::call::{AnswerPart, Payload, Request};
 use crate::call_state::{Call, ReplyTo, Step};
@@ -12,7 +12,7 @@
 use crate::error::{CallError, ErrorKind};
 use crate::ids::ClassName;
 use crate::message::Message;
-use crate::step_claim::digest;
+use crate::step_start::digest;
 use crate::units::{TimeUs, Tokens};
 
 impl Entry {
@@ -32,12 +32,12 @@
         let call = match self.check(now, request, reply_to, hops) {
             Ok(call) => call,
             Err(refused) => {
-                answer(reply_to, id, AnswerPart::Failed(refused), out);
+                send_part(reply_to, id, AnswerPart::Failed(refused), out);
                 return;
             }
         };
         self.calls.insert(id, call);
-        self.step_own(now, id, out);
+        self.step_owner(now, id, out);
     }
 
     /// The same request has come another way, after the entry before this one lost its link.
@@ -60,7 +60,7 @@
             let message = Message::ForwardCancel { request: id };
             out.push(EntryAction::Send { to, message });
             call.step = Step::Own;
-            self.step_own(now, id, out);
+            self.step_owner(now, id, out);
             return;
         }
         if call.reply_to == ReplyTo::Caller {
@@ -69,17 +69,17 @@
         call.reply_to = reply_to.clone();
         // What was sent over the lost link may not have come; a part that did is passed over there.
         if let Some(plain) = call.plain.clone() {
-            answer(reply_to, id, AnswerPart::Plain(plain), out);
+            send_part(reply_to, id, AnswerPart::Plain(plain), out);
         }
         if !call.answer.is_empty() {
             let part = AnswerPart::Text {
                 position: 0,
                 text: call.answer.to_string(),
             };
-            answer(reply_to, id, part, out);
+            send_part(reply_to, id, part, out);
         }
         if let Some(plain) = call.plain.clone() {
-            answer(reply_to, id, AnswerPart::Plain(plain), out);
+            send_part(reply_to, id, AnswerPart::Plain(plain), out);
         }
     }
 
@@ -117,7 +117,7 @@
             .map_or(rules.deadline_us, |left| left.min(rules.deadline_us));
         Ok(Call {
             digest: digest(&request.payload),
-            partition: self.home_of(&request.program, request.home()),
+            partition: self.partition_of(&request.program, request.root_program()),
             idempotent: idempotent && !request.non_idempotent,
             reply_to: reply_to.clone(),
             hops,
@@ -126,17 +126,17 @@
             class,
             in_force: in_force.clone(),
             seq: None,
-            full: None,
+            full_payload: None,
             held_tokens: None,
-            claim: None,
+            recorded_start: None,
             tried: BTreeSet::new(),
             prefill_tokens: Tokens(0),
             may_have_run: false,
-            from: 0,
+            resume_position: 0,
             answer: AnswerText::default(),
             plain: None,
             done: None,
-            left_us: None,
+            caller_left_us: None,
             request,
         })
     }
--- a/clementinepick/src/answer.rs
+++ b/clementinepick/src/answer.rs
@@ -10,12 +10,12 @@
 use crate::message::Message;
 use crate::record::{CallOutcome, EndReason};
 use crate::sidecar::skip_chars;
-use crate::step_record::tell_committed;
+use crate::step_record::send_committed;
 use crate::units::TimeUs;
 
 /// A part of an answer as a sidecar sends it.
 #[derive(Debug)]
-pub(crate) struct Reply {
+pub(crate) struct SidecarReply {
     pub(crate) attempt: AttemptId,
     pub(crate) part: AnswerPart,
     pub(crate) started: bool,
@@ -27,7 +27,7 @@
         &mut self,
         now: TimeUs,
         from: &VmId,
-        reply: Reply,
+        reply: SidecarReply,
         out: &mut Vec<EntryAction>,
     ) {
         let attempt = reply.attempt;
@@ -41,7 +41,7 @@
             }
             AnswerPart::Plain(plain) => {
                 for id in std::iter::once(id).chain(self.followers_of(id)) {
-                    self.give_plain(id, &plain, out);
+                    self.deliver_plain(id, &plain, out);
                 }
             }
             AnswerPart::Done(done) => self.on_done(now, id, attempt, done, out),
@@ -72,11 +72,11 @@
             return;
         }
         for follower in self.followers_of(id) {
-            if let Err(error) = self.give_text(follower, position, text, out) {
-                self.drop_call(follower, error, out);
+            if let Err(error) = self.deliver_text(follower, position, text, out) {
+                self.fail_unordered_call(follower, error, out);
             }
         }
-        if let Err(error) = self.give_text(id, position, text, out) {
+        if let Err(error) = self.deliver_text(id, position, text, out) {
             self.break_off(now, id, error, out);
         }
     }
@@ -92,14 +92,14 @@
         if let Some(call) = self.calls.get(&id)
             && let Step::Running { attempt, target } = call.step.clone()
         {
-            self.leave_backend(attempt, false);
+            self.end_attempt(attempt, false);
             self.settle_whole(id);
             out.push(EntryAction::Send {
                 to: target,
                 message: Message::Cancel { attempt },
             });
         }
-        self.refuse(now, id, error, out);
+        self.fail_call(now, id, error, out);
     }
 
     /// Gives a caller the part of a text that it lacks.
@@ -107,7 +107,7 @@
     /// # Errors
     ///
     /// [`ErrorKind::BackendFailed`] when the text does not go on where the caller's text ended.
-    pub(crate) fn give_text(
+    pub(crate) fn deliver_text(
         &mut self,
         id: RequestId,
         position: u64,
@@ -117,9 +117,9 @@
         let Some(call) = self.calls.get_mut(&id) else {
             return Ok(());
         };
-        let skipped = call.from.saturating_sub(position);
+        let skipped = call.resume_position.saturating_sub(position);
         let text = skip_chars(text, skipped);
-        let position = (position + skipped).saturating_sub(call.from);
+        let position = (position + skipped).saturating_sub(call.resume_position);
         if text.is_empty() {
             return Ok(());
         }
@@ -128,16 +128,16 @@
             return Ok(());
         }
         let part = AnswerPart::Text {
-            position: call.from + call.answer.characters(),
+            position: call.resume_position + call.answer.characters(),
             text: fresh.clone(),
         };
         call.answer.push_str(&fresh);
-        answer(&call.reply_to, id, part, out);
+        send_part(&call.reply_to, id, part, out);
         Ok(())
     }
 
     /// Gives a caller the answer of a plain service, unless it has it already.
-    pub(crate) fn give_plain(
+    pub(crate) fn deliver_plain(
         &mut self,
         id: RequestId,
         plain: &PlainAnswer,
@@ -150,7 +150,7 @@
             return;
         }
         call.plain = Some(plain.clone());
-        answer(&call.reply_to, id, AnswerPart::Plain(plain.clone()), out);
+        send_part(&call.reply_to, id, AnswerPart::Plain(plain.clone()), out);
     }
 
     pub(crate) fn attach(
@@ -178,7 +178,7 @@
         following.map(|(id, _)| *id).collect()
     }
 
-    pub(crate) fn leave_backend(&mut self, attempt: AttemptId, failed: bool) {
+    pub(crate) fn end_attempt(&mut self, attempt: AttemptId, failed: bool) {
         let Some(id) = self.attempts.remove(&attempt) else {
             return;
         };
@@ -208,11 +208,11 @@
             Step::Running { target, .. } | Step::Lost { target, .. } => target.clone(),
             _ => return,
         };
-        let (idempotent, is_claimed) = (call.idempotent, call.claim.is_some());
+        let (idempotent, is_claimed) = (call.idempotent, call.recorded_start.is_some());
         if let Some(call) = self.calls.get_mut(&id) {
             call.may_have_run |= started;
         }
-        self.leave_backend(attempt, started);
+        self.end_attempt(attempt, started);
         // A failed attempt has spent what the engine counted, or all that was held for it where
         // nobody counted.
         self.settle_failed(id, started, used);
@@ -220,10 +220,10 @@
             self.end_ran(now, id, (attempt, target), error, out);
             return;
         }
-        tell_committed(&target, attempt, out);
+        send_committed(&target, attempt, out);
         let error = if started { error } else { as_not_run(error) };
         if is_claimed {
-            self.release_claim(id, &error);
+            self.revoke_start(id, &error);
         }
         if self.is_worth_retrying(id, &error, started) && self.may_retry(id, &error) {
             let event = Event::new(EventKind::CallRetried).with("request", id);
@@ -231,7 +231,7 @@
             self.step_budget(now, id, out);
             return;
         }
-        self.refuse(now, id, error, out);
+        self.fail_call(now, id, error, out);
     }
 
     fn settle_failed(&mut self, id: RequestId, started: bool, used: Usage) {
@@ -312,20 +312,20 @@
             && let Some(seq) = call.seq
         {
             let (key, partition) = (call.request.key(seq), call.partition);
-            self.write_ended(&key, partition, attempt, outcome, Some((id, target)));
+            self.record_outcome(&key, partition, attempt, outcome, Some((id, target)));
         }
         if error.kind == ErrorKind::OutcomeUnknown {
             let event = Event::new(EventKind::OutcomeUnknown).with("request", id);
             out.push(EntryAction::Event(event));
         }
         if let Some(call) = self.calls.get_mut(&id) {
-            call.claim = None;
+            call.recorded_start = None;
         }
-        self.refuse(now, id, error, out);
+        self.fail_call(now, id, error, out);
     }
 
     /// Answers a call with an error and takes it out of its program's order.
-    pub(crate) fn refuse(
+    pub(crate) fn fail_call(
         &mut self,
         now: TimeUs,
         id: RequestId,
@@ -338,8 +338,8 @@
         };
         let error = truthful(call, error);
         let is_not_run = error.kind.answer().not_run == NotRun::Yes;
-        if is_not_run && call.claim.is_some() {
-            self.release_claim(id, &error);
+        if is_not_run && call.recorded_start.is_some() {
+            self.revoke_start(id, &error);
         }
         let Some(call) = self.calls.get(&id) else {
             return;
@@ -355,13 +355,13 @@
         let may_come_again = is_not_run && call.request.idempotency_key.is_some();
         let single_call = call.request.single_call && !may_come_again;
         let last = AnswerPart::Failed(error.clone());
-        self.end_followers(id, &last, out);
-        self.drop_call(id, error, out);
+        self.answer_followers(id, &last, out);
+        self.fail_unordered_call(id, error, out);
         if let Some(live) = self.programs.get_mut(&program) {
-            live.order.remove(id);
+            live.sequencer.remove(id);
             match seq {
-                Some(seq) if reopens => live.order.reopen(seq),
-                Some(seq) => live.order.finish(seq),
+                Some(seq) if reopens => live.sequencer.reopen(seq),
+                Some(seq) => live.sequencer.finish(seq),
                 None => {}
             }
         }
@@ -373,7 +373,7 @@
     }
 
     /// Answers a call with an error; it had no place in its program's order.
-    pub(crate) fn drop_call(
+    pub(crate) fn fail_unordered_call(
         &mut self,
         id: RequestId,
         error: CallError,
@@ -387,12 +387,17 @@
             .with("request", id)
             .with("error", &error);
         out.push(EntryAction::Event(event));
-        answer(&call.reply_to, id, AnswerPart::Failed(error), out);
+        send_part(&call.reply_to, id, AnswerPart::Failed(error), out);
     }
 
     /// The caller is gone: what has not started is dropped. What runs and may be run again is
     /// stopped, where its program may come back for the rest only after a while.
-    pub(crate) fn on_gone(&mut self, now: TimeUs, id: RequestId, out: &mut Vec<EntryAction>) {
+    pub(crate) fn on_caller_gone(
+        &mut self,
+        now: TimeUs,
+        id: RequestId,
+        out: &mut Vec<EntryAction>,
+    ) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
@@ -409,15 +414,15 @@
                 self.calls.remove(&id);
             }
             Step::Own | Step::Order | Step::Slice | Step::Route { .. } | Step::Claim => {
-                if !self.is_wanted(id) {
+                if !self.has_waiting_caller(id) {
                     let error =
                         CallError::new(ErrorKind::DeadlineBeforeStart, "the caller is gone");
-                    self.refuse(now, id, error, out);
+                    self.fail_call(now, id, error, out);
                 }
             }
             Step::Running { .. } => {
-                call.left_us = Some(now);
-                self.stop_unwanted(now, id, out);
+                call.caller_left_us = Some(now);
+                self.cancel_abandoned(now, id, out);
             }
             Step::Lost { .. } | Step::Record { .. } => {}
         }
@@ -425,20 +430,25 @@
 
     /// Stops a running call that nobody has waited for over the time in which a cut stream may be
     /// resumed; its engine's time and memory are needed for others.
-    pub(crate) fn stop_unwanted(&mut self, now: TimeUs, id: RequestId, out: &mut Vec<EntryAction>) {
+    pub(crate) fn cancel_abandoned(
+        &mut self,
+        now: TimeUs,
+        id: RequestId,
+        out: &mut Vec<EntryAction>,
+    ) {
         let wait_us = self.settings.resume_wait_us;
-        let is_wanted = self.is_wanted(id);
+        let has_waiting_caller = self.has_waiting_caller(id);
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
         let over = call
-            .left_us
+            .caller_left_us
             .is_some_and(|left| call.request.single_call || now.since(left) >= wait_us);
-        if !over || !call.idempotent || is_wanted {
+        if !over || !call.idempotent || has_waiting_caller {
             return;
         }
         if let Step::Running { attempt, target } = &call.step {
-            call.left_us = None;
+            call.caller_left_us = None;
             out.push(EntryAction::Send {
                 to: target.clone(),
                 message: Message::Cancel { attempt: *attempt },
@@ -469,7 +479,7 @@
                 self.calls.remove(&id);
             }
         } else if call.reply_to == ReplyTo::Entry(from.clone()) {
-            self.on_gone(now, id, out);
+            self.on_caller_gone(now, id, out);
         }
     }
 
@@ -490,14 +500,14 @@
         }
         match part {
             AnswerPart::Text { position, text } => {
-                if let Err(error) = self.give_text(id, position, &text, out) {
+                if let Err(error) = self.deliver_text(id, position, &text, out) {
                     let message = Message::ForwardCancel { request: id };
                     let to = from.clone();
                     out.push(EntryAction::Send { to, message });
-                    self.drop_call(id, error, out);
+                    self.fail_unordered_call(id, error, out);
                 }
             }
-            AnswerPart::Plain(plain) => self.give_plain(id, &plain, out),
+            AnswerPart::Plain(plain) => self.deliver_plain(id, &plain, out),
             last @ (AnswerPart::Done(_) | AnswerPart::Failed(_)) => {
                 let last = match last {
                     AnswerPart::Failed(error) => AnswerPart::Failed(truthful(call, error)),
@@ -505,7 +515,7 @@
                 };
                 let reply_to = call.reply_to.clone();
                 self.calls.remove(&id);
-                answer(&reply_to, id, last, out);
+                send_part(&reply_to, id, last, out);
             }
         }
     }
@@ -559,7 +569,7 @@
 }
 
 /// Gives one part of an answer to whoever passed the request on.
-pub(crate) fn answer(to: &ReplyTo, id: RequestId, part: AnswerPart, out: &mut Vec<EntryAction>) {
+pub(crate) fn send_part(to: &ReplyTo, id: RequestId, part: AnswerPart, out: &mut Vec<EntryAction>) {
     match to {
         ReplyTo::Caller => out.push(EntryAction::Answer { request: id, part }),
         ReplyTo::Entry(vm) => out.push(EntryAction::Send {
--- a/clementinepick/src/call.rs
+++ b/clementinepick/src/call.rs
@@ -63,7 +63,7 @@
 
     /// The program by which the partition is chosen: a sub-agent lies with its root.
     #[must_use]
-    pub fn home(&self) -> &ProgramId {
+    pub fn root_program(&self) -> &ProgramId {
         self.root
             .as_ref()
             .or(self.parent.as_ref())
--- a/clementinepick/src/call_state.rs
+++ b/clementinepick/src/call_state.rs
@@ -11,10 +11,10 @@
     ProgramId, RecordId, RequestId, Revision, ServiceName, VmId,
 };
 use crate::message::{KeptCall, Peer};
-use crate::order::Sequencer;
 use crate::platform::VmRole;
 use crate::prompt::{ChainHash, Prompt};
 use crate::record::EndReason;
+use crate::sequencer::Sequencer;
 use crate::units::{TimeUs, Tokens};
 
 /// Where the parts of an answer go.
@@ -61,7 +61,7 @@
 
 /// The recorded start of a non-idempotent call.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Claim {
+pub(crate) struct RecordedStart {
     pub(crate) attempt: AttemptId,
     pub(crate) target: VmId,
     pub(crate) incarnation: Incarnation,
@@ -82,29 +82,29 @@
     pub(crate) idempotent: bool,
     pub(crate) seq: Option<CallSeq>,
     /// Where its program's transcript on record is longer than what the caller sent.
-    pub(crate) full: Option<Payload>,
+    pub(crate) full_payload: Option<Payload>,
     /// The tokens held in the account of the program.
     pub(crate) held_tokens: Option<Tokens>,
-    pub(crate) claim: Option<Claim>,
+    pub(crate) recorded_start: Option<RecordedStart>,
     pub(crate) tried: BTreeSet<VmId>,
     /// The prompt tokens that its backend server probably has to prefill.
     pub(crate) prefill_tokens: Tokens,
     /// Whether an attempt of it may have been sent to a backend server, here or at a lost owner.
     pub(crate) may_have_run: bool,
     /// The characters that the caller had before this request.
-    pub(crate) from: u64,
+    pub(crate) resume_position: u64,
     /// The text that has come and was given to the caller.
     pub(crate) answer: AnswerText,
     pub(crate) plain: Option<PlainAnswer>,
     pub(crate) done: Option<CallDone>,
     /// When the caller left, until the call was told to stop.
-    pub(crate) left_us: Option<TimeUs>,
+    pub(crate) caller_left_us: Option<TimeUs>,
 }
 
 impl Call {
     /// What is run: the caller's payload, with the history before it where the caller appends.
     pub(crate) fn payload(&self) -> &Payload {
-        self.full.as_ref().unwrap_or(&self.request.payload)
+        self.full_payload.as_ref().unwrap_or(&self.request.payload)
     }
 
     pub(crate) fn prompt(&self) -> Option<&Prompt> {
@@ -138,7 +138,7 @@
     }
 
     /// Whether the answer becomes a turn of a history.
-    pub(crate) fn has_turn(&self) -> bool {
+    pub(crate) fn records_turn(&self) -> bool {
         matches!(self.request.payload, Payload::Chat(_)) && !self.is_unrecorded()
     }
 
@@ -147,7 +147,7 @@
     }
 
     /// Whether its partition can't be handed over before it has ended.
-    pub(crate) fn is_under_way(&self) -> bool {
+    pub(crate) fn blocks_handover(&self) -> bool {
         matches!(
             self.step,
             Step::Slice | Step::Claim | Step::Route { .. } | Step::Record { .. }
@@ -180,7 +180,7 @@
 #[derive(Debug, Clone, Default)]
 pub(crate) struct LiveProgram {
     pub(crate) partition: PartitionId,
-    pub(crate) order: Sequencer,
+    pub(crate) sequencer: Sequencer,
     pub(crate) spending: Spending,
     pub(crate) last_backend: Option<VmId>,
     /// Sidecars that may hold its cache.
@@ -189,19 +189,19 @@
     pub(crate) chains: BTreeSet<ChainHash>,
     pub(crate) since_us: TimeUs,
     pub(crate) last_used_us: TimeUs,
-    pub(crate) opening: bool,
+    pub(crate) is_opening: bool,
     /// Whether the record of a slice is under way.
-    pub(crate) slicing: bool,
+    pub(crate) is_reserving_slice: bool,
     /// Turns that are not yet read back, in order.
-    pub(crate) tail: Vec<PendingTurn>,
+    pub(crate) pending_turns: Vec<PendingTurn>,
     /// Whether an earlier owner may have had turns that never came on record.
-    pub(crate) is_uncertain: bool,
+    pub(crate) may_have_unrecorded_turns: bool,
     /// Whether an earlier owner served it.
     pub(crate) is_inherited: bool,
     /// The last call's digest, and how often it came in a row.
     pub(crate) repeats: (ChainHash, u32),
     /// Set when the budget is spent: the program ends when nothing of it runs.
-    pub(crate) is_spent: bool,
+    pub(crate) is_budget_exhausted: bool,
 }
 
 /// What a record that was written here is awaited for.
@@ -255,7 +255,7 @@
 
 /// The end of a program that was asked for.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Ending {
+pub(crate) struct EndRequest {
     pub(crate) reason: EndReason,
     pub(crate) next_us: TimeUs,
     pub(crate) until_us: TimeUs,
@@ -271,14 +271,14 @@
 
 /// A partition that was taken over and whose sidecars have not all reported yet.
 #[derive(Debug, Clone)]
-pub(crate) struct TakingOver {
+pub(crate) struct Takeover {
     pub(crate) waits_for: BTreeSet<VmId>,
     pub(crate) until_us: TimeUs,
 }
 
 /// How claims over one partition's owners are spaced.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct ClaimPace {
+pub(crate) struct ClaimBackoff {
     /// Take-overs seen shortly after each other.
     pub(crate) changes: u32,
     pub(crate) last_change_us: TimeUs,
@@ -288,7 +288,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct PeerState {
     pub(crate) peer: Peer,
-    pub(crate) up_us: TimeUs,
+    pub(crate) link_up_us: TimeUs,
     /// Whether it has read all that it must know.
     pub(crate) is_ready: bool,
     pub(crate) heard_us: TimeUs,
@@ -296,7 +296,7 @@
     /// What its last heartbeat said; absent before the first.
     pub(crate) revisions: Option<BTreeMap<ServiceName, Revision>>,
     /// Whether that heartbeat lacked a document.
-    pub(crate) lags: bool,
+    pub(crate) lacks_documents: bool,
     /// The number of the first read of the configuration that began after its link came up.
     pub(crate) confirmed_by_read: u64,
     /// The documents that were sent over its link.
@@ -307,7 +307,7 @@
 const MAX_SENT: usize = 256;
 
 impl PeerState {
-    pub(crate) fn note_sent(&mut self, key: (ServiceName, Revision)) {
+    pub(crate) fn record_sent_document(&mut self, key: (ServiceName, Revision)) {
         self.sent_documents.insert(key);
         if self.sent_documents.len() > MAX_SENT {
             self.sent_documents.pop_first();
--- a/clementinepick/src/dump.rs
+++ b/clementinepick/src/dump.rs
@@ -28,7 +28,7 @@
     #[must_use]
     pub fn counts(&self) -> BTreeMap<&'static str, usize> {
         BTreeMap::from([
-            ("owned_partitions", self.own_partitions().len()),
+            ("owned_partitions", self.owned_partitions().len()),
             ("peers", self.peers.len()),
             ("calls", self.calls.len()),
             ("programs", self.programs.len()),
@@ -87,7 +87,7 @@
             "releasing": releasing,
             "open_calls": open_calls,
             "yielding": self.yielding,
-            "unsure": self.is_unsure,
+            "unsure": self.is_ownership_unconfirmed,
         })
     }
 }
--- a/clementinepick/src/entry.rs
+++ b/clementinepick/src/entry.rs
@@ -8,11 +8,11 @@
 
 use crate::call::{AnswerPart, Fetch, Request};
 use crate::call_state::{
-    Awaited, Call, ClaimPace, EndedProgram, Ending, KeptAnswers, LiveProgram, OpenCall, PeerState,
-    Releasing, ReplyTo, TakingOver,
+    Awaited, Call, ClaimBackoff, EndRequest, EndedProgram, KeptAnswers, LiveProgram, OpenCall,
+    PeerState, Releasing, ReplyTo, Takeover,
 };
 use crate::config::Config;
-use crate::entry_orders::{DeciderPace, EngineWord};
+use crate::entry_orders::{DeciderBackoff, EngineReport};
 use crate::event::{Event, EventKind};
 use crate::ids::{
     AttemptId, CallKey, Incarnation, ModelName, Offset, PartitionId, ProgramId, RecordId,
@@ -50,11 +50,11 @@
     /// The silence after which another entry's partitions are taken over.
     pub takeover_us: SpanUs,
     /// How long after its start an entry waits before it claims what nobody owns.
-    pub settle_us: SpanUs,
+    pub startup_claim_delay_us: SpanUs,
     /// How long a running call whose caller left goes on for the caller to resume it.
     pub resume_wait_us: SpanUs,
     /// How long ended programs are remembered, for repeats and late questions.
-    pub keep_ended_us: SpanUs,
+    pub ended_retention_us: SpanUs,
     /// The time between two snapshots of a partition, and of the configuration; well below the
     /// log's retention.
     pub snapshot_us: SpanUs,
@@ -81,9 +81,9 @@
             heartbeat_us: SpanUs::from_ms(500),
             peer_timeout_us: SpanUs::from_s(3),
             takeover_us: SpanUs::from_ms(1_500),
-            settle_us: SpanUs::from_s(10),
+            startup_claim_delay_us: SpanUs::from_s(10),
             resume_wait_us: SpanUs::from_s(5),
-            keep_ended_us: SpanUs::from_s(600),
+            ended_retention_us: SpanUs::from_s(600),
             snapshot_us: SpanUs::from_s(600),
             commit_wait_us: SpanUs::from_ms(250),
             backend_wait_us: SpanUs::from_s(1),
@@ -187,16 +187,16 @@
     pub(crate) vms: BTreeMap<VmId, Vm>,
     pub(crate) peers: BTreeMap<VmId, PeerState>,
     pub(crate) membership: Membership,
-    pub(crate) next_judge_us: TimeUs,
-    pub(crate) engines: BTreeMap<VmId, EngineWord>,
+    pub(crate) next_membership_check_us: TimeUs,
+    pub(crate) engines: BTreeMap<VmId, EngineReport>,
     /// The engines of a service that do not serve a model; emptied when any engine changes.
-    pub(crate) model_gaps: BTreeMap<(ServiceName, ModelName), BTreeSet<VmId>>,
+    pub(crate) engines_without_model: BTreeMap<(ServiceName, ModelName), BTreeSet<VmId>>,
     pub(crate) next_orders_us: TimeUs,
     /// The services on which this entry decides.
     pub(crate) placements: BTreeMap<ServiceName, Placement>,
     /// Own claims to decide that were not yet read back.
     pub(crate) decider_claims: BTreeMap<ServiceName, RecordId>,
-    pub(crate) decider_paces: BTreeMap<ServiceName, DeciderPace>,
+    pub(crate) decider_backoffs: BTreeMap<ServiceName, DeciderBackoff>,
     /// When the last snapshot of the configuration was read or written here.
     pub(crate) config_snapshot_us: Option<TimeUs>,
     /// Whether it was said that records of the configuration are missing.
@@ -210,30 +210,30 @@
     pub(crate) releasing: BTreeMap<ProgramId, Releasing>,
     /// Non-idempotent calls on record whose outcome is being learned.
     pub(crate) open_calls: BTreeMap<CallKey, OpenCall>,
-    pub(crate) kept: KeptAnswers,
-    pub(crate) kept_until_us: TimeUs,
+    pub(crate) kept_answers: KeptAnswers,
+    pub(crate) kept_answers_until_us: TimeUs,
     /// Fetches that were passed on, with their owner and whom to answer.
     pub(crate) fetches: BTreeMap<RequestId, (VmId, ReplyTo)>,
     /// Programs whose end was asked for here and is not yet on record, with when it is asked for
     /// again and until when.
-    pub(crate) ending: BTreeMap<ProgramId, Ending>,
+    pub(crate) end_requests: BTreeMap<ProgramId, EndRequest>,
     /// Programs that have ended and are still remembered.
     pub(crate) ended: BTreeMap<ProgramId, EndedProgram>,
     /// When peers without a link were heard last.
-    pub(crate) lost_us: BTreeMap<VmId, TimeUs>,
-    pub(crate) claim_pace: BTreeMap<PartitionId, ClaimPace>,
-    pub(crate) taking_over: BTreeMap<PartitionId, TakingOver>,
+    pub(crate) last_heard_us: BTreeMap<VmId, TimeUs>,
+    pub(crate) claim_backoffs: BTreeMap<PartitionId, ClaimBackoff>,
+    pub(crate) taking_over: BTreeMap<PartitionId, Takeover>,
     /// Partitions that are being handed over, and those whose record of it is written.
     pub(crate) yielding: BTreeSet<PartitionId>,
     pub(crate) yield_written: BTreeSet<PartitionId>,
-    pub(crate) snapshots_us: BTreeMap<PartitionId, TimeUs>,
+    pub(crate) last_snapshots_us: BTreeMap<PartitionId, TimeUs>,
     pub(crate) last_handled_us: TimeUs,
     /// Whether this process was paused and has not read the log since.
-    pub(crate) is_unsure: bool,
-    pub(crate) sure_at_read: u64,
+    pub(crate) is_ownership_unconfirmed: bool,
+    pub(crate) confirmed_at_read: u64,
     pub(crate) next_heartbeat_us: TimeUs,
     /// When all programs are looked at next.
-    pub(crate) next_walk_us: TimeUs,
+    pub(crate) next_program_sweep_us: TimeUs,
     pub(crate) started_us: Option<TimeUs>,
     pub(crate) leaving: bool,
 }
@@ -255,13 +255,13 @@
                 silence_us: settings.peer_timeout_us,
                 ..MembershipSettings::default()
             }),
-            next_judge_us: TimeUs(0),
+            next_membership_check_us: TimeUs(0),
             engines: BTreeMap::new(),
-            model_gaps: BTreeMap::new(),
+            engines_without_model: BTreeMap::new(),
             next_orders_us: TimeUs(0),
             placements: BTreeMap::new(),
             decider_claims: BTreeMap::new(),
-            decider_paces: BTreeMap::new(),
+            decider_backoffs: BTreeMap::new(),
             config_snapshot_us: None,
             has_config_gap: false,
             router: Router::new(RouteSettings {
@@ -275,22 +275,22 @@
             awaited: BTreeMap::new(),
             releasing: BTreeMap::new(),
             open_calls: BTreeMap::new(),
-            kept: BTreeMap::new(),
-            kept_until_us: TimeUs(0),
+            kept_answers: BTreeMap::new(),
+            kept_answers_until_us: TimeUs(0),
             fetches: BTreeMap::new(),
-            ending: BTreeMap::new(),
+            end_requests: BTreeMap::new(),
             ended: BTreeMap::new(),
-            lost_us: BTreeMap::new(),
-            claim_pace: BTreeMap::new(),
+            last_heard_us: BTreeMap::new(),
+            claim_backoffs: BTreeMap::new(),
             taking_over: BTreeMap::new(),
             yielding: BTreeSet::new(),
             yield_written: BTreeSet::new(),
-            snapshots_us: BTreeMap::new(),
+            last_snapshots_us: BTreeMap::new(),
             last_handled_us: TimeUs(0),
-            is_unsure: false,
-            sure_at_read: 0,
+            is_ownership_unconfirmed: false,
+            confirmed_at_read: 0,
             next_heartbeat_us: TimeUs(0),
-            next_walk_us: TimeUs(0),
+            next_program_sweep_us: TimeUs(0),
             started_us: None,
             leaving: false,
             settings,
@@ -305,7 +305,7 @@
             EntryInput::Request(request) => {
                 self.on_request(now, *request, &ReplyTo::Caller, 0, out);
             }
-            EntryInput::CallerGone(request) => self.on_gone(now, request, out),
+            EntryInput::CallerGone(request) => self.on_caller_gone(now, request, out),
             EntryInput::Fetch(fetch) => self.on_fetch(now, &fetch, &ReplyTo::Caller, 0, out),
             EntryInput::EndProgram { program, reason } => {
                 self.ask_end(now, program, reason, out);
@@ -345,8 +345,8 @@
         if pause_us < self.settings.takeover_us || self.started_us == Some(now) {
             return;
         }
-        self.is_unsure = true;
-        self.sure_at_read = self.journal.read_now(now);
+        self.is_ownership_unconfirmed = true;
+        self.confirmed_at_read = self.journal.read_now(now);
         for peer in self.peers.values_mut() {
             peer.heard_us = now;
         }
--- a/clementinepick/src/entry_config.rs
+++ b/clementinepick/src/entry_config.rs
@@ -31,7 +31,7 @@
                 Change::Published(publication) => self.on_publication(&publication, out),
                 Change::Decided { service, .. } => {
                     self.decider_claims.remove(&service);
-                    self.decider_paces
+                    self.decider_backoffs
                         .entry(service)
                         .or_default()
                         .on_change(now);
@@ -89,7 +89,7 @@
         let key = (service.clone(), in_force.published.revision);
         for vm in told {
             if let Some(peer) = self.peers.get_mut(&vm) {
-                peer.note_sent(key.clone());
+                peer.record_sent_document(key.clone());
             }
         }
     }
@@ -122,7 +122,7 @@
             let message = Message::Documents(vec![published.clone()]);
             let to = to.clone();
             out.push(EntryAction::Send { to, message });
-            peer.note_sent(key);
+            peer.record_sent_document(key);
         }
     }
 
@@ -145,7 +145,7 @@
     ///
     /// Without it the last publication of a service that seldom changes would pass its retention,
     /// and the next entry to start would not know the service.
-    pub(crate) fn carry_config_forward(&mut self, now: TimeUs) {
+    pub(crate) fn write_due_config_snapshot(&mut self, now: TimeUs) {
         let journal = &self.config_journal;
         let can_write = self.is_caught_up()
             && !self.leaving
--- a/clementinepick/src/entry_log.rs
+++ b/clementinepick/src/entry_log.rs
@@ -7,7 +7,7 @@
 use crate::platform::{ReadAnswer, StreamName};
 use crate::record::{OwnedRecord, Record, RecordBody};
 use crate::replay::{Applied, Partitions};
-use crate::step_record::tell_committed;
+use crate::step_record::send_committed;
 use crate::units::TimeUs;
 
 impl Entry {
@@ -86,9 +86,11 @@
         if stream == StreamName::Config {
             self.report_config_gap(out);
         }
-        if self.is_unsure && self.journal.reads_done() >= self.sure_at_read && self.journal.at_end()
+        if self.is_ownership_unconfirmed
+            && self.journal.reads_done() >= self.confirmed_at_read
+            && self.journal.at_end()
         {
-            self.is_unsure = false;
+            self.is_ownership_unconfirmed = false;
         }
         if !was_ready && self.is_caught_up() {
             out.push(EntryAction::Event(Event::new(EventKind::ProcessReady)));
@@ -100,10 +102,10 @@
     /// The oldest records that this entry needs are gone: it starts anew from the oldest that is
     /// kept, and serves only when snapshots have filled what is missing.
     fn start_late(&mut self, now: TimeUs, earliest: Offset, out: &mut Vec<EntryAction>) {
-        let owned = self.own_partitions();
+        let owned = self.owned_partitions();
         self.partitions = Partitions::starting_at(earliest, self.settings.safeguards.clone());
         for partition in owned {
-            self.leave_partition(now, partition, out);
+            self.drop_partition(now, partition, out);
         }
     }
 
@@ -127,7 +129,7 @@
         };
         match (applied, awaited) {
             (Applied::Claimed(partition), _) => self.on_claimed(now, *partition, out),
-            (Applied::Outrun(partition), Some(_)) => self.retry_own(now, *partition, out),
+            (Applied::Outrun(partition), Some(_)) => self.retry_calls(now, *partition, out),
             (Applied::Owned(_), Some(awaited)) => self.on_own_record(now, record, awaited, out),
             (Applied::Owned(partition), None) => self.on_other_record(now, *partition, record),
             (Applied::Stale(partition), Some(_)) => {
@@ -159,7 +161,7 @@
                 target,
                 attempt,
             } => {
-                tell_committed(&target, attempt, out);
+                send_committed(&target, attempt, out);
                 self.finish(now, request, crate::call::TurnState::Committed, out);
             }
             Awaited::Turn { request, program } => {
@@ -167,7 +169,7 @@
             }
             Awaited::Yield(partition) => {
                 self.yield_written.remove(&partition);
-                self.leave_partition(now, partition, out);
+                self.drop_partition(now, partition, out);
             }
             Awaited::Snapshot(partition) => {
                 let event = Event::new(EventKind::SnapshotWritten).with("partition", partition);
--- a/clementinepick/src/entry_orders.rs
+++ b/clementinepick/src/entry_orders.rs
@@ -27,7 +27,7 @@
 
 /// What an engine said last, by its sidecar.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct EngineWord {
+pub(crate) struct EngineReport {
     pub(crate) state: Option<EngineState>,
     pub(crate) load: BackendLoad,
 }
@@ -42,12 +42,12 @@
 /// Two entries that can't see each other each take the other's decider for dead. Both reach the
 /// log, and without ever longer waits they would depose each other several times a second.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct DeciderPace {
+pub(crate) struct DeciderBackoff {
     changes: u32,
     last_us: Option<TimeUs>,
 }
 
-impl DeciderPace {
+impl DeciderBackoff {
     pub(crate) fn on_change(&mut self, now: TimeUs) {
         let quiet = self
             .last_us
@@ -67,7 +67,7 @@
 impl Entry {
     pub(crate) fn on_engine_state(&mut self, from: &VmId, state: EngineState) {
         self.engines.entry(from.clone()).or_default().state = Some(state);
-        self.model_gaps.clear();
+        self.engines_without_model.clear();
     }
 
     pub(crate) fn on_engine_load(&mut self, from: &VmId, load: BackendLoad) {
@@ -76,20 +76,20 @@
 
     pub(crate) fn on_engine_gone(&mut self, vm: &VmId) {
         self.engines.remove(vm);
-        self.model_gaps.clear();
+        self.engines_without_model.clear();
         for placement in self.placements.values_mut() {
             placement.on_gone(vm);
         }
     }
 
     /// The engines of a service that surely do not serve a model.
-    pub(crate) fn without_model(
+    pub(crate) fn find_engines_without_model(
         &mut self,
         service: &ServiceName,
         model: &ModelName,
     ) -> BTreeSet<VmId> {
         let key = (service.clone(), model.clone());
-        if let Some(known) = self.model_gaps.get(&key) {
+        if let Some(known) = self.engines_without_model.get(&key) {
             return known.clone();
         }
         // An engine that names no models serves whatever it was started with.
@@ -104,10 +104,10 @@
                 && word.state.as_ref().is_some_and(lacks)
         });
         let gap: BTreeSet<VmId> = of_service.map(|(vm, _)| vm.clone()).collect();
-        if self.model_gaps.len() >= MAX_MODEL_GAPS {
-            self.model_gaps.clear();
+        if self.engines_without_model.len() >= MAX_MODEL_GAPS {
+            self.engines_without_model.clear();
         }
-        self.model_gaps.insert(key, gap.clone());
+        self.engines_without_model.insert(key, gap.clone());
         gap
     }
 
@@ -153,7 +153,11 @@
         {
             return;
         }
-        let pace = self.decider_paces.get(service).copied().unwrap_or_default();
+        let pace = self
+            .decider_backoffs
+            .get(service)
+            .copied()
+            .unwrap_or_default();
         if now < pace.not_before(self.settings.peer_timeout_us) {
             return;
         }
@@ -178,8 +182,8 @@
         if let Some(peer) = self.peers.get(&decider.vm) {
             return peer.peer.incarnation == decider.incarnation && !peer.leaving;
         }
-        let lost_us = self.lost_us.get(&decider.vm).copied();
-        let since_us = lost_us.or(self.started_us).unwrap_or(now);
+        let last_heard_us = self.last_heard_us.get(&decider.vm).copied();
+        let since_us = last_heard_us.or(self.started_us).unwrap_or(now);
         now.since(since_us) < self.settings.peer_timeout_us
     }
 
--- a/clementinepick/src/fetch.rs
+++ b/clementinepick/src/fetch.rs
@@ -1,6 +1,6 @@
 //! Answers fetched later, out of order, or from a position on.
 
-use crate::answer::answer;
+use crate::answer::send_part;
 use crate::answer_text::AnswerText;
 use crate::call::{AnswerPart, CallDone, Fetch, TurnState};
 use crate::call_state::{Leader, ReplyTo, Step};
@@ -9,7 +9,7 @@
 use crate::ids::{PartitionId, RequestId};
 use crate::message::Message;
 use crate::record::CallOutcome;
-use crate::repeat::done;
+use crate::step_dedup::call_done;
 use crate::units::TimeUs;
 
 /// The most times that a question is passed on between entries.
@@ -32,20 +32,20 @@
         out: &mut Vec<EntryAction>,
     ) {
         let root = fetch.root.as_ref().unwrap_or(&fetch.program);
-        let partition = self.home_of(&fetch.program, root);
+        let partition = self.partition_of(&fetch.program, root);
         let refused = if !self.is_caught_up() {
             Some(CallError::new(
                 ErrorKind::NotReady,
                 "this entry still reads the log",
             ))
-        } else if self.own_epoch(partition).is_some() && !self.is_unsure {
+        } else if self.own_epoch(partition).is_some() && !self.is_ownership_unconfirmed {
             self.fetch_here(partition, fetch, reply_to, out).err()
         } else {
             self.pass_fetch_on(now, partition, fetch, reply_to, hops, out)
                 .err()
         };
         if let Some(error) = refused {
-            answer(reply_to, fetch.id, AnswerPart::Failed(error), out);
+            send_part(reply_to, fetch.id, AnswerPart::Failed(error), out);
         }
     }
 
@@ -96,19 +96,19 @@
                 let position = fetch.position;
                 if !text.is_empty() {
                     let part = AnswerPart::Text { position, text };
-                    answer(reply_to, fetch.id, part, out);
+                    send_part(reply_to, fetch.id, part, out);
                 }
-                answer(reply_to, fetch.id, AnswerPart::Done(done), out);
+                send_part(reply_to, fetch.id, AnswerPart::Done(done), out);
             }
             Stored::Ended(CallOutcome::Plain(plain)) => {
-                answer(reply_to, fetch.id, AnswerPart::Plain(plain), out);
-                let done = done(
+                send_part(reply_to, fetch.id, AnswerPart::Plain(plain), out);
+                let done = call_done(
                     &key,
                     crate::call::Usage::default(),
                     TurnState::Committed,
                     None,
                 );
-                answer(reply_to, fetch.id, AnswerPart::Done(done), out);
+                send_part(reply_to, fetch.id, AnswerPart::Done(done), out);
             }
             Stored::Ended(CallOutcome::Chat {
                 answer: text,
@@ -116,9 +116,9 @@
             }) => {
                 let text = crate::sidecar::skip_chars(&text, fetch.position);
                 let position = fetch.position;
-                answer(reply_to, fetch.id, AnswerPart::Text { position, text }, out);
-                let done = done(&key, usage, TurnState::Committed, None);
-                answer(reply_to, fetch.id, AnswerPart::Done(done), out);
+                send_part(reply_to, fetch.id, AnswerPart::Text { position, text }, out);
+                let done = call_done(&key, usage, TurnState::Committed, None);
+                send_part(reply_to, fetch.id, AnswerPart::Done(done), out);
             }
             Stored::Ended(CallOutcome::NeverRan(error) | CallOutcome::Failed(error)) => {
                 return Err(error);
@@ -141,11 +141,11 @@
             return Some(Stored::Running(Leader::Request(*id)));
         }
         let live = self.programs.get(&fetch.program);
-        let pending = live.and_then(|l| l.tail.iter().find(|t| t.call.seq == fetch.seq));
+        let pending = live.and_then(|l| l.pending_turns.iter().find(|t| t.call.seq == fetch.seq));
         if let Some(turn) = pending {
             let done = CallDone {
                 finish: turn.finish,
-                ..done(&turn.call, turn.usage, TurnState::Pending, Some(turn.after))
+                ..call_done(&turn.call, turn.usage, TurnState::Pending, Some(turn.after))
             };
             return Some(Stored::Turn(done, turn.answer.clone()));
         }
@@ -157,7 +157,7 @@
         if let Some(turn) = state.turns.get(&fetch.seq) {
             let done = CallDone {
                 finish: turn.finish,
-                ..done(&key, turn.usage, TurnState::Committed, Some(turn.chain))
+                ..call_done(&key, turn.usage, TurnState::Committed, Some(turn.chain))
             };
             let text = state.history.get(turn.answer_at)?.content.clone();
             return Some(Stored::Turn(done, text));
@@ -179,14 +179,14 @@
         let Some(mut call) = self.watched_call(&leader) else {
             let detail = "the call is being looked for at its backend server";
             let error = CallError::new(ErrorKind::OwnerUnknown, detail);
-            answer(reply_to, fetch.id, AnswerPart::Failed(error), out);
+            send_part(reply_to, fetch.id, AnswerPart::Failed(error), out);
             return;
         };
         call.request.id = fetch.id;
         call.reply_to = reply_to.clone();
-        call.claim = None;
+        call.recorded_start = None;
         call.held_tokens = None;
-        call.from = fetch.position;
+        call.resume_position = fetch.position;
         call.answer = AnswerText::default();
         call.plain = None;
         call.done = None;
@@ -216,7 +216,7 @@
             if part.is_last() {
                 self.fetches.remove(&id);
             }
-            answer(&reply_to, id, part.clone(), out);
+            send_part(&reply_to, id, part.clone(), out);
         }
         true
     }
@@ -233,7 +233,7 @@
             if let Some((_, reply_to)) = self.fetches.remove(&id) {
                 let detail = "the owner of the program was lost; ask again";
                 let error = CallError::new(ErrorKind::OwnerUnknown, detail);
-                answer(&reply_to, id, AnswerPart::Failed(error), out);
+                send_part(&reply_to, id, AnswerPart::Failed(error), out);
             }
         }
     }
--- a/clementinepick/src/handover.rs
+++ b/clementinepick/src/handover.rs
@@ -15,7 +15,7 @@
     /// Starts and ends the hand-over of partitions.
     pub(crate) fn hand_over(&mut self, now: TimeUs) {
         if self.leaving {
-            self.yielding = self.own_partitions().into_iter().collect();
+            self.yielding = self.owned_partitions().into_iter().collect();
         } else {
             self.offer_partition(now);
         }
@@ -35,11 +35,13 @@
     fn is_busy(&self, partition: PartitionId) -> bool {
         let calls = self.calls.values().filter(|c| c.partition == partition);
         let open = self.open_calls.values().any(|o| o.partition == partition);
-        let pending = self
-            .programs
-            .values()
-            .any(|live| live.partition == partition && (!live.tail.is_empty() || live.opening));
-        open || pending || calls.into_iter().any(crate::call_state::Call::is_under_way)
+        let pending = self.programs.values().any(|live| {
+            live.partition == partition && (!live.pending_turns.is_empty() || live.is_opening)
+        });
+        open || pending
+            || calls
+                .into_iter()
+                .any(crate::call_state::Call::blocks_handover)
     }
 
     /// Hands one idle partition at a time to the entry that should own it.
@@ -50,13 +52,13 @@
         if !self.yielding.is_empty() || self.journal.is_down() || !self.is_caught_up() {
             return;
         }
-        let offered = self.own_partitions().into_iter().find(|partition| {
+        let offered = self.owned_partitions().into_iter().find(|partition| {
             let heir = self.claimant(*partition);
             heir.is_some_and(|vm| self.joined_before(now, &vm))
                 && !self.calls.values().any(|c| c.partition == *partition)
                 && !self.is_busy(*partition)
                 && self
-                    .claim_pace
+                    .claim_backoffs
                     .get(partition)
                     .is_none_or(|pace| now.since(pace.last_change_us) >= JOINED_US)
         });
@@ -65,7 +67,7 @@
 
     fn joined_before(&self, now: TimeUs, vm: &crate::ids::VmId) -> bool {
         let peer = self.peers.get(vm);
-        peer.is_some_and(|peer| now.since(peer.up_us) >= JOINED_US)
+        peer.is_some_and(|peer| now.since(peer.link_up_us) >= JOINED_US)
     }
 
     fn write_yield(&mut self, now: TimeUs, partition: PartitionId) {
@@ -87,7 +89,7 @@
             let Some(state) = state.programs.get(program) else {
                 continue;
             };
-            if state.root.is_some() || state.ended.is_some() || live.slicing {
+            if state.root.is_some() || state.ended.is_some() || live.is_reserving_slice {
                 continue;
             }
             live.spending.set_time(now.since(live.since_us));
@@ -130,10 +132,10 @@
                 }
             };
             if kind == ErrorKind::OutcomeUnknown {
-                call.claim = None;
+                call.recorded_start = None;
             }
             let error = CallError::new(kind, "this entry was forced to end");
-            self.refuse(now, id, error, out);
+            self.fail_call(now, id, error, out);
         }
     }
 
@@ -143,10 +145,10 @@
             && self.calls.is_empty()
             && self.fetches.is_empty()
             && self
-                .ending
+                .end_requests
                 .values()
                 .all(|ending| ending.next_us > self.last_handled_us)
             && self.journal.unconfirmed() == 0
-            && self.own_partitions().is_empty()
+            && self.owned_partitions().is_empty()
     }
 }
--- a/clementinepick/src/history.rs
+++ b/clementinepick/src/history.rs
@@ -18,11 +18,14 @@
 impl History {
     pub(crate) fn of(state: &ProgramState, live: &LiveProgram) -> Self {
         let mut messages = state.history.clone();
-        for turn in &live.tail {
+        for turn in &live.pending_turns {
             messages.extend(turn.messages.iter().cloned());
             messages.push(ChatMessage::new("assistant", &turn.answer));
         }
-        let chain = live.tail.last().map_or(state.chain, |turn| turn.after);
+        let chain = live
+            .pending_turns
+            .last()
+            .map_or(state.chain, |turn| turn.after);
         Self { messages, chain }
     }
 }
@@ -50,7 +53,7 @@
     /// two conversations or answer from one with a hole.
     pub(crate) fn check_history(&mut self, id: RequestId) -> Result<(), CallError> {
         let history = self.history_of(id);
-        let Some(call) = self.calls.get(&id).filter(|call| call.has_turn()) else {
+        let Some(call) = self.calls.get(&id).filter(|call| call.records_turn()) else {
             return Ok(());
         };
         let Payload::Chat(chat) = &call.request.payload else {
@@ -58,12 +61,15 @@
         };
         let history = history.unwrap_or_default();
         let program = call.request.program.clone();
-        let uncertain = self.programs.get(&program).is_some_and(|l| l.is_uncertain);
+        let uncertain = self
+            .programs
+            .get(&program)
+            .is_some_and(|l| l.may_have_unrecorded_turns);
         if call.request.append {
             check_chain(call.request.history_chain, &history, uncertain)?;
             let full = with_history(chat, history);
             if let Some(call) = self.calls.get_mut(&id) {
-                call.full = Some(Payload::Chat(full));
+                call.full_payload = Some(Payload::Chat(full));
             }
         } else if !begins_with(&chat.messages, &history.messages)
             && self.settings.safeguards.digest_check
@@ -79,7 +85,7 @@
             ));
         }
         if let Some(live) = self.programs.get_mut(&program) {
-            live.is_uncertain = false;
+            live.may_have_unrecorded_turns = false;
         }
         Ok(())
     }
--- a/clementinepick/src/invariants.rs
+++ b/clementinepick/src/invariants.rs
@@ -34,7 +34,7 @@
 
     fn broken_by(&self, id: RequestId, call: &Call, attempt: AttemptId) -> Option<&'static str> {
         let claimed = call
-            .claim
+            .recorded_start
             .as_ref()
             .is_some_and(|claim| claim.attempt == attempt);
         let overtakes = self.calls.iter().any(|(other, running)| {
--- a/clementinepick/src/lib.rs
+++ b/clementinepick/src/lib.rs
@@ -10,12 +10,12 @@
 //! |---|---|---|
 //! | read the request | [`parse`] | |
 //! | check it against the document in force | `admission` | [`config`], [`document`] |
-//! | find the owner of its program | `step_own` | [`own`], [`replay`] |
-//! | tell a repeat from a new call | `repeat` | |
-//! | wait for its turn in the program | `step_order` | [`order`] |
+//! | find the owner of its program | `step_owner` | [`rendezvous`], [`replay`] |
+//! | tell a repeat from a new call | `step_dedup` | |
+//! | wait for its turn in the program | `step_sequence` | [`sequencer`] |
 //! | hold what it may spend | `step_budget` | [`budget`] |
 //! | choose a backend server | `step_route` | [`route`], [`retry`] |
-//! | put a call that may not run twice on record | `step_claim` | [`journal`], [`record`] |
+//! | put a call that may not run twice on record | `step_start` | [`journal`], [`record`] |
 //! | wait before the backend server | `sidecar_calls` | [`gate`], [`predict`] |
 //! | pass the answer back | `answer` | |
 //! | put the turn on record | `step_record` | [`journal`], [`record`] |
@@ -65,8 +65,6 @@
 mod members;
 pub mod membership;
 pub mod message;
-pub mod order;
-pub mod own;
 pub mod parse;
 pub mod peer_liveness;
 pub mod placement;
@@ -79,7 +77,7 @@
 pub mod record_age;
 mod recovery;
 pub mod refusal;
-mod repeat;
+pub mod rendezvous;
 pub mod replay;
 mod replay_state;
 pub mod retain;
@@ -87,6 +85,7 @@
 pub mod route;
 pub mod rules;
 pub mod safeguards;
+pub mod sequencer;
 pub mod server_choice;
 pub mod server_health;
 pub mod server_list;
@@ -100,11 +99,12 @@
 mod sidecar_types;
 mod snapshot;
 mod step_budget;
-mod step_claim;
-mod step_order;
-mod step_own;
+mod step_dedup;
+mod step_owner;
 mod step_record;
 mod step_route;
+mod step_sequence;
+mod step_start;
 mod sweep;
 pub mod traffic_config;
 pub mod turn_chain;
--- a/clementinepick/src/links.rs
+++ b/clementinepick/src/links.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::answer::Reply;
+use crate::answer::SidecarReply;
 use crate::call::Usage;
 use crate::call_state::{PeerState, ReplyTo, Step};
 use crate::entry::{Entry, EntryAction};
@@ -50,7 +50,7 @@
                 started,
                 used,
             } => {
-                let reply = Reply {
+                let reply = SidecarReply {
                     attempt,
                     part,
                     started,
@@ -114,12 +114,12 @@
         let role = peer.role;
         let state = PeerState {
             peer: peer.clone(),
-            up_us: now,
+            link_up_us: now,
             is_ready: false,
             heard_us: now,
             leaving: false,
             revisions: None,
-            lags: true,
+            lacks_documents: true,
             confirmed_by_read: self.config_journal.read_now(now),
             sent_documents: BTreeSet::new(),
         };
@@ -129,7 +129,7 @@
             message,
         });
         self.peers.insert(vm.clone(), state);
-        self.lost_us.remove(&vm);
+        self.last_heard_us.remove(&vm);
         self.membership.on_link_up(now, peer.clone());
         self.judge_member(now, &vm, out);
         if let Some(service) = &peer.service {
@@ -137,13 +137,13 @@
         }
         match role {
             VmRole::Sidecar => {
-                for partition in self.own_partitions() {
-                    self.tell_take_over(&vm, partition, out);
+                for partition in self.owned_partitions() {
+                    self.send_take_over(&vm, partition, out);
                 }
                 self.ask_lost_calls(now, peer, out);
                 self.ask_open_calls(now, out);
             }
-            VmRole::Entry => self.recover_partitions(now),
+            VmRole::Entry => self.claim_orphaned_partitions(now),
         }
     }
 
@@ -154,7 +154,7 @@
         out.push(EntryAction::Event(
             Event::new(EventKind::LinkDown).with("vm", vm),
         ));
-        self.lost_us.insert(vm.clone(), peer.heard_us);
+        self.last_heard_us.insert(vm.clone(), peer.heard_us);
         self.router.remove(vm);
         self.on_engine_gone(vm);
         self.membership.on_link_down(now, vm);
@@ -179,7 +179,7 @@
             let waits = self
                 .calls
                 .get(&id)
-                .is_some_and(|call| !call.idempotent && call.claim.is_some());
+                .is_some_and(|call| !call.idempotent && call.recorded_start.is_some());
             if waits {
                 self.wait_for_link(id);
                 continue;
@@ -196,7 +196,7 @@
 
     pub(crate) fn on_vms(&mut self, now: TimeUs, vms: Vec<Vm>, out: &mut Vec<EntryAction>) {
         self.membership.on_list(vms.clone());
-        self.next_judge_us = now;
+        self.next_membership_check_us = now;
         self.judge_members(now, out);
         self.vms = vms.into_iter().map(|vm| (vm.id.clone(), vm)).collect();
         let others = self.vms.values().filter(|vm| vm.id != self.settings.vm);
--- a/clementinepick/src/members.rs
+++ b/clementinepick/src/members.rs
@@ -74,10 +74,10 @@
         peer.revisions = Some(revisions);
         // A heartbeat that crossed the document on its way does not lag. Only the second one in a
         // row does, or each entry would send each document to each other.
-        let lagged = std::mem::replace(&mut peer.lags, !lacking.is_empty());
+        let lagged = std::mem::replace(&mut peer.lacks_documents, !lacking.is_empty());
         if lagged && !lacking.is_empty() {
             for document in &lacking {
-                peer.note_sent((document.service.clone(), document.revision));
+                peer.record_sent_document((document.service.clone(), document.revision));
             }
             let (to, message) = (to.clone(), Message::Documents(lacking));
             out.push(EntryAction::Send { to, message });
@@ -86,8 +86,8 @@
 
     /// Judges all peers anew, a few times a second: silence and held links show with time only.
     pub(crate) fn judge_members(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
-        if now >= self.next_judge_us {
-            self.next_judge_us = now.after(JUDGE_INTERVAL);
+        if now >= self.next_membership_check_us {
+            self.next_membership_check_us = now.after(JUDGE_INTERVAL);
             let changes = self.membership.judge(now);
             self.on_standings(now, changes, out);
         }
--- a/clementinepick/src/program_end.rs
+++ b/clementinepick/src/program_end.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::call_state::{Awaited, EndedProgram, Ending, LiveProgram, Releasing, Step};
+use crate::call_state::{Awaited, EndRequest, EndedProgram, LiveProgram, Releasing, Step};
 use crate::entry::{Entry, EntryAction};
 use crate::error::{CallError, ErrorKind};
 use crate::event::{Event, EventKind};
@@ -35,35 +35,35 @@
         reason: EndReason,
         out: &mut Vec<EntryAction>,
     ) {
-        let ending = Ending {
+        let ending = EndRequest {
             reason,
             next_us: now,
             until_us: now.after(END_ASKED_US),
         };
-        self.ending.insert(program, ending);
+        self.end_requests.insert(program, ending);
         self.repeat_ends(now, out);
     }
 
     pub(crate) fn repeat_ends(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
         let due: Vec<ProgramId> = self
-            .ending
+            .end_requests
             .iter()
             .filter(|(_, ending)| now >= ending.next_us)
             .map(|(program, _)| program.clone())
             .collect();
         for program in due {
-            let partition = self.home_of(&program, &program);
+            let partition = self.partition_of(&program, &program);
             let state = self.partitions.program(partition, &program);
             let is_ended = state.is_some_and(|state| state.ended.is_some());
             // The owner has read all there is of a program that it does not know.
             let is_unknown = state.is_none()
                 && self.own_epoch(partition).is_some()
                 && !self.programs.contains_key(&program);
-            let Some(ending) = self.ending.get_mut(&program) else {
+            let Some(ending) = self.end_requests.get_mut(&program) else {
                 continue;
             };
             if is_ended || is_unknown || now >= ending.until_us {
-                self.ending.remove(&program);
+                self.end_requests.remove(&program);
                 continue;
             }
             ending.next_us = now.after(END_AGAIN_US);
@@ -82,7 +82,7 @@
         reason: EndReason,
         out: &mut Vec<EntryAction>,
     ) {
-        let partition = self.home_of(&program, &program);
+        let partition = self.partition_of(&program, &program);
         if self.own_epoch(partition).is_none() {
             self.pass_end_on(now, program, reason, partition, out);
             return;
@@ -218,7 +218,7 @@
             .collect();
         for id in ids {
             let detail = format!("the program has ended ({reason:?})");
-            self.refuse(
+            self.fail_call(
                 now,
                 id,
                 CallError::new(ErrorKind::ProgramEnded, detail),
@@ -359,8 +359,8 @@
                 continue;
             };
             let rules = &in_force.document.program;
-            let late = live.order.overdue(now, rules.gap_us);
-            if late.is_empty() && !live.order.is_idle() {
+            let late = live.sequencer.take_overdue(now, rules.gap_us);
+            if late.is_empty() && !live.sequencer.is_idle() {
                 moved.push(program.clone());
             }
             overdue.extend(late);
@@ -368,10 +368,10 @@
             let is_root = state.root.is_none();
             if is_root && state.account.is_overdue(&live.spending) {
                 over.push((program.clone(), EndReason::Deadline));
-            } else if live.is_spent && live.order.is_idle() {
+            } else if live.is_budget_exhausted && live.sequencer.is_idle() {
                 over.push((program.clone(), EndReason::Budget));
-            } else if live.order.is_idle()
-                && live.tail.is_empty()
+            } else if live.sequencer.is_idle()
+                && live.pending_turns.is_empty()
                 && now.since(live.last_used_us) >= rules.idle_us
             {
                 over.push((program.clone(), EndReason::Idle));
@@ -379,7 +379,7 @@
         }
         for id in overdue {
             let detail = "an earlier call did not come in time";
-            self.refuse(now, id, CallError::new(ErrorKind::OutOfOrder, detail), out);
+            self.fail_call(now, id, CallError::new(ErrorKind::OutOfOrder, detail), out);
         }
         for program in moved {
             self.start_next(now, &program, out);
@@ -407,7 +407,7 @@
 
     /// Drops programs that ended a while ago, so that neither memory nor snapshots grow for ever.
     pub(crate) fn forget_programs(&mut self, now: TimeUs) {
-        let keep_us = self.settings.keep_ended_us;
+        let keep_us = self.settings.ended_retention_us;
         let mut old: BTreeMap<PartitionId, Vec<ProgramId>> = BTreeMap::new();
         for (program, ended) in &self.ended {
             if now.since(ended.at_us) >= keep_us && !self.releasing.contains_key(program) {
--- a/clementinepick/src/recovery.rs
+++ b/clementinepick/src/recovery.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::answer::Reply;
+use crate::answer::SidecarReply;
 use crate::answer_text::AnswerText;
 use crate::call::{AnswerPart, Usage};
 use crate::call_state::{Leader, OpenCall, PendingTurn, Step};
@@ -14,7 +14,7 @@
 use crate::message::{FenceVerdict, KeptCall, Message, Peer};
 use crate::record::CallOutcome;
 use crate::replay::extend_chain;
-use crate::step_record::tell_committed;
+use crate::step_record::send_committed;
 use crate::units::{SpanUs, TimeUs};
 
 /// How long a sidecar that can't be reached is waited for before a call's outcome counts as
@@ -73,7 +73,7 @@
             } else {
                 let error = CallError::new(ErrorKind::OwnerUnknown, "the owner was lost");
                 let outcome = CallOutcome::NeverRan(error);
-                self.write_ended(&call, partition, open.attempt, outcome, None);
+                self.record_outcome(&call, partition, open.attempt, outcome, None);
             }
         }
         self.ask_open_calls(now, out);
@@ -178,7 +178,7 @@
         &mut self,
         now: TimeUs,
         from: &VmId,
-        reply: Reply,
+        reply: SidecarReply,
         out: &mut Vec<EntryAction>,
     ) {
         let found = self
@@ -195,8 +195,8 @@
                 let fresh = crate::sidecar::skip_chars(&text, known.saturating_sub(position));
                 open.answer.push_str(&fresh);
                 for id in self.recorded_followers(&call) {
-                    if let Err(error) = self.give_text(id, known, &fresh, out) {
-                        self.drop_call(id, error, out);
+                    if let Err(error) = self.deliver_text(id, known, &fresh, out) {
+                        self.fail_unordered_call(id, error, out);
                     }
                 }
                 return;
@@ -251,11 +251,11 @@
         if matches!(outcome, CallOutcome::NeverRan(_))
             && let Some(live) = self.programs.get_mut(&call.program)
         {
-            live.order.reopen_recorded(call.seq);
+            live.sequencer.reopen_recorded(call.seq);
         }
         if !turn_written {
             let told = Some((RequestId(0), open.target.clone()));
-            self.write_ended(call, open.partition, open.attempt, outcome.clone(), told);
+            self.record_outcome(call, open.partition, open.attempt, outcome.clone(), told);
         }
         for id in followers {
             // A repeat of a call that did not run is the call itself from here on.
@@ -263,7 +263,7 @@
                 if let Some(call) = self.calls.get_mut(&id) {
                     call.step = Step::Own;
                 }
-                self.step_order(now, id, out);
+                self.step_sequence(now, id, out);
                 continue;
             }
             self.answer_outcome(id, call, outcome.clone(), out);
@@ -287,7 +287,7 @@
         };
         for id in followers {
             if matches!(outcome, CallOutcome::NeverRan(_)) {
-                self.step_order(now, id, out);
+                self.step_sequence(now, id, out);
             } else {
                 self.answer_outcome(id, call, outcome.clone(), out);
             }
@@ -303,12 +303,12 @@
         calls: Vec<KeptCall>,
         out: &mut Vec<EntryAction>,
     ) {
-        self.kept_until_us = now.after(KEEP_US);
+        self.kept_answers_until_us = now.after(KEEP_US);
         let mut calls = calls;
         calls.sort_by(|a, b| a.call.cmp(&b.call));
         for kept in calls {
             if self.is_on_record(partition, &kept) {
-                tell_committed(from, kept.attempt, out);
+                send_committed(from, kept.attempt, out);
             } else if !kept.idempotent {
                 if let Some(open) = self.open_calls.get_mut(&kept.call) {
                     open.kept = Some(kept);
@@ -316,7 +316,7 @@
             } else if !(kept.answered && self.record_kept_turn(now, partition, from, &kept))
                 && (kept.answered || !kept.ended)
             {
-                self.kept.insert(kept.request, (from.clone(), kept));
+                self.kept_answers.insert(kept.request, (from.clone(), kept));
             }
         }
         if let Some(taking_over) = self.taking_over.get_mut(&partition) {
@@ -335,7 +335,7 @@
             .collect();
         for partition in ready {
             self.taking_over.remove(&partition);
-            self.retry_own(now, partition, out);
+            self.retry_calls(now, partition, out);
         }
     }
 
@@ -371,7 +371,7 @@
         };
         let history = History::of(state, live);
         if state.ended.is_some()
-            || kept.call.seq < live.order.next()
+            || kept.call.seq < live.sequencer.next()
             || !begins_with(&kept.messages, &history.messages)
         {
             return false;
@@ -394,10 +394,10 @@
             target: target.clone(),
         };
         if let Some(live) = self.programs.get_mut(program) {
-            live.order.pass(kept.call.seq);
+            live.sequencer.skip(kept.call.seq);
             live.holders.insert(target.clone());
         }
-        self.push_turn(partition, history.chain, turn)
+        self.append_turn(partition, history.chain, turn)
     }
 
     /// The link to the sidecar of a running call that may not run twice went down: the call waits
@@ -427,7 +427,7 @@
             let (Some(seq), partition) = (call.seq, call.partition) else {
                 continue;
             };
-            let Some(claim) = call.claim.clone() else {
+            let Some(claim) = call.recorded_start.clone() else {
                 continue;
             };
             if claim.incarnation != peer.incarnation {
@@ -487,24 +487,28 @@
         let Some(call) = self.calls.get(&id) else {
             return;
         };
-        let open = call.claim.clone().zip(call.seq).map(|(claim, seq)| {
-            let open = OpenCall {
-                partition: call.partition,
-                attempt: claim.attempt,
-                target: claim.target,
-                incarnation: claim.incarnation,
-                started_epoch: self.own_epoch(call.partition).unwrap_or_default(),
-                since_us: now,
-                asked_us: None,
-                is_attached: false,
-                answer: call.answer.clone(),
-                plain: call.plain.clone(),
-                kept: None,
-            };
-            (call.request.key(seq), open)
-        });
+        let open = call
+            .recorded_start
+            .clone()
+            .zip(call.seq)
+            .map(|(claim, seq)| {
+                let open = OpenCall {
+                    partition: call.partition,
+                    attempt: claim.attempt,
+                    target: claim.target,
+                    incarnation: claim.incarnation,
+                    started_epoch: self.own_epoch(call.partition).unwrap_or_default(),
+                    since_us: now,
+                    asked_us: None,
+                    is_attached: false,
+                    answer: call.answer.clone(),
+                    plain: call.plain.clone(),
+                    kept: None,
+                };
+                (call.request.key(seq), open)
+            });
         if let Step::Lost { attempt, .. } | Step::Running { attempt, .. } = call.step {
-            self.leave_backend(attempt, true);
+            self.end_attempt(attempt, true);
         }
         if let Some((key, open)) = open {
             self.open_calls.insert(key, open);
@@ -512,10 +516,10 @@
         let detail = "the deadline passed while the backend server could not be reached";
         let error = CallError::new(ErrorKind::OutcomeUnknown, detail);
         if let Some(call) = self.calls.get_mut(&id) {
-            call.claim = None;
+            call.recorded_start = None;
         }
         self.settle_whole(id);
-        self.refuse(now, id, error, out);
+        self.fail_call(now, id, error, out);
     }
 
     /// Books all that was held for a call of which nobody knows what it used.
--- a/clementinepick/src/refusal.rs
+++ b/clementinepick/src/refusal.rs
@@ -24,7 +24,7 @@
     /// The turn to continue from does not exist.
     UnknownTurn,
     /// The log that holds budgets and turns can't be reached, and the request was not sent on.
-    LedgerAway,
+    LedgerUnavailable,
     /// No backend server takes requests.
     NoServer,
     /// Backend servers refused the request without running it.
@@ -39,7 +39,7 @@
 
 /// The answer to a refused request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RefusalAnswer {
+pub struct RefusalResponse {
     /// The HTTP status; 402, 408, 429 and 503 promise that the request has not run.
     pub status: u16,
     /// The name in the body, in logs and in metrics.
@@ -59,14 +59,14 @@
 /// When to come back where the log has been away for `away_us`: an outage that has lasted for some
 /// time will probably last as long again, and a caller has only a few tries.
 #[must_use]
-pub fn ledger_retry(away_us: SpanUs) -> SpanUs {
+pub fn ledger_retry_after(away_us: SpanUs) -> SpanUs {
     away_us.clamp(LEDGER_RETRY_US, MAX_LEDGER_RETRY_US)
 }
 
 impl Refusal {
     /// The answer that callers get.
     #[must_use]
-    pub const fn answer(self) -> RefusalAnswer {
+    pub const fn response(self) -> RefusalResponse {
         let (status, code, retry_after_us) = match self {
             Self::Malformed => (400, "malformed", None),
             Self::HeadTooLarge => (431, "head_too_large", None),
@@ -77,14 +77,14 @@
             Self::NoRoute => (404, "no_route", None),
             Self::BudgetSpent => (402, "budget_spent", None),
             Self::UnknownTurn => (404, "unknown_turn", None),
-            Self::LedgerAway => (503, "ledger_away", Some(LEDGER_RETRY_US)),
+            Self::LedgerUnavailable => (503, "ledger_away", Some(LEDGER_RETRY_US)),
             Self::NoServer => (503, "no_server", Some(START_RETRY_US)),
             Self::ServersRefused => (503, "servers_refused", Some(ROOM_RETRY_US)),
             Self::NotSentInTime => (503, "not_sent_in_time", Some(ROOM_RETRY_US)),
             Self::NoAnswerInTime => (504, "no_answer_in_time", None),
             Self::ServerLost => (502, "server_lost", None),
         };
-        RefusalAnswer {
+        RefusalResponse {
             status,
             code,
             retry_after_us,
--- a/clementinepick/src/route.rs
+++ b/clementinepick/src/route.rs
@@ -57,7 +57,7 @@
     /// The part of the prompt that is probably not cached there.
     pub uncached_tokens: Tokens,
     /// The backend servers that were looked at.
-    pub looked_at: u32,
+    pub candidate_count: u32,
 }
 
 /// A backend server's place in its pool.
@@ -294,7 +294,7 @@
     }
 
     /// A turn has ended: its prompt lies in the cache, though the events that say so come later.
-    pub fn on_cached(&mut self, vm: &VmId, prompt: &Prompt) {
+    pub fn on_prompt_cached(&mut self, vm: &VmId, prompt: &Prompt) {
         let Some((pool, slot)) = self.pool_of(vm) else {
             return;
         };
@@ -318,7 +318,7 @@
             .filter_map(|slot| pool.slots.get(slot))
             .filter(|backend| pool.is_free(backend, query))
             .collect();
-        let looked_at = u32::try_from(candidates.len()).unwrap_or(u32::MAX);
+        let candidate_count = u32::try_from(candidates.len()).unwrap_or(u32::MAX);
         let best = fit
             .into_iter()
             .min_by_key(|backend| self.cost(backend, query, segments));
@@ -326,7 +326,7 @@
         Some(Choice {
             vm: best.vm.clone(),
             uncached_tokens: best.uncached_tokens(segments),
-            looked_at,
+            candidate_count,
         })
     }
 
--- a/clementinepick/src/order.rs
+++ b/clementinepick/src/sequencer.rs
@@ -27,7 +27,7 @@
     /// A sequencer that goes on after the calls on record; `is_lower_bound` where an earlier owner
     /// may have run idempotent calls past them.
     #[must_use]
-    pub fn taking_over_at(next: CallSeq, is_lower_bound: bool) -> Self {
+    pub fn resuming_at(next: CallSeq, is_lower_bound: bool) -> Self {
         Self {
             next,
             is_lower_bound,
@@ -42,18 +42,18 @@
     }
 
     /// A call of an earlier owner runs on here.
-    pub fn run(&mut self, seq: CallSeq) {
+    pub fn resume(&mut self, seq: CallSeq) {
         self.running = Some(seq);
         self.next = self.next.max(seq.next());
     }
 
     /// A call of an earlier owner has ended.
-    pub fn pass(&mut self, seq: CallSeq) {
+    pub fn skip(&mut self, seq: CallSeq) {
         self.next = self.next.max(seq.next());
     }
 
     /// Lets calls run beside each other; only for test runs without the safeguard.
-    pub(crate) fn run_beside(&mut self) {
+    pub(crate) fn allow_concurrent(&mut self) {
         self.running = None;
     }
 
@@ -141,7 +141,7 @@
     ///
     /// After a take-over the earlier one may have run without a record. Then the first call that
     /// waits is let go on instead; one that comes for an earlier place later is out of order.
-    pub fn overdue(&mut self, now: TimeUs, gap_us: SpanUs) -> Vec<RequestId> {
+    pub fn take_overdue(&mut self, now: TimeUs, gap_us: SpanUs) -> Vec<RequestId> {
         if self.running.is_some() || self.waiting.contains_key(&self.next) {
             return Vec::new();
         }
@@ -207,8 +207,8 @@
         order
             .push(TimeUs(0), RequestId(1), Some(CallSeq(3)))
             .expect("open");
-        assert!(order.overdue(TimeUs(9), SpanUs(10)).is_empty());
-        assert_eq!(order.overdue(TimeUs(10), SpanUs(10)), [RequestId(1)]);
+        assert!(order.take_overdue(TimeUs(9), SpanUs(10)).is_empty());
+        assert_eq!(order.take_overdue(TimeUs(10), SpanUs(10)), [RequestId(1)]);
         assert!(order.is_idle());
     }
 
--- a/clementinepick/src/snapshot.rs
+++ b/clementinepick/src/snapshot.rs
@@ -20,10 +20,10 @@
         }
         let start_us = self.started_us.unwrap_or(now);
         let due = self
-            .own_partitions()
+            .owned_partitions()
             .into_iter()
             .map(|partition| {
-                let last_us = self.snapshots_us.get(&partition).copied();
+                let last_us = self.last_snapshots_us.get(&partition).copied();
                 (last_us.unwrap_or(start_us), partition)
             })
             .filter(|(last_us, _)| now.since(*last_us) >= self.settings.snapshot_us)
@@ -43,7 +43,7 @@
         };
         if let Some(record) = self.write_owned(partition, entry) {
             self.awaited.insert(record, Awaited::Snapshot(partition));
-            self.snapshots_us.insert(partition, now);
+            self.last_snapshots_us.insert(partition, now);
         }
     }
 }
--- a/clementinepick/src/step_budget.rs
+++ b/clementinepick/src/step_budget.rs
@@ -26,7 +26,7 @@
             let rules = &call.in_force.document.program;
             let limit = call.request.budget_tokens.unwrap_or(rules.budget_tokens);
             if tokens > limit.min(rules.budget_tokens) {
-                self.refuse(now, id, exhausted(), out);
+                self.fail_call(now, id, exhausted(), out);
             } else {
                 self.step_route(now, id, out);
             }
@@ -47,14 +47,14 @@
                 self.reserve_slice(partition, &root, slice);
             }
             Some(Grant::Exhausted) => {
-                self.refuse(now, id, exhausted(), out);
+                self.fail_call(now, id, exhausted(), out);
                 if let Some(live) = self.programs.get_mut(&root) {
-                    live.is_spent = true;
+                    live.is_budget_exhausted = true;
                 }
             }
             None => {
                 let detail = "the account of the program is not known here";
-                self.refuse(now, id, CallError::new(ErrorKind::NotReady, detail), out);
+                self.fail_call(now, id, CallError::new(ErrorKind::NotReady, detail), out);
             }
         }
     }
@@ -88,7 +88,7 @@
         let Some(live) = self.programs.get_mut(root) else {
             return;
         };
-        if std::mem::replace(&mut live.slicing, true) {
+        if std::mem::replace(&mut live.is_reserving_slice, true) {
             return;
         }
         let Some(state) = self.partitions.program(partition, root) else {
@@ -109,7 +109,7 @@
         let wanted: Vec<(PartitionId, ProgramId, Amount)> = self
             .programs
             .iter_mut()
-            .filter(|(_, live)| !live.slicing && !live.order.is_idle())
+            .filter(|(_, live)| !live.is_reserving_slice && !live.sequencer.is_idle())
             .filter_map(|(program, live)| {
                 live.spending.set_time(now.since(live.since_us));
                 let state = self.partitions.program(live.partition, program)?;
@@ -132,7 +132,7 @@
         let Some(live) = self.programs.get_mut(root) else {
             return;
         };
-        live.slicing = false;
+        live.is_reserving_slice = false;
         let partition = live.partition;
         let waiting: Vec<RequestId> = self
             .calls
--- a/clementinepick/src/repeat.rs
+++ b/clementinepick/src/step_dedup.rs
@@ -1,6 +1,6 @@
 //! Tells a repeat of a call from a new one, and gives it the first one's answer or the truth.
 
-use crate::answer::answer;
+use crate::answer::send_part;
 use crate::call::{AnswerPart, CallDone, Payload, Request, TurnState, Usage};
 use crate::call_state::{Call, Leader, Step};
 use crate::entry::{Entry, EntryAction};
@@ -65,7 +65,7 @@
 
 impl Entry {
     /// Goes on with a call whose partition is owned here.
-    pub(crate) fn step_repeat(&mut self, now: TimeUs, id: RequestId, out: &mut Vec<EntryAction>) {
+    pub(crate) fn step_dedup(&mut self, now: TimeUs, id: RequestId, out: &mut Vec<EntryAction>) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
@@ -77,7 +77,7 @@
         match repeat {
             None => {
                 if !self.adopt(now, id, out) {
-                    self.step_order(now, id, out);
+                    self.step_sequence(now, id, out);
                 }
             }
             Some(Repeat::Of(leader)) => self.follow(id, leader, out),
@@ -90,7 +90,7 @@
                 let detail = "this idempotency key was used with another request";
                 let field = crate::parse::KEY_HEADER;
                 let error = CallError::at(ErrorKind::KeyReused, field, detail);
-                self.drop_call(id, error, out);
+                self.fail_unordered_call(id, error, out);
             }
         }
     }
@@ -129,7 +129,7 @@
 
     fn find_pending(&self, call: &Call) -> Option<Repeat> {
         let live = self.programs.get(&call.request.program)?;
-        for turn in &live.tail {
+        for turn in &live.pending_turns {
             let known = Known {
                 request: turn.request,
                 digest: turn.digest,
@@ -140,7 +140,7 @@
                 Match::Same => {
                     let done = CallDone {
                         finish: turn.finish,
-                        ..done(&turn.call, turn.usage, TurnState::Pending, Some(turn.after))
+                        ..call_done(&turn.call, turn.usage, TurnState::Pending, Some(turn.after))
                     };
                     return Some(Repeat::Turn(done, turn.answer.clone()));
                 }
@@ -197,16 +197,16 @@
         };
         call.step = Step::Follow(leader);
         if let Some(plain) = plain {
-            self.give_plain(id, &plain, out);
+            self.deliver_plain(id, &plain, out);
         }
-        if let Err(error) = self.give_text(id, 0, &text, out) {
-            self.drop_call(id, error, out);
+        if let Err(error) = self.deliver_text(id, 0, &text, out) {
+            self.fail_unordered_call(id, error, out);
         }
     }
 
     /// Takes over a running or ended attempt of an earlier owner, instead of running it again.
     fn adopt(&mut self, now: TimeUs, id: RequestId, out: &mut Vec<EntryAction>) -> bool {
-        let Some((target, kept)) = self.kept.remove(&id) else {
+        let Some((target, kept)) = self.kept_answers.remove(&id) else {
             return false;
         };
         let Some(call) = self.calls.get_mut(&id) else {
@@ -225,7 +225,7 @@
             let mut chat = chat.clone();
             chat.messages.clone_from(&kept.messages);
             chat.prompt = crate::prompt::Prompt::of_messages(&chat.messages);
-            call.full = Some(Payload::Chat(chat));
+            call.full_payload = Some(Payload::Chat(chat));
         }
         call.step = Step::Running {
             attempt: kept.attempt,
@@ -236,7 +236,7 @@
         self.router.on_sent(&target, call.prefill_tokens);
         self.attempts.insert(kept.attempt, id);
         let live = self.live_program(now, partition, &program);
-        live.order.run(kept.call.seq);
+        live.sequencer.resume(kept.call.seq);
         live.holders.insert(target.clone());
         live.last_backend = Some(target.clone());
         let message = Message::Attach {
@@ -259,26 +259,26 @@
     ) {
         match outcome {
             CallOutcome::Plain(plain) => {
-                self.give_plain(id, &plain, out);
-                let done = done(key, Usage::default(), TurnState::Committed, None);
+                self.deliver_plain(id, &plain, out);
+                let done = call_done(key, Usage::default(), TurnState::Committed, None);
                 if let Some(call) = self.calls.remove(&id) {
-                    answer(&call.reply_to, id, AnswerPart::Done(done), out);
+                    send_part(&call.reply_to, id, AnswerPart::Done(done), out);
                 }
             }
             CallOutcome::Chat {
                 answer: text,
                 usage,
             } => {
-                let done = done(key, usage, TurnState::Committed, None);
+                let done = call_done(key, usage, TurnState::Committed, None);
                 self.answer_turn(id, done, &text, out);
             }
             CallOutcome::NeverRan(error) | CallOutcome::Failed(error) => {
-                self.drop_call(id, error, out);
+                self.fail_unordered_call(id, error, out);
             }
             CallOutcome::Unknown => {
                 let detail = "the call was sent on and its outcome can't be learned";
                 let error = CallError::new(ErrorKind::OutcomeUnknown, detail);
-                self.drop_call(id, error, out);
+                self.fail_unordered_call(id, error, out);
             }
         }
     }
@@ -291,12 +291,12 @@
         text: &str,
         out: &mut Vec<EntryAction>,
     ) {
-        if let Err(error) = self.give_text(id, 0, text, out) {
-            self.drop_call(id, error, out);
+        if let Err(error) = self.deliver_text(id, 0, text, out) {
+            self.fail_unordered_call(id, error, out);
             return;
         }
         if let Some(call) = self.calls.remove(&id) {
-            answer(&call.reply_to, id, AnswerPart::Done(done), out);
+            send_part(&call.reply_to, id, AnswerPart::Done(done), out);
         }
     }
 }
@@ -323,7 +323,7 @@
                 let key = call.request.key(*seq);
                 let done = CallDone {
                     finish: turn.finish,
-                    ..done(&key, turn.usage, TurnState::Committed, Some(turn.chain))
+                    ..call_done(&key, turn.usage, TurnState::Committed, Some(turn.chain))
                 };
                 let text = state.history.get(turn.answer_at)?.content.clone();
                 return Some(Repeat::Turn(done, text));
@@ -335,7 +335,7 @@
     None
 }
 
-pub(crate) fn done(
+pub(crate) fn call_done(
     call: &CallKey,
     usage: Usage,
     turn: TurnState,
--- a/clementinepick/src/step_own.rs
+++ b/clementinepick/src/step_owner.rs
@@ -4,14 +4,14 @@
 
 use rand::Rng;
 
-use crate::call_state::{Awaited, ClaimPace, EndedProgram, Step, TakingOver};
+use crate::call_state::{Awaited, ClaimBackoff, EndedProgram, Step, Takeover};
 use crate::entry::{Entry, EntryAction};
 use crate::event::{Event, EventKind};
 use crate::ids::{Epoch, PartitionId, ProgramId, RequestId, VmId};
 use crate::message::Message;
-use crate::own::suggested_owner;
 use crate::platform::VmRole;
 use crate::record::RecordBody;
+use crate::rendezvous::suggested_owner;
 use crate::replay::Owner;
 use crate::units::{SpanUs, TimeUs};
 
@@ -26,7 +26,7 @@
 
 impl Entry {
     /// The partition of a program, which for a sub-agent is that of its root.
-    pub(crate) fn home_of(&self, program: &ProgramId, root: &ProgramId) -> PartitionId {
+    pub(crate) fn partition_of(&self, program: &ProgramId, root: &ProgramId) -> PartitionId {
         let count = self.settings.partition_count;
         self.partitions
             .home(program)
@@ -48,7 +48,7 @@
     }
 
     /// The count of the other entries that live.
-    pub(crate) fn live_entries(&self) -> usize {
+    pub(crate) fn count_live_entries(&self) -> usize {
         self.peers
             .keys()
             .filter(|vm| self.is_live_entry(vm))
@@ -60,21 +60,21 @@
     fn is_held_up(&self, partition: PartitionId) -> bool {
         self.yielding.contains(&partition)
             || self.taking_over.contains_key(&partition)
-            || (self.is_unsure && !self.journal.is_down())
+            || (self.is_ownership_unconfirmed && !self.journal.is_down())
     }
 
-    pub(crate) fn step_own(&mut self, now: TimeUs, id: RequestId, out: &mut Vec<EntryAction>) {
+    pub(crate) fn step_owner(&mut self, now: TimeUs, id: RequestId, out: &mut Vec<EntryAction>) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
-        let partition = self.home_of(&call.request.program, call.request.home());
+        let partition = self.partition_of(&call.request.program, call.request.root_program());
         let hops = call.hops;
         if let Some(call) = self.calls.get_mut(&id) {
             call.partition = partition;
         }
         if self.own_epoch(partition).is_some() {
             if !self.is_held_up(partition) {
-                self.step_repeat(now, id, out);
+                self.step_dedup(now, id, out);
             }
             return;
         }
@@ -107,7 +107,7 @@
         if let Some(peer) = self.peers.get(&owner.vm) {
             return peer.peer.incarnation != owner.incarnation;
         }
-        let since_us = self.lost_us.get(&owner.vm).copied();
+        let since_us = self.last_heard_us.get(&owner.vm).copied();
         let since_us = since_us.or(self.started_us).unwrap_or(now);
         now.since(since_us) >= self.settings.takeover_us
     }
@@ -128,7 +128,11 @@
         if self.awaited.values().any(|awaited| *awaited == claiming) {
             return;
         }
-        let pace = self.claim_pace.get(&partition).copied().unwrap_or_default();
+        let pace = self
+            .claim_backoffs
+            .get(&partition)
+            .copied()
+            .unwrap_or_default();
         if now < pace.not_before_us {
             return;
         }
@@ -138,7 +142,7 @@
     }
 
     /// Claims, without waiting for a call, the partitions of silent owners that fall to this entry.
-    pub(crate) fn recover_partitions(&mut self, now: TimeUs) {
+    pub(crate) fn claim_orphaned_partitions(&mut self, now: TimeUs) {
         if self.leaving || !self.is_caught_up() || self.journal.is_down() {
             return;
         }
@@ -167,7 +171,7 @@
     fn unowned_partitions(&self, now: TimeUs) -> Vec<PartitionId> {
         let met = self
             .started_us
-            .is_some_and(|at| now.since(at) >= self.settings.settle_us);
+            .is_some_and(|at| now.since(at) >= self.settings.startup_claim_delay_us);
         if !met {
             return Vec::new();
         }
@@ -182,7 +186,7 @@
     /// dead and claim in turn without end. Each change doubles the wait before the next, with
     /// jitter, so that calls get through between the changes.
     fn pace_claims(&mut self, now: TimeUs, partition: PartitionId) {
-        let pace = self.claim_pace.entry(partition).or_default();
+        let pace = self.claim_backoffs.entry(partition).or_default();
         let recent = now.since(pace.last_change_us) < PACE_MEMORY_US;
         let changes = if recent { pace.changes + 1 } else { 1 };
         let doublings = (changes - 1).min(MAX_PACE_DOUBLINGS);
@@ -192,7 +196,7 @@
             self.settings.takeover_us.0 << doublings
         };
         let jitter_us = self.rng.next_u64() % (wait_us / 4 + 1);
-        *pace = ClaimPace {
+        *pace = ClaimBackoff {
             changes,
             last_change_us: now,
             not_before_us: now.after(SpanUs(wait_us + jitter_us)),
@@ -230,9 +234,9 @@
             self.recover_open_calls(now, partition, out);
             self.release_recorded(now, partition, out);
         } else {
-            self.leave_partition(now, partition, out);
+            self.drop_partition(now, partition, out);
         }
-        self.retry_own(now, partition, out);
+        self.retry_calls(now, partition, out);
     }
 
     fn start_take_over(&mut self, now: TimeUs, partition: PartitionId, out: &mut Vec<EntryAction>) {
@@ -243,10 +247,10 @@
         self.keep_programs(now, partition);
         let sidecars: BTreeSet<VmId> = self.sidecars().cloned().collect();
         for vm in &sidecars {
-            self.tell_take_over(vm, partition, out);
+            self.send_take_over(vm, partition, out);
         }
         if !is_new && !sidecars.is_empty() {
-            let taking_over = TakingOver {
+            let taking_over = Takeover {
                 waits_for: sidecars,
                 until_us: now.after(REPORT_WAIT_US),
             };
@@ -278,7 +282,7 @@
         }
     }
 
-    pub(crate) fn tell_take_over(
+    pub(crate) fn send_take_over(
         &self,
         vm: &VmId,
         partition: PartitionId,
@@ -291,7 +295,7 @@
         }
     }
 
-    pub(crate) fn own_partitions(&self) -> Vec<PartitionId> {
+    pub(crate) fn owned_partitions(&self) -> Vec<PartitionId> {
         let named = self.partitions.iter().map(|(partition, _)| partition);
         named.filter(|p| self.own_epoch(*p).is_some()).collect()
     }
@@ -300,7 +304,7 @@
     ///
     /// What ran is not lost: the new owner finds the calls at their sidecars and attaches to them,
     /// and this entry only passes the answers on.
-    pub(crate) fn leave_partition(
+    pub(crate) fn drop_partition(
         &mut self,
         now: TimeUs,
         partition: PartitionId,
@@ -327,7 +331,7 @@
             .collect();
         for id in ids {
             self.reset_call(id);
-            self.step_own(now, id, out);
+            self.step_owner(now, id, out);
         }
     }
 
@@ -337,7 +341,7 @@
             return;
         };
         if let Step::Running { attempt, .. } | Step::Lost { attempt, .. } = call.step {
-            self.leave_backend(attempt, false);
+            self.end_attempt(attempt, false);
         }
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -346,14 +350,14 @@
         call.step = Step::Own;
         call.hops = 0;
         call.seq = None;
-        call.full = None;
+        call.full_payload = None;
         call.held_tokens = None;
-        call.claim = None;
+        call.recorded_start = None;
         call.done = None;
         call.tried.clear();
     }
 
-    pub(crate) fn retry_own(
+    pub(crate) fn retry_calls(
         &mut self,
         now: TimeUs,
         partition: PartitionId,
@@ -374,7 +378,7 @@
             .collect();
         for id in waiting {
             self.take_back(id, out);
-            self.step_own(now, id, out);
+            self.step_owner(now, id, out);
         }
     }
 
@@ -407,7 +411,7 @@
                 call.step = Step::Own;
                 call.may_have_run = true;
             }
-            self.step_own(now, id, out);
+            self.step_owner(now, id, out);
         }
     }
 }
--- a/clementinepick/src/step_record.rs
+++ b/clementinepick/src/step_record.rs
@@ -1,6 +1,6 @@
 //! Puts an answered call on record and ends it.
 
-use crate::answer::answer;
+use crate::answer::send_part;
 use crate::call::{AnswerPart, CallDone, Payload, TurnState, Usage};
 use crate::call_state::{Awaited, Call, PendingTurn, ReplyTo, Step};
 use crate::entry::{Entry, EntryAction};
@@ -33,9 +33,9 @@
         }) else {
             return;
         };
-        self.leave_backend(attempt, false);
+        self.end_attempt(attempt, false);
         if let Some(prompt) = self.calls.get(&id).and_then(Call::prompt) {
-            self.router.on_cached(&target, prompt);
+            self.router.on_prompt_cached(&target, prompt);
         }
         self.settle(id, done.usage, 1);
         if let Some(call) = self.calls.get_mut(&id) {
@@ -48,7 +48,7 @@
             target,
         };
         if !self.write_answer(&answered) {
-            tell_committed(&answered.target, attempt, out);
+            send_committed(&answered.target, attempt, out);
             self.finish(now, id, TurnState::NotKept, out);
         }
     }
@@ -58,7 +58,7 @@
         let Some(call) = self.calls.get(&answered.request) else {
             return false;
         };
-        if call.has_turn() {
+        if call.records_turn() {
             return self.write_turn(answered);
         }
         let (Some(seq), false) = (call.seq, call.idempotent) else {
@@ -73,7 +73,7 @@
             },
         };
         let told = Some((answered.request, answered.target.clone()));
-        self.write_ended(&key, partition, answered.attempt, outcome, told);
+        self.record_outcome(&key, partition, answered.attempt, outcome, told);
         true
     }
 
@@ -111,11 +111,11 @@
             target: answered.target.clone(),
         };
         let partition = call.partition;
-        self.push_turn(partition, history.chain, turn)
+        self.append_turn(partition, history.chain, turn)
     }
 
     /// Writes the record of a turn and keeps the turn until the record has come back.
-    pub(crate) fn push_turn(
+    pub(crate) fn append_turn(
         &mut self,
         partition: crate::ids::PartitionId,
         before: crate::prompt::ChainHash,
@@ -143,7 +143,7 @@
         };
         self.awaited.insert(record, awaited);
         if let Some(live) = self.programs.get_mut(&program) {
-            live.tail.push(PendingTurn { record, ..turn });
+            live.pending_turns.push(PendingTurn { record, ..turn });
         }
         true
     }
@@ -158,11 +158,14 @@
         out: &mut Vec<EntryAction>,
     ) {
         let turn = self.programs.get_mut(program).and_then(|live| {
-            let at = live.tail.iter().position(|turn| turn.record == record)?;
-            Some(live.tail.remove(at))
+            let at = live
+                .pending_turns
+                .iter()
+                .position(|turn| turn.record == record)?;
+            Some(live.pending_turns.remove(at))
         });
         if let Some(turn) = turn {
-            tell_committed(&turn.target, turn.attempt, out);
+            send_committed(&turn.target, turn.attempt, out);
         }
         self.finish(now, id, TurnState::Committed, out);
     }
@@ -185,12 +188,12 @@
                 chain,
                 ..done
             });
-            self.end_followers(id, &last, out);
-            answer(&call.reply_to, id, last, out);
+            self.answer_followers(id, &last, out);
+            send_part(&call.reply_to, id, last, out);
         }
         let program = call.request.program;
         if let (Some(live), Some(seq)) = (self.programs.get_mut(&program), call.seq) {
-            live.order.finish(seq);
+            live.sequencer.finish(seq);
             live.last_used_us = now;
         }
         if call.request.single_call {
@@ -202,9 +205,9 @@
 
     /// The chain of the history with the turn of a call, for a caller that appends.
     fn turn_chain(&self, id: RequestId) -> Option<crate::prompt::ChainHash> {
-        let call = self.calls.get(&id).filter(|call| call.has_turn())?;
+        let call = self.calls.get(&id).filter(|call| call.records_turn())?;
         let live = self.programs.get(&call.request.program)?;
-        if let Some(turn) = live.tail.iter().find(|turn| turn.request == id) {
+        if let Some(turn) = live.pending_turns.iter().find(|turn| turn.request == id) {
             return Some(turn.after);
         }
         let state = self
@@ -214,7 +217,7 @@
     }
 
     /// Gives the callers that wait for the same call its end.
-    pub(crate) fn end_followers(
+    pub(crate) fn answer_followers(
         &mut self,
         leader: RequestId,
         last: &AnswerPart,
@@ -222,7 +225,7 @@
     ) {
         for id in self.followers_of(leader) {
             if let Some(call) = self.calls.remove(&id) {
-                answer(&call.reply_to, id, last.clone(), out);
+                send_part(&call.reply_to, id, last.clone(), out);
             }
         }
     }
@@ -241,7 +244,7 @@
     }
 
     /// Whether anybody still waits for the answer.
-    pub(crate) fn is_wanted(&self, id: RequestId) -> bool {
+    pub(crate) fn has_waiting_caller(&self, id: RequestId) -> bool {
         let waits = self
             .calls
             .get(&id)
@@ -251,7 +254,7 @@
 }
 
 /// Tells a sidecar that it need not keep an answer any more.
-pub(crate) fn tell_committed(target: &VmId, attempt: AttemptId, out: &mut Vec<EntryAction>) {
+pub(crate) fn send_committed(target: &VmId, attempt: AttemptId, out: &mut Vec<EntryAction>) {
     out.push(EntryAction::Send {
         to: target.clone(),
         message: Message::Committed { attempt },
--- a/clementinepick/src/step_route.rs
+++ b/clementinepick/src/step_route.rs
@@ -21,7 +21,7 @@
         let mut excluded = match &call.request.payload {
             Payload::Chat(chat) => {
                 let model = chat.model.clone();
-                self.without_model(&service, &model)
+                self.find_engines_without_model(&service, &model)
             }
             Payload::Plain(_) => BTreeSet::new(),
         };
@@ -52,7 +52,7 @@
             let attempt = AttemptId::draw(&mut self.rng);
             self.dispatch(now, id, &target, attempt, out);
         } else {
-            self.step_claim(now, id, &target, out);
+            self.step_start(now, id, &target, out);
         }
     }
 
@@ -74,7 +74,7 @@
             return;
         }
         let detail = "no backend server of the service can take the call";
-        self.refuse(now, id, CallError::new(ErrorKind::NoBackend, detail), out);
+        self.fail_call(now, id, CallError::new(ErrorKind::NoBackend, detail), out);
     }
 
     pub(crate) fn dispatch(
@@ -87,7 +87,7 @@
     ) {
         if !self.may_dispatch(id, attempt, out) {
             let error = CallError::new(ErrorKind::Internal, "an invariant did not hold");
-            self.refuse(now, id, error, out);
+            self.fail_call(now, id, error, out);
             return;
         }
         let Some(message) = self
--- a/clementinepick/src/step_order.rs
+++ b/clementinepick/src/step_sequence.rs
@@ -6,14 +6,14 @@
 use crate::error::{CallError, ErrorKind};
 use crate::event::{Event, EventKind};
 use crate::ids::{CallSeq, PartitionId, ProgramId, RequestId};
-use crate::order::Sequencer;
 use crate::record::{Budget, EndReason, OwnedRecord};
+use crate::sequencer::Sequencer;
 use crate::units::TimeUs;
 
 impl Entry {
-    pub(crate) fn step_order(&mut self, now: TimeUs, id: RequestId, out: &mut Vec<EntryAction>) {
+    pub(crate) fn step_sequence(&mut self, now: TimeUs, id: RequestId, out: &mut Vec<EntryAction>) {
         if let Err(refused) = self.check_program(id) {
-            self.drop_call(id, refused, out);
+            self.fail_unordered_call(id, refused, out);
             return;
         }
         let Some(call) = self.calls.get(&id) else {
@@ -25,12 +25,12 @@
         let order_on = self.settings.safeguards.order;
         let live = self.live_program(now, partition, &program);
         if !order_on {
-            live.order.run_beside();
+            live.sequencer.allow_concurrent();
         }
-        let seq = match live.order.push(now, id, wanted) {
+        let seq = match live.sequencer.push(now, id, wanted) {
             Ok(seq) => seq,
             Err(refused) => {
-                self.drop_call(id, refused, out);
+                self.fail_unordered_call(id, refused, out);
                 return;
             }
         };
@@ -60,10 +60,10 @@
             .entry(program.clone())
             .or_insert_with(|| LiveProgram {
                 partition,
-                order: Sequencer::taking_over_at(next, is_known),
+                sequencer: Sequencer::resuming_at(next, is_known),
                 since_us: now,
                 // An earlier owner may have had turns that never came on record.
-                is_uncertain: is_known,
+                may_have_unrecorded_turns: is_known,
                 is_inherited: is_known,
                 ..LiveProgram::default()
             });
@@ -93,7 +93,7 @@
             return Err(CallError::at(ErrorKind::UnknownCall, field, detail));
         };
         let root = parent_state.root.as_ref().unwrap_or(parent);
-        if request.home() != root {
+        if request.root_program() != root {
             let detail = format!("the root of `{parent}` is `{root}`");
             let field = crate::parse::ROOT_HEADER;
             return Err(CallError::at(ErrorKind::BadHeader, field, detail));
@@ -113,7 +113,11 @@
             calls: rules.budget_calls,
             time_us: rules.budget_time_us,
         };
-        let root = call.request.parent.as_ref().map(|_| call.request.home());
+        let root = call
+            .request
+            .parent
+            .as_ref()
+            .map(|_| call.request.root_program());
         // A sub-agent spends from its root's account, so it gets no slice of its own.
         let slice = match root {
             Some(_) => crate::budget::Amount::default(),
@@ -131,7 +135,7 @@
         let Some(live) = self.programs.get_mut(&program) else {
             return;
         };
-        if std::mem::replace(&mut live.opening, true) {
+        if std::mem::replace(&mut live.is_opening, true) {
             return;
         }
         if let Some(record) = self.write_owned(partition, entry) {
@@ -150,7 +154,7 @@
         let is_here = partition.is_some_and(|p| self.partitions.program(p, program).is_some());
         if is_here {
             if let Some(live) = self.programs.get_mut(program) {
-                live.opening = false;
+                live.is_opening = false;
             }
             self.start_next(now, program, out);
             return;
@@ -165,7 +169,7 @@
             .collect();
         for id in ids {
             self.reset_call(id);
-            self.step_own(now, id, out);
+            self.step_owner(now, id, out);
         }
     }
 
@@ -181,10 +185,10 @@
         let partition = live.partition;
         // A call of the earlier owner may still run; its outcome comes first.
         let blocked = self.open_calls.keys().any(|call| call.program == *program);
-        if blocked || live.opening || self.yielding.contains(&partition) {
+        if blocked || live.is_opening || self.yielding.contains(&partition) {
             return;
         }
-        let Some((_, id)) = live.order.start_next() else {
+        let Some((_, id)) = live.sequencer.start_next() else {
             return;
         };
         if self.is_looping(id) {
@@ -193,7 +197,7 @@
         }
         if let Err(refused) = self.check_history(id) {
             note_mismatch(id, &refused, out);
-            self.refuse(now, id, refused, out);
+            self.fail_call(now, id, refused, out);
             return;
         }
         self.step_budget(now, id, out);
@@ -206,7 +210,7 @@
             return false;
         };
         let max_repeats = call.in_force.document.program.max_repeats;
-        let news = crate::step_claim::digest_of_news(&call.request.payload);
+        let news = crate::step_start::digest_new_messages(&call.request.payload);
         let Some(live) = self.programs.get_mut(&call.request.program) else {
             return false;
         };
@@ -228,7 +232,7 @@
         out.push(EntryAction::Event(event));
         let detail = "the program sent the same call too often in a row";
         let error = CallError::new(ErrorKind::LoopStopped, detail);
-        self.refuse(now, id, error, out);
+        self.fail_call(now, id, error, out);
         self.end_program(now, program, EndReason::Loop, out);
     }
 }
--- a/clementinepick/src/step_claim.rs
+++ b/clementinepick/src/step_start.rs
@@ -1,7 +1,7 @@
 //! Puts the start of a non-idempotent call on record before it is sent.
 
 use crate::call::Payload;
-use crate::call_state::{Awaited, Claim, Step};
+use crate::call_state::{Awaited, RecordedStart, Step};
 use crate::entry::{Entry, EntryAction};
 use crate::error::{CallError, ErrorKind};
 use crate::ids::{AttemptId, CallKey, RequestId, VmId};
@@ -14,7 +14,7 @@
     ///
     /// Should this entry die after the call was sent, its successor finds the record and asks the
     /// sidecar what became of the call, where it would otherwise run it a second time.
-    pub(crate) fn step_claim(
+    pub(crate) fn step_start(
         &mut self,
         now: TimeUs,
         id: RequestId,
@@ -45,7 +45,7 @@
         };
         self.awaited.insert(record, Awaited::Started(id));
         if let Some(call) = self.calls.get_mut(&id) {
-            call.claim = Some(Claim {
+            call.recorded_start = Some(RecordedStart {
                 attempt,
                 target: target.clone(),
                 incarnation,
@@ -62,7 +62,7 @@
         let Some(call) = self.calls.get(&id).filter(|call| call.step == Step::Claim) else {
             return;
         };
-        let (Some(claim), Some(seq)) = (call.claim.clone(), call.seq) else {
+        let (Some(claim), Some(seq)) = (call.recorded_start.clone(), call.seq) else {
             return;
         };
         let key = call.request.key(seq);
@@ -74,7 +74,7 @@
         if !is_ours {
             // Another attempt of the call stands on record at this place, and decides.
             let error = CallError::new(ErrorKind::OutOfOrder, format!("call {key} is on record"));
-            self.refuse(now, id, error, out);
+            self.fail_call(now, id, error, out);
             return;
         }
         let peer = self.peers.get(&claim.target);
@@ -83,7 +83,7 @@
             return;
         }
         let error = CallError::new(ErrorKind::NoBackend, "the backend server went away");
-        self.release_claim(id, &error);
+        self.revoke_start(id, &error);
         if let Some(call) = self.calls.get_mut(&id) {
             call.tried.insert(claim.target);
         }
@@ -95,11 +95,11 @@
     /// A start that has not left for the log yet is taken back. One whose append may still take
     /// effect is followed by its end in the same stream; and it is never sent from here again, so
     /// what the caller is told at once stays true.
-    pub(crate) fn release_claim(&mut self, id: RequestId, error: &CallError) {
+    pub(crate) fn revoke_start(&mut self, id: RequestId, error: &CallError) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        let (Some(claim), Some(seq)) = (call.claim.take(), call.seq) else {
+        let (Some(claim), Some(seq)) = (call.recorded_start.take(), call.seq) else {
             return;
         };
         let (key, partition) = (call.request.key(seq), call.partition);
@@ -108,11 +108,11 @@
             return;
         }
         let outcome = CallOutcome::NeverRan(error.clone());
-        self.write_ended(&key, partition, claim.attempt, outcome, None);
+        self.record_outcome(&key, partition, claim.attempt, outcome, None);
     }
 
     /// Puts the outcome of a non-idempotent call on record.
-    pub(crate) fn write_ended(
+    pub(crate) fn record_outcome(
         &mut self,
         call: &CallKey,
         partition: crate::ids::PartitionId,
@@ -156,7 +156,7 @@
 }
 
 /// The digest of what a call brings that the one before it did not.
-pub(crate) fn digest_of_news(payload: &Payload) -> ChainHash {
+pub(crate) fn digest_new_messages(payload: &Payload) -> ChainHash {
     let Payload::Chat(chat) = payload else {
         return digest(payload);
     };
--- a/clementinepick/src/sweep.rs
+++ b/clementinepick/src/sweep.rs
@@ -4,7 +4,7 @@
 use crate::entry::{Entry, EntryAction};
 use crate::error::{CallError, ErrorKind};
 use crate::ids::RequestId;
-use crate::step_record::tell_committed;
+use crate::step_record::send_committed;
 use crate::units::{SpanUs, TimeUs};
 
 /// How long after a deadline the answer of whoever runs the call is waited for.
@@ -23,7 +23,7 @@
         self.drop_silent_peers(now, out);
         self.judge_members(now, out);
         // After a pause others may have taken over: nothing is decided before the log is read.
-        if self.is_unsure && !self.journal.is_down() {
+        if self.is_ownership_unconfirmed && !self.journal.is_down() {
             return;
         }
         self.end_take_overs(now, out);
@@ -34,10 +34,10 @@
         self.repeat_ends(now, out);
         self.walk_programs(now, out);
         self.drop_kept(now, out);
-        self.recover_partitions(now);
+        self.claim_orphaned_partitions(now);
         self.hand_over(now);
         self.write_snapshots(now);
-        self.carry_config_forward(now);
+        self.write_due_config_snapshot(now);
         self.decide_orders(now, out);
         self.scale_appends();
         if self.is_finished() {
@@ -48,27 +48,27 @@
     /// Looks at every program, which is too much for each tick: with thousands of them under way an
     /// entry would do nothing else. What is looked for here has seconds of time.
     fn walk_programs(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
-        if now < self.next_walk_us {
+        if now < self.next_program_sweep_us {
             return;
         }
-        self.next_walk_us = now.after(WALK_US);
+        self.next_program_sweep_us = now.after(WALK_US);
         self.sweep_programs(now, out);
         self.forget_programs(now);
     }
 
     /// The log's append rate is shared by the entries that live.
     fn scale_appends(&mut self) {
-        let others = self.live_entries();
+        let others = self.count_live_entries();
         self.journal.share_between(others + 1);
     }
 
     /// Answers kept by sidecars whose callers did not come back are let go.
     fn drop_kept(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
-        if now < self.kept_until_us {
+        if now < self.kept_answers_until_us {
             return;
         }
-        for (vm, kept) in std::mem::take(&mut self.kept).into_values() {
-            tell_committed(&vm, kept.attempt, out);
+        for (vm, kept) in std::mem::take(&mut self.kept_answers).into_values() {
+            send_committed(&vm, kept.attempt, out);
         }
     }
 
@@ -90,12 +90,12 @@
                 self.finish_pending(now, id, out);
             }
             Step::Own if late => self.refuse_late(now, id, ErrorKind::OwnerUnknown, out),
-            Step::Own => self.step_own(now, id, out),
+            Step::Own => self.step_owner(now, id, out),
             Step::Route { .. } if late => self.refuse_late(now, id, ErrorKind::NoBackend, out),
             Step::Route { .. } => self.step_route(now, id, out),
             Step::Order if late => {
                 let live = self.programs.get(&call.request.program);
-                let kind = if live.is_some_and(|live| live.opening) {
+                let kind = if live.is_some_and(|live| live.is_opening) {
                     ErrorKind::LogUnavailable
                 } else {
                     ErrorKind::DeadlineBeforeStart
@@ -106,10 +106,10 @@
                 self.refuse_late(now, id, ErrorKind::LogUnavailable, out);
             }
             Step::Lost { .. } if late => self.leave_open(now, id, out),
-            Step::Running { .. } if call.left_us.is_some() && !overdue => {
-                self.stop_unwanted(now, id, out);
+            Step::Running { .. } if call.caller_left_us.is_some() && !overdue => {
+                self.cancel_abandoned(now, id, out);
             }
-            Step::Running { .. } if overdue && call.claim.is_some() => {
+            Step::Running { .. } if overdue && call.recorded_start.is_some() => {
                 self.leave_open(now, id, out);
             }
             Step::Running { .. } | Step::Forwarded(_) | Step::Follow(_) if overdue => {
@@ -135,11 +135,11 @@
             ErrorKind::OutcomeUnknown
         };
         if let Some(Step::Running { attempt, .. }) = self.calls.get(&id).map(|c| c.step.clone()) {
-            self.leave_backend(attempt, true);
+            self.end_attempt(attempt, true);
             self.settle_whole(id);
         }
         let error = CallError::new(kind, "the deadline passed without an answer");
-        self.refuse(now, id, error, out);
+        self.fail_call(now, id, error, out);
     }
 
     fn refuse_late(
@@ -150,6 +150,6 @@
         out: &mut Vec<EntryAction>,
     ) {
         let error = CallError::new(kind, "the deadline passed before the call could start");
-        self.refuse(now, id, error, out);
+        self.fail_call(now, id, error, out);
     }
 }
--- a/clementinepick/tests/backends.rs
+++ b/clementinepick/tests/backends.rs
@@ -108,7 +108,7 @@
         let choice = router
             .pick(TimeUs(round), &query)
             .expect("a backend server");
-        assert!(choice.looked_at <= MOST, "{}", choice.looked_at);
+        assert!(choice.candidate_count <= MOST, "{}", choice.candidate_count);
         router.on_sent(&choice.vm, Tokens(400));
     }
 }
--- a/clementinepick/tests/common/mod.rs
+++ b/clementinepick/tests/common/mod.rs
@@ -262,7 +262,7 @@
         let process = if name.starts_with('e') {
             let mut settings = EntrySettings::new(id.clone(), life, zone);
             settings.partition_count = 8;
-            settings.settle_us = SpanUs::from_s(3_600);
+            settings.startup_claim_delay_us = SpanUs::from_s(3_600);
             settings.safeguards = self.safeguards.clone();
             (self.tune)(&mut settings);
             Process::Entry(Box::new(Entry::new(settings)))
@@ -883,7 +883,7 @@
         for n in 0..1_000 {
             let name = format!("{prefix}{n}");
             let partition = program(&name).partition(8);
-            let owner = clementinepick::own::suggested_owner(partition, entries.iter());
+            let owner = clementinepick::rendezvous::suggested_owner(partition, entries.iter());
             if owner.is_some_and(|vm| vm.as_str() == entry) {
                 return name;
             }
--- a/clementinepick/tests/log.rs
+++ b/clementinepick/tests/log.rs
@@ -64,7 +64,7 @@
 
 fn short_lived(settings: &mut EntrySettings) {
     settings.partition_count = 4;
-    settings.settle_us = SpanUs::from_s(1);
+    settings.startup_claim_delay_us = SpanUs::from_s(1);
     settings.snapshot_us = SpanUs::from_s(5);
 }
 
@@ -195,7 +195,7 @@
 // Nobody notices: memory of ended programs does not grow, since they are forgotten after a while.
 #[test]
 fn ended_programs_are_forgotten() {
-    let tune = |settings: &mut EntrySettings| settings.keep_ended_us = SpanUs::from_s(5);
+    let tune = |settings: &mut EntrySettings| settings.ended_retention_us = SpanUs::from_s(5);
     let mut world = World::with(1, 1, 1, Safeguards::default(), tune);
     for n in 0..10 {
         let name = format!("p{n}");
--- a/clementinepick/tests/traffic_config.rs
+++ b/clementinepick/tests/traffic_config.rs
@@ -1,6 +1,6 @@
 //! Routes and what callers are told.
 
-use clementinepick::refusal::{Refusal, ledger_retry};
+use clementinepick::refusal::{Refusal, ledger_retry_after};
 use clementinepick::traffic_config::{RequestKind, TrafficConfig, TrafficRoute};
 use clementinepick::units::SpanUs;
 
@@ -59,15 +59,15 @@
 #[test]
 fn only_refusals_before_a_send_promise_that_nothing_ran() {
     for refusal in [Refusal::NoAnswerInTime, Refusal::ServerLost] {
-        let status = refusal.answer().status;
+        let status = refusal.response().status;
         assert!(![402, 408, 421, 429, 503].contains(&status), "{refusal:?}");
     }
     for refusal in [
-        Refusal::LedgerAway,
+        Refusal::LedgerUnavailable,
         Refusal::NoServer,
         Refusal::NotSentInTime,
     ] {
-        let answer = refusal.answer();
+        let answer = refusal.response();
         assert_eq!(answer.status, 503);
         assert!(answer.retry_after_us.is_some(), "{refusal:?}");
     }
@@ -75,7 +75,10 @@
 
 #[test]
 fn callers_come_back_later_the_longer_the_log_is_away() {
-    assert_eq!(ledger_retry(SpanUs(0)), SpanUs::from_ms(700));
-    assert_eq!(ledger_retry(SpanUs::from_ms(1_500)), SpanUs::from_ms(1_500));
-    assert_eq!(ledger_retry(SpanUs::from_s(60)), SpanUs::from_s(4));
+    assert_eq!(ledger_retry_after(SpanUs(0)), SpanUs::from_ms(700));
+    assert_eq!(
+        ledger_retry_after(SpanUs::from_ms(1_500)),
+        SpanUs::from_ms(1_500)
+    );
+    assert_eq!(ledger_retry_after(SpanUs::from_s(60)), SpanUs::from_s(4));
 }
--- a/clementinepickd/src/gateway_connection.rs
+++ b/clementinepickd/src/gateway_connection.rs
@@ -101,9 +101,9 @@
 async fn refuse(shared: &Shared, refusal: Refusal, codec: &mut Codec, write: &mut OwnedWriteHalf) {
     shared
         .metrics
-        .count(UNREAD, refusal.answer().code, Duration::ZERO);
+        .count(UNREAD, refusal.response().code, Duration::ZERO);
     let mut reply = Reply::new(codec, write, true);
-    let answer = reply.refuse(refusal.answer(), None);
+    let answer = reply.refuse(refusal.response(), None);
     if timeout(REFUSAL_LIMIT, answer).await.is_ok() {
         // Closing with unread bytes would reset the connection and take the answer with it.
         let _ = write.shutdown().await;
--- a/clementinepickd/src/gateway_reply.rs
+++ b/clementinepickd/src/gateway_reply.rs
@@ -7,7 +7,7 @@
 use actix_http::header::{self, HeaderMap, HeaderName, HeaderValue};
 use actix_http::{ConnectionType, Response, StatusCode};
 use bytes::{Bytes, BytesMut};
-use clementinepick::refusal::RefusalAnswer;
+use clementinepick::refusal::RefusalResponse;
 use thiserror::Error;
 use tokio::io::AsyncWriteExt;
 use tokio::net::tcp::OwnedWriteHalf;
@@ -132,7 +132,7 @@
     /// Answers in place of a backend server.
     pub(crate) async fn refuse(
         &mut self,
-        answer: RefusalAnswer,
+        answer: RefusalResponse,
         request_id: Option<&str>,
     ) -> Result<(), CallerGone> {
         let mut headers = HeaderMap::new();
--- a/clementinepickd/src/gateway_request.rs
+++ b/clementinepickd/src/gateway_request.rs
@@ -8,7 +8,7 @@
 use actix_http::StatusCode;
 use bytes::Bytes;
 use clementinepick::event::{Event, EventKind};
-use clementinepick::refusal::{Refusal, ledger_retry};
+use clementinepick::refusal::{Refusal, ledger_retry_after};
 use clementinepick::traffic_config::{RequestKind, TrafficConfig};
 use clementinepick::units::SpanUs;
 use platform::request::RequestInfo;
@@ -72,10 +72,10 @@
                 }
                 Ok(Err(refusal)) => {
                     let event = Event::new(EventKind::RequestFailed);
-                    let event = event.with("reason", refusal.answer().code);
+                    let event = event.with("reason", refusal.response().code);
                     self.log(event, request, id, &trace, reply.status);
                     let took = request.arrived.elapsed();
-                    let code = refusal.answer().code;
+                    let code = refusal.response().code;
                     self.shared.metrics.count(trace.kind.get(), code, took);
                     self.refuse(refusal, id, reply).await;
                 }
@@ -115,10 +115,10 @@
     async fn refuse(&self, refusal: Refusal, id: &str, reply: &mut Reply<'_>) {
         if reply.state() == ReplyState::Open {
             // If this fails, the caller is gone.
-            let mut answer = refusal.answer();
-            if refusal == Refusal::LedgerAway {
+            let mut answer = refusal.response();
+            if refusal == Refusal::LedgerUnavailable {
                 let away = self.shared.store.away_for(Instant::now());
-                answer.retry_after_us = Some(ledger_retry(span(away)));
+                answer.retry_after_us = Some(ledger_retry_after(span(away)));
             }
             let _ = reply.refuse(answer, Some(id)).await;
         }
--- a/clementinepickd/src/gateway_stream.rs
+++ b/clementinepickd/src/gateway_stream.rs
@@ -105,7 +105,7 @@
         if job.route.keeps_context && !stream.record().await {
             // The end is withheld: a caller that saw it could continue from a turn that a loss of
             // this process would lose.
-            return Ok(Err(Refusal::LedgerAway));
+            return Ok(Err(Refusal::LedgerUnavailable));
         }
         reply.end().await?;
     }
@@ -186,7 +186,7 @@
 
 fn refusal_of(err: &LedgerError) -> Refusal {
     match err {
-        LedgerError::Away => Refusal::LedgerAway,
+        LedgerError::Away => Refusal::LedgerUnavailable,
         LedgerError::Spent { .. } => Refusal::BudgetSpent,
         LedgerError::UnknownTurn => Refusal::UnknownTurn,
     }
@@ -234,7 +234,7 @@
             self.note_placed(&slot.server.id);
             match self.run_once(slot, reply).await? {
                 Ok(()) => return Ok(Ok(())),
-                Err(_) if self.is_out_of_budget => return Ok(Err(Refusal::LedgerAway)),
+                Err(_) if self.is_out_of_budget => return Ok(Err(Refusal::LedgerUnavailable)),
                 Err(end) => attempts.failed(end),
             }
         }
--- a/standins/src/policy_entry.rs
+++ b/standins/src/policy_entry.rs
@@ -26,7 +26,7 @@
     Choice {
         vm: vm.clone(),
         uncached_tokens: Tokens(0),
-        looked_at: 0,
+        candidate_count: 0,
     }
 }
 
@@ -120,9 +120,9 @@
     }
 
     /// A turn has ended and left its prompt in the cache.
-    pub fn on_cached(&mut self, vm: &VmId, prompt: &Prompt) {
+    pub fn on_prompt_cached(&mut self, vm: &VmId, prompt: &Prompt) {
         if self.routing == Routing::Router {
-            self.router.on_cached(vm, prompt);
+            self.router.on_prompt_cached(vm, prompt);
         }
     }
 
--- a/standins/src/policy_run.rs
+++ b/standins/src/policy_run.rs
@@ -394,7 +394,7 @@
         }
         if let Some(prompt) = self.programs.list[call.program].shape() {
             let vm = &self.hosts[call.host].vm;
-            self.entries[call.entry].on_cached(vm, &prompt);
+            self.entries[call.entry].on_prompt_cached(vm, &prompt);
         }
         let prompt_tokens = self
             .programs
