--- a/clementinepick/src/entry_tick.rs
+++ b/clementinepick/src/entry_tick.rs
@@ -26,10 +26,10 @@
         if self.is_ownership_unconfirmed && !self.journal.is_down() {
             return;
         }
-        self.end_take_overs(now, out);
+        self.finish_takeovers(now, out);
         self.sweep_calls(now, out);
         self.reserve_ahead(now);
-        self.ask_open_calls(now, out);
+        self.query_open_calls(now, out);
         self.send_releases(now, out);
         self.repeat_ends(now, out);
         self.walk_programs(now, out);
@@ -105,12 +105,12 @@
             Step::Claim | Step::Slice if late => {
                 self.refuse_late(now, id, ErrorKind::LogUnavailable, out);
             }
-            Step::Lost { .. } if late => self.leave_open(now, id, out),
+            Step::Lost { .. } if late => self.detach_at_deadline(now, id, out),
             Step::Running { .. } if call.caller_left_us.is_some() && !overdue => {
                 self.cancel_abandoned(now, id, out);
             }
             Step::Running { .. } if overdue && call.recorded_start.is_some() => {
-                self.leave_open(now, id, out);
+                self.detach_at_deadline(now, id, out);
             }
             Step::Running { .. } | Step::Forwarded(_) | Step::Follow(_) if overdue => {
                 self.give_up(now, id, out);
@@ -136,7 +136,7 @@
         };
         if let Some(Step::Running { attempt, .. }) = self.calls.get(&id).map(|c| c.step.clone()) {
             self.end_attempt(attempt, true);
-            self.settle_whole(id);
+            self.settle_full_reservation(id);
         }
         let error = CallError::new(kind, "the deadline passed without an answer");
         self.fail_call(now, id, error, out);
--- a/clementinepick/src/lib.rs
+++ b/clementinepick/src/lib.rs
@@ -8,9 +8,9 @@
 //!
 //! | step | module | rules in |
 //! |---|---|---|
-//! | read the request | [`parse`] | |
+//! | read the request | [`http_request`] | |
 //! | check it against the document in force | `step_validate` | [`config`], [`document`] |
-//! | find the owner of its program | `step_owner` | [`rendezvous`], [`replay`] |
+//! | find the owner of its program | `step_owner` | [`rendezvous`], [`partition_replay`] |
 //! | tell a repeat from a new call | `step_dedup` | |
 //! | wait for its turn in the program | `step_sequence` | [`sequencer`] |
 //! | hold what it may spend | `step_budget` | [`budget`] |
@@ -59,6 +59,7 @@
 pub mod gate;
 mod handover;
 mod history;
+pub mod http_request;
 pub mod ids;
 mod ini_sections;
 mod invariants;
@@ -66,7 +67,8 @@
 pub mod membership;
 pub mod message;
 pub mod outage_detector;
-pub mod parse;
+pub mod partition_replay;
+mod partition_state;
 pub mod peer_liveness;
 pub mod placement;
 pub mod placement_target;
@@ -76,12 +78,10 @@
 mod program_end;
 pub mod prompt;
 pub mod record;
-pub mod record_age;
+pub mod record_expiry;
 mod recovery;
 pub mod refusal;
 pub mod rendezvous;
-pub mod replay;
-mod replay_state;
 pub mod retry;
 pub mod route;
 pub mod rules;
