--- a/clementinepick/benches/decisions.rs
+++ b/clementinepick/benches/decisions.rs
@@ -8,7 +8,7 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-use clementinepick::gate::{Gate, GateCall, GateSettings};
+use clementinepick::admission_queue::{AdmissionQueue, AdmissionSettings, QueuedCall};
 use clementinepick::ids::{AttemptId, ServiceName, VmId};
 use clementinepick::platform::CacheEvent;
 use clementinepick::prompt::{ChainHash, Prompt, Segment};
@@ -81,12 +81,12 @@
 
 /// Nanoseconds of one call's way through a gate at which others wait.
 fn gate(waiting: u64) -> u128 {
-    let mut gate = Gate::new(GateSettings {
+    let mut gate = AdmissionQueue::new(AdmissionSettings {
         max_running: 1,
         max_waiting: u32::MAX,
         ..Default::default()
     });
-    let call = |n: u64| GateCall {
+    let call = |n: u64| QueuedCall {
         attempt: AttemptId(u128::from(n)),
         program: name("program"),
         class: name("class"),
--- a/clementinepick/src/gate.rs
+++ b/clementinepick/src/admission_queue.rs
@@ -15,7 +15,7 @@
 
 /// What fits, and how many may wait.
 #[derive(Debug, Clone)]
-pub struct GateSettings {
+pub struct AdmissionSettings {
     /// The most calls that run at once.
     pub max_running: u32,
     /// The most calls that wait.
@@ -29,7 +29,7 @@
     pub categories: BTreeMap<CategoryName, CategoryRules>,
 }
 
-impl Default for GateSettings {
+impl Default for AdmissionSettings {
     fn default() -> Self {
         Self {
             max_running: 32,
@@ -43,7 +43,7 @@
 
 /// A call at the gate.
 #[derive(Debug, Clone)]
-pub struct GateCall {
+pub struct QueuedCall {
     /// The attempt.
     pub attempt: AttemptId,
     /// The program.
@@ -84,7 +84,7 @@
 
 #[derive(Debug, Clone)]
 struct Waiting {
-    call: GateCall,
+    call: QueuedCall,
     turn: Turn,
 }
 
@@ -97,8 +97,8 @@
 
 /// The gate's state.
 #[derive(Debug, Clone, Default)]
-pub struct Gate {
-    settings: GateSettings,
+pub struct AdmissionQueue {
+    settings: AdmissionSettings,
     waiting: BTreeMap<AttemptId, Waiting>,
     queues: BTreeMap<Option<CategoryName>, BTreeSet<Turn>>,
     ageing: BTreeSet<(TimeUs, AttemptId)>,
@@ -138,10 +138,10 @@
 /// The shortest and the longest time after which a refused caller is asked to come back.
 const COME_BACK: (SpanUs, SpanUs) = (SpanUs::from_s(1), SpanUs::from_s(60));
 
-impl Gate {
+impl AdmissionQueue {
     /// An empty gate.
     #[must_use]
-    pub fn new(settings: GateSettings) -> Self {
+    pub fn new(settings: AdmissionSettings) -> Self {
         Self {
             settings,
             ..Self::default()
@@ -149,7 +149,7 @@
     }
 
     /// Takes new settings; what runs goes on.
-    pub fn set(&mut self, settings: GateSettings) {
+    pub fn set(&mut self, settings: AdmissionSettings) {
         self.settings = settings;
     }
 
@@ -185,7 +185,7 @@
     /// # Errors
     ///
     /// [`ErrorKind::Overloaded`] with the time to come back, when the call itself would go last.
-    pub fn push(&mut self, call: GateCall) -> Result<Option<Shed>, CallError> {
+    pub fn push(&mut self, call: QueuedCall) -> Result<Option<Shed>, CallError> {
         let turn = turn(&call);
         let mut shed = None;
         if self.waiting.len() >= self.settings.max_waiting as usize {
@@ -296,7 +296,7 @@
         same.count() as u64
     }
 
-    fn fits(&self, call: &GateCall) -> bool {
+    fn fits(&self, call: &QueuedCall) -> bool {
         // A call larger than the whole memory must be able to start alone, or it waits for ever.
         if self.running.is_empty() {
             return true;
@@ -310,7 +310,7 @@
         fits_memory && fits_prefill
     }
 
-    fn start(&mut self, now: TimeUs, call: &GateCall) {
+    fn start(&mut self, now: TimeUs, call: &QueuedCall) {
         let lane = self.lanes.entry(call.rank).or_default();
         lane.on_admitted(now);
         // The time until the next call comes says nothing of the pace.
@@ -363,7 +363,7 @@
         }
     }
 
-    fn take_waiting(&mut self, attempt: AttemptId) -> Option<GateCall> {
+    fn take_waiting(&mut self, attempt: AttemptId) -> Option<QueuedCall> {
         let Waiting { call, turn } = self.waiting.remove(&attempt)?;
         if let Some(queue) = self.queues.get_mut(&call.category) {
             queue.remove(&turn);
@@ -383,7 +383,7 @@
 }
 
 /// The order of calls: rank, then least served program by weight, then arrival.
-fn turn(call: &GateCall) -> Turn {
+fn turn(call: &QueuedCall) -> Turn {
     let served = call.attained_tokens.0 / u64::from(call.weight.max(1));
     (
         call.rank,
@@ -398,8 +398,8 @@
 mod tests {
     use super::*;
 
-    fn call(attempt: u128, rank: u32, attained: u64) -> GateCall {
-        GateCall {
+    fn call(attempt: u128, rank: u32, attained: u64) -> QueuedCall {
+        QueuedCall {
             attempt: AttemptId(attempt),
             program: "p".parse().expect("a name"),
             class: "c".parse().expect("a name"),
@@ -415,8 +415,8 @@
         }
     }
 
-    fn one_at_a_time() -> Gate {
-        Gate::new(GateSettings {
+    fn one_at_a_time() -> AdmissionQueue {
+        AdmissionQueue::new(AdmissionSettings {
             max_running: 1,
             ..Default::default()
         })
@@ -440,7 +440,7 @@
     fn a_call_that_waited_long_counts_as_of_the_first_rank() {
         let mut gate = one_at_a_time();
         gate.push(call(1, 9, 0)).expect("room");
-        gate.push(GateCall {
+        gate.push(QueuedCall {
             arrived_us: TimeUs(500_000),
             ..call(2, 1, 0)
         })
@@ -450,12 +450,12 @@
 
     #[test]
     fn memory_bounds_what_runs_but_never_blocks_a_lone_call() {
-        let settings = GateSettings {
+        let settings = AdmissionSettings {
             cache_size_tokens: Some(Tokens(15)),
-            ..GateSettings::default()
+            ..AdmissionSettings::default()
         };
-        let mut gate = Gate::new(settings);
-        gate.push(GateCall {
+        let mut gate = AdmissionQueue::new(settings);
+        gate.push(QueuedCall {
             memory_tokens: Tokens(99),
             ..call(1, 1, 0)
         })
@@ -468,7 +468,7 @@
 
     #[test]
     fn a_full_queue_refuses_before_any_work() {
-        let mut gate = Gate::new(GateSettings {
+        let mut gate = AdmissionQueue::new(AdmissionSettings {
             max_waiting: 0,
             ..Default::default()
         });
@@ -478,7 +478,7 @@
 
     #[test]
     fn a_full_queue_sheds_the_lowest_class_for_a_higher_one() {
-        let mut gate = Gate::new(GateSettings {
+        let mut gate = AdmissionQueue::new(AdmissionSettings {
             max_running: 0,
             max_waiting: 2,
             ..Default::default()
@@ -501,7 +501,7 @@
             limit: limit.and_then(crate::units::Percent::new),
         };
         let name = |text: &str| -> CategoryName { text.parse().expect("a name") };
-        let mut gate = Gate::new(GateSettings {
+        let mut gate = AdmissionQueue::new(AdmissionSettings {
             max_running: 4,
             categories: [
                 (name("few"), rules(25, None)),
@@ -512,14 +512,14 @@
         });
         for n in 1..=4 {
             let many = Some(name("many"));
-            gate.push(GateCall {
+            gate.push(QueuedCall {
                 category: many,
                 ..call(n, 0, 0)
             })
             .expect("room");
         }
         let few = Some(name("few"));
-        gate.push(GateCall {
+        gate.push(QueuedCall {
             category: few,
             ..call(9, 9, 0)
         })
@@ -529,7 +529,7 @@
 
     #[test]
     fn a_long_prefill_holds_the_next_one_back_until_its_first_text() {
-        let mut gate = Gate::new(GateSettings {
+        let mut gate = AdmissionQueue::new(AdmissionSettings {
             max_prefill_tokens: Some(Tokens(15)),
             ..Default::default()
         });
--- a/clementinepick/src/entry.rs
+++ b/clementinepick/src/entry.rs
@@ -21,7 +21,7 @@
 use crate::journal::{AppendOutcome, Journal, JournalAction, JournalSettings};
 use crate::membership::{Membership, MembershipSettings};
 use crate::message::{Message, Peer};
-use crate::placement::Placement;
+use crate::placement::PlacementPlanner;
 use crate::platform::{ReadAnswer, StreamName, Vm, VmRole};
 use crate::record::EndReason;
 use crate::replay::Partitions;
@@ -193,7 +193,7 @@
     pub(crate) model_gaps: BTreeMap<(ServiceName, ModelName), BTreeSet<VmId>>,
     pub(crate) next_orders_us: TimeUs,
     /// The services on which this entry decides.
-    pub(crate) placements: BTreeMap<ServiceName, Placement>,
+    pub(crate) placements: BTreeMap<ServiceName, PlacementPlanner>,
     /// Own claims to decide that were not yet read back.
     pub(crate) decider_claims: BTreeMap<ServiceName, RecordId>,
     pub(crate) decider_paces: BTreeMap<ServiceName, DeciderPace>,
@@ -308,7 +308,7 @@
             EntryInput::CallerGone(request) => self.on_gone(now, request, out),
             EntryInput::Fetch(fetch) => self.on_fetch(now, &fetch, &ReplyTo::Caller, 0, out),
             EntryInput::EndProgram { program, reason } => {
-                self.ask_end(now, program, reason, out);
+                self.request_program_end(now, program, reason, out);
             }
             EntryInput::LinkUp(peer) => self.on_link_up(now, &peer, out),
             EntryInput::LinkDown(vm) => self.on_link_down(now, &vm, out),
@@ -329,7 +329,7 @@
                 out.push(EntryAction::Event(Event::new(EventKind::ShutdownStarted)));
                 self.next_heartbeat_us = now;
             }
-            EntryInput::Force => self.force(now, out),
+            EntryInput::Force => self.force_shutdown(now, out),
         }
         self.poll_log(now, out);
     }
--- a/clementinepick/src/entry_orders.rs
+++ b/clementinepick/src/entry_orders.rs
@@ -12,7 +12,7 @@
 use crate::event::{Event, EventKind};
 use crate::ids::{ModelName, OrderId, PartitionId, ServiceName, VmId};
 use crate::message::{BackendLoad, Message, OrderOutcome};
-use crate::placement::{Engine, Placement};
+use crate::placement::{Engine, PlacementPlanner};
 use crate::platform::{EngineState, OrderBody};
 use crate::record::RecordBody;
 use crate::units::{SpanUs, TimeUs};
@@ -78,7 +78,7 @@
         self.engines.remove(vm);
         self.model_gaps.clear();
         for placement in self.placements.values_mut() {
-            placement.on_gone(vm);
+            placement.on_link_down(vm);
         }
     }
 
@@ -197,9 +197,9 @@
         let placement = self
             .placements
             .entry(service.clone())
-            .or_insert_with(|| Placement::new(now, decider.fencing, settle));
+            .or_insert_with(|| PlacementPlanner::new(now, decider.fencing, settle));
         if placement.fencing != decider.fencing {
-            *placement = Placement::new(now, decider.fencing, settle);
+            *placement = PlacementPlanner::new(now, decider.fencing, settle);
         }
         for planned in placement.plan(now, in_force, &engines) {
             let Some((target, _)) = self.membership.link(&planned.target) else {
--- a/clementinepick/src/handover.rs
+++ b/clementinepick/src/handover.rs
@@ -13,7 +13,7 @@
 
 impl Entry {
     /// Starts and ends the hand-over of partitions.
-    pub(crate) fn hand_over(&mut self, now: TimeUs) {
+    pub(crate) fn hand_over_partitions(&mut self, now: TimeUs) {
         if self.leaving {
             self.yielding = self.own_partitions().into_iter().collect();
         } else {
@@ -109,7 +109,7 @@
 
     /// Answers every call as it stands: of what was sent on nobody here will learn the outcome, and
     /// whoever owns its partition next learns it from the sidecar.
-    pub(crate) fn force(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
+    pub(crate) fn force_shutdown(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
         self.leaving = true;
         let ids: Vec<RequestId> = self.calls.keys().copied().collect();
         for id in ids {
--- a/clementinepick/src/lib.rs
+++ b/clementinepick/src/lib.rs
@@ -16,7 +16,7 @@
 //! | hold what it may spend | `step_budget` | [`budget`] |
 //! | choose a backend server | `step_route` | [`route`], [`retry`] |
 //! | put a call that may not run twice on record | `step_claim` | [`journal`], [`record`] |
-//! | wait before the backend server | `sidecar_calls` | [`gate`], [`predict`] |
+//! | wait before the backend server | `sidecar_calls` | [`admission_queue`], [`predict`] |
 //! | pass the answer back | `answer` | |
 //! | put the turn on record | `step_record` | [`journal`], [`record`] |
 //!
@@ -33,6 +33,7 @@
 //! ```
 
 mod admission;
+pub mod admission_queue;
 mod answer;
 mod answer_text;
 pub mod budget;
@@ -53,7 +54,6 @@
 pub mod event;
 pub mod event_stream;
 mod fetch;
-pub mod gate;
 mod handover;
 mod history;
 pub mod ids;
--- a/clementinepick/src/placement.rs
+++ b/clementinepick/src/placement.rs
@@ -42,7 +42,7 @@
 
 /// An order that is to be sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Planned {
+pub struct PlannedOrder {
     /// The engine's sidecar.
     pub target: VmId,
     /// The order.
@@ -64,7 +64,7 @@
 
 /// The decisions for one service, as long as this process is its decider.
 #[derive(Debug, Clone)]
-pub struct Placement {
+pub struct PlacementPlanner {
     /// The number that its orders carry.
     pub fencing: FencingNumber,
     revision: Revision,
@@ -75,7 +75,7 @@
     next_load_us: TimeUs,
 }
 
-impl Placement {
+impl PlacementPlanner {
     /// The decisions from a claim on. The first order waits for `settle`: until then all sidecars
     /// know the new number, and a load that the former decider started last is an interval old.
     #[must_use]
@@ -103,7 +103,7 @@
         now: TimeUs,
         in_force: &InForce,
         engines: &BTreeMap<VmId, Engine>,
-    ) -> Vec<Planned> {
+    ) -> Vec<PlannedOrder> {
         if now < self.start_us {
             return Vec::new();
         }
@@ -138,7 +138,7 @@
                 self.next_load_us = now.after(document.placement.load_interval_us);
             }
             let target = vm.clone();
-            planned.push(Planned { target, order });
+            planned.push(PlannedOrder { target, order });
         }
         planned
     }
@@ -169,7 +169,7 @@
     }
 
     /// Takes note of an order that was sent.
-    pub fn on_sent(&mut self, now: TimeUs, id: OrderId, planned: &Planned) {
+    pub fn on_sent(&mut self, now: TimeUs, id: OrderId, planned: &PlannedOrder) {
         let order = Outstanding {
             id,
             order: planned.order.clone(),
@@ -212,7 +212,7 @@
     }
 
     /// Forgets what was sent to an engine whose link is gone: it tells its state anew.
-    pub fn on_gone(&mut self, vm: &VmId) {
+    pub fn on_link_down(&mut self, vm: &VmId) {
         self.outstanding.remove(vm);
     }
 }
--- a/clementinepick/src/program_end.rs
+++ b/clementinepick/src/program_end.rs
@@ -28,7 +28,7 @@
     ///
     /// The owner may be lost with the request for it, and the program would hold memory until it
     /// counts as idle. So the request is repeated until the end is read from the log.
-    pub(crate) fn ask_end(
+    pub(crate) fn request_program_end(
         &mut self,
         now: TimeUs,
         program: ProgramId,
@@ -41,10 +41,10 @@
             until_us: now.after(END_ASKED_US),
         };
         self.ending.insert(program, ending);
-        self.repeat_ends(now, out);
+        self.resend_end_requests(now, out);
     }
 
-    pub(crate) fn repeat_ends(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
+    pub(crate) fn resend_end_requests(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
         let due: Vec<ProgramId> = self
             .ending
             .iter()
@@ -153,7 +153,7 @@
     }
 
     /// Releases anew what an earlier owner may have been releasing when it was lost.
-    pub(crate) fn release_recorded(
+    pub(crate) fn release_ended_programs(
         &mut self,
         now: TimeUs,
         partition: PartitionId,
@@ -250,10 +250,10 @@
             next_us: now,
         };
         self.releasing.insert(program, releasing);
-        self.send_releases(now, out);
+        self.send_due_releases(now, out);
     }
 
-    pub(crate) fn send_releases(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
+    pub(crate) fn send_due_releases(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
         self.drop_gone_holders();
         let mut due = Vec::new();
         for (program, releasing) in &mut self.releasing {
@@ -347,7 +347,7 @@
     }
 
     /// Ends programs that are idle, out of time or out of budget.
-    pub(crate) fn sweep_programs(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
+    pub(crate) fn end_expired_programs(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
         let mut over: Vec<(ProgramId, EndReason)> = Vec::new();
         let mut overdue = Vec::new();
         let mut moved = Vec::new();
@@ -406,7 +406,7 @@
     }
 
     /// Drops programs that ended a while ago, so that neither memory nor snapshots grow for ever.
-    pub(crate) fn forget_programs(&mut self, now: TimeUs) {
+    pub(crate) fn forget_ended_programs(&mut self, now: TimeUs) {
         let keep_us = self.settings.keep_ended_us;
         let mut old: BTreeMap<PartitionId, Vec<ProgramId>> = BTreeMap::new();
         for (program, ended) in &self.ended {
--- a/clementinepick/src/sidecar.rs
+++ b/clementinepick/src/sidecar.rs
@@ -7,10 +7,10 @@
 
 use serde_json::{Value, json};
 
+use crate::admission_queue::{AdmissionQueue, AdmissionSettings};
 use crate::config::Config;
 use crate::document::ServiceKind;
 use crate::event::{Event, EventKind};
-use crate::gate::{Gate, GateSettings};
 use crate::ids::{AttemptId, Epoch, Offset, PartitionId, ProgramId, Revision, ServiceName, VmId};
 use crate::message::{BackendLoad, Heartbeat, Message, Peer};
 use crate::platform::{LoadReport, VmRole};
@@ -30,7 +30,7 @@
 pub struct Sidecar {
     pub(crate) settings: SidecarSettings,
     pub(crate) config: Config,
-    pub(crate) gate: Gate,
+    pub(crate) gate: AdmissionQueue,
     pub(crate) load: LoadReport,
     pub(crate) entries: BTreeMap<VmId, Peer>,
     /// When entries were heard last.
@@ -69,7 +69,7 @@
             orders: OrderSlot::new(settings.incarnation),
             settings,
             config,
-            gate: Gate::default(),
+            gate: AdmissionQueue::default(),
             load: LoadReport::default(),
             entries: BTreeMap::new(),
             heard_us: BTreeMap::new(),
@@ -130,7 +130,7 @@
                 out.push(SidecarAction::Log(Event::new(EventKind::ShutdownStarted)));
                 self.next_heartbeat_us = now;
             }
-            SidecarInput::Force => self.force(now, out),
+            SidecarInput::Force => self.force_shutdown(now, out),
         }
         self.admit(now, out);
         self.poll_orders(now, out);
@@ -271,12 +271,12 @@
         };
         let cache = (document.kind == ServiceKind::Engine && self.load.cache_size_tokens.0 > 0)
             .then_some(self.load.cache_size_tokens);
-        self.gate.set(GateSettings {
+        self.gate.set(AdmissionSettings {
             max_running: document.max_running_per_backend.min(engine_limit),
             max_waiting: document.max_waiting_per_backend,
             cache_size_tokens: cache,
             categories: document.categories.clone(),
-            ..GateSettings::default()
+            ..AdmissionSettings::default()
         });
         self.retention.set(RetainSettings {
             max_keep_us: document.retention.max_keep_us,
--- a/clementinepick/src/sidecar_calls.rs
+++ b/clementinepick/src/sidecar_calls.rs
@@ -1,9 +1,9 @@
 //! Runs calls at the backend server and passes their answers to the owner.
 
+use crate::admission_queue::QueuedCall;
 use crate::call::{AnswerPart, CallDone, FinishReason, Payload, TurnState, Usage};
 use crate::error::{CallError, ErrorKind};
 use crate::event::EventKind;
-use crate::gate::GateCall;
 use crate::ids::{AttemptId, VmId};
 use crate::message::Dispatch;
 use crate::platform::GenerateBody;
@@ -156,7 +156,7 @@
         }
     }
 
-    pub(crate) fn gate_call(&self, now: TimeUs, dispatch: &Dispatch) -> Option<GateCall> {
+    pub(crate) fn gate_call(&self, now: TimeUs, dispatch: &Dispatch) -> Option<QueuedCall> {
         // A call runs to its end by the revision that its owner saw when it came in. By the newest
         // one, a call whose class was dropped meanwhile would be refused half way.
         let in_force = self.config.at(&self.settings.service, dispatch.revision)?;
@@ -165,7 +165,7 @@
             Payload::Chat(call) => call.prompt.length_tokens(),
             Payload::Plain(_) => Tokens(0),
         };
-        Some(GateCall {
+        Some(QueuedCall {
             attempt: dispatch.attempt,
             program: dispatch.call.program.clone(),
             class: dispatch.class.clone(),
@@ -420,7 +420,7 @@
     }
 
     /// Ends every attempt: what waits has not run, and the outcome of what runs will not be learned.
-    pub(crate) fn force(&mut self, now: TimeUs, out: &mut Vec<SidecarAction>) {
+    pub(crate) fn force_shutdown(&mut self, now: TimeUs, out: &mut Vec<SidecarAction>) {
         self.leaving = true;
         let open: Vec<(AttemptId, Phase, bool)> = self
             .attempts
--- a/clementinepick/src/step_own.rs
+++ b/clementinepick/src/step_own.rs
@@ -228,7 +228,7 @@
             out.push(EntryAction::Event(event));
             self.start_take_over(now, partition, out);
             self.recover_open_calls(now, partition, out);
-            self.release_recorded(now, partition, out);
+            self.release_ended_programs(now, partition, out);
         } else {
             self.leave_partition(now, partition, out);
         }
--- a/clementinepick/src/sweep.rs
+++ b/clementinepick/src/sweep.rs
@@ -30,12 +30,12 @@
         self.sweep_calls(now, out);
         self.reserve_ahead(now);
         self.ask_open_calls(now, out);
-        self.send_releases(now, out);
-        self.repeat_ends(now, out);
+        self.send_due_releases(now, out);
+        self.resend_end_requests(now, out);
         self.walk_programs(now, out);
         self.drop_kept(now, out);
         self.recover_partitions(now);
-        self.hand_over(now);
+        self.hand_over_partitions(now);
         self.write_snapshots(now);
         self.carry_config_forward(now);
         self.decide_orders(now, out);
@@ -52,8 +52,8 @@
             return;
         }
         self.next_walk_us = now.after(WALK_US);
-        self.sweep_programs(now, out);
-        self.forget_programs(now);
+        self.end_expired_programs(now, out);
+        self.forget_ended_programs(now);
     }
 
     /// The log's append rate is shared by the entries that live.
--- a/clementinepick/tests/placement.rs
+++ b/clementinepick/tests/placement.rs
@@ -9,7 +9,7 @@
     FencingNumber, ModelName, OperationId, OrderId, Revision, VersionName, VmId,
 };
 use clementinepick::message::OrderOutcome;
-use clementinepick::placement::{Engine, Placement, Planned};
+use clementinepick::placement::{Engine, PlacementPlanner, PlannedOrder};
 use clementinepick::platform::{EngineOrder, EngineRole, EngineState};
 use clementinepick::record::PublishedDocument;
 use clementinepick::units::{SpanUs, TimeUs};
@@ -48,7 +48,7 @@
     now: TimeUs,
     engines: BTreeMap<VmId, Engine>,
     running: BTreeMap<VmId, (OrderId, EngineOrder, TimeUs)>,
-    placement: Placement,
+    placement: PlacementPlanner,
     next_id: u128,
     bad: Option<&'static str>,
     loads_us: Vec<TimeUs>,
@@ -77,7 +77,7 @@
             now: TimeUs(0),
             engines: (0..count).map(|n| (vm(n), engine(n))).collect(),
             running: BTreeMap::new(),
-            placement: Placement::new(TimeUs(0), FencingNumber(5), INTERVAL),
+            placement: PlacementPlanner::new(TimeUs(0), FencingNumber(5), INTERVAL),
             next_id: 0,
             bad: None,
             loads_us: Vec::new(),
@@ -103,7 +103,7 @@
         }
     }
 
-    fn send(&mut self, planned: &Planned) {
+    fn send(&mut self, planned: &PlannedOrder) {
         self.next_id += 1;
         self.orders += 1;
         let id = OrderId(self.next_id);
@@ -295,7 +295,7 @@
     bench.run(&version(1, "v1"), 600);
     let before = bench.orders;
     bench.run(&version(2, "v2"), 125);
-    bench.placement = Placement::new(bench.now, FencingNumber(9), INTERVAL);
+    bench.placement = PlacementPlanner::new(bench.now, FencingNumber(9), INTERVAL);
     bench.run(&version(2, "v2"), 600);
     assert_eq!(bench.with_version("v2"), 10);
     assert_eq!(bench.orders - before, 10);
--- a/standins/src/policy_host.rs
+++ b/standins/src/policy_host.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
+use clementinepick::admission_queue::{AdmissionQueue, AdmissionSettings, QueuedCall};
 use clementinepick::document::Document;
-use clementinepick::gate::{Gate, GateCall, GateSettings};
 use clementinepick::ids::{AttemptId, ClassName, ProgramId, ToolName, VmId};
 use clementinepick::message::BackendLoad;
 use clementinepick::predict::{Predictor, expected_output};
@@ -69,8 +69,8 @@
     },
 }
 
-fn gate(document: &Document, cache_size_tokens: Option<Tokens>, knobs: &Knobs) -> Gate {
-    Gate::new(GateSettings {
+fn gate(document: &Document, cache_size_tokens: Option<Tokens>, knobs: &Knobs) -> AdmissionQueue {
+    AdmissionQueue::new(AdmissionSettings {
         max_running: document.max_running_per_backend,
         max_waiting: document.max_waiting_per_backend,
         cache_size_tokens,
@@ -90,7 +90,7 @@
     pub down: bool,
     /// The number of the first cache event that is not published yet.
     pub next_cache_event: u64,
-    gate: Option<Gate>,
+    gate: Option<AdmissionQueue>,
     retain: Retaining,
     retention: Retention,
     outputs: Predictor,
@@ -133,7 +133,7 @@
     fn new(
         vm: VmId,
         backend: Backend,
-        gate: Option<Gate>,
+        gate: Option<AdmissionQueue>,
         document: &Document,
         knobs: &Knobs,
     ) -> Self {
@@ -183,7 +183,7 @@
             }
             HostWork::Plain(_) => Tokens(0),
         };
-        let gate_call = GateCall {
+        let gate_call = QueuedCall {
             attempt: call.attempt,
             program: call.program,
             class: call.class,
@@ -374,7 +374,10 @@
                 .gate
                 .as_ref()
                 .map_or(0, |gate| u32::try_from(gate.waiting()).unwrap_or(u32::MAX)),
-            waiting_tokens: self.gate.as_ref().map_or(Tokens(0), Gate::waiting_tokens),
+            waiting_tokens: self
+                .gate
+                .as_ref()
+                .map_or(Tokens(0), AdmissionQueue::waiting_tokens),
         }
     }
 }
