--- a/clementinepick/src/lib.rs
+++ b/clementinepick/src/lib.rs
@@ -16,7 +16,7 @@
 //! | hold what it may spend | `step_budget` | [`budget`] |
 //! | choose a backend server | `step_route` | [`route`], [`retry`] |
 //! | put a call that may not run twice on record | `step_start` | [`journal`], [`record`] |
-//! | wait before the backend server | `sidecar_calls` | [`gate`], [`predict`] |
+//! | wait before the backend server | `sidecar_calls` | [`admission_queue`], [`predict`] |
 //! | pass the answer back | `answer` | |
 //! | put the turn on record | `step_record` | [`journal`], [`record`] |
 //!
@@ -32,6 +32,7 @@
 //! # Ok::<(), clementinepick::document::DocumentError>(())
 //! ```
 
+pub mod admission_queue;
 mod answer;
 mod answer_text;
 pub mod budget;
@@ -56,7 +57,6 @@
 pub mod event_stream;
 pub mod failure_rate;
 mod fetch;
-pub mod gate;
 mod handover;
 mod history;
 pub mod http_request;
