--- a/clementinepickd/src/budget_messages.rs
+++ b/clementinepickd/src/budget_messages.rs
@@ -17,7 +17,7 @@
 
 /// Asks a home for a turn's part of its program's budget.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub(crate) struct ReserveAsk {
+pub(crate) struct ReserveRequest {
     #[serde(rename = "q")]
     pub(crate) turn_id: String,
     /// The turn that it continues from.
@@ -47,7 +47,7 @@
 
 /// What a home answers.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub(crate) enum ReserveAnswer {
+pub(crate) enum ReserveResponse {
     /// The turn's maximum is lent, or what is left if that is less.
     Lent {
         writer: String,
@@ -87,7 +87,7 @@
 
 /// Asks for a part of a program's budget that the peer does not need.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub(crate) struct LendAsk {
+pub(crate) struct LendRequest {
     #[serde(rename = "p")]
     pub(crate) program: String,
     /// What the turn that waits generates at most.
--- a/clementinepickd/src/followed_topic.rs
+++ b/clementinepickd/src/followed_topic.rs
@@ -11,7 +11,7 @@
 
 use crate::ledger::Partition;
 use crate::partition_reader::{PartitionReader, records_from};
-use crate::store::{StoreAway, StoreCall, StoreClient, StorePurpose};
+use crate::store::{StoreCall, StoreClient, StorePurpose, StoreUnavailable};
 
 /// How often the topic is read whole all the same: what went wrong unnoticed is mended after this
 /// time, and costs a twentieth of reading it whole each time.
@@ -42,20 +42,20 @@
     }
 
     /// Reads what is new; true if there was anything. After an error, what was read before stands.
-    pub(crate) async fn look(
+    pub(crate) async fn poll(
         &mut self,
         store: &StoreClient,
         now: Instant,
         deadline: Instant,
-    ) -> Result<bool, StoreAway> {
+    ) -> Result<bool, StoreUnavailable> {
         let reader = PartitionReader {
             client: store,
             purpose: StorePurpose::Follow,
             deadline,
         };
         if let Some(end) = self.end
-            && !self.is_whole_due(now)
-            && let Some(changed) = self.read_on(&reader, end).await?
+            && !self.is_full_read_due(now)
+            && let Some(changed) = self.read_new(&reader, end).await?
         {
             return Ok(changed);
         }
@@ -65,24 +65,24 @@
     }
 
     /// Whether the topic should be read whole, for the first time or again.
-    pub(crate) fn is_whole_due(&self, now: Instant) -> bool {
+    pub(crate) fn is_full_read_due(&self, now: Instant) -> bool {
         let is_due = |at: Instant| now.saturating_duration_since(at) >= READ_ALL;
         self.end.is_none() || self.read_all_at.is_none_or(is_due)
     }
 
     /// Waits at the store, not through a peer, until there is something new, for `wait` at most;
     /// true if there was.
-    pub(crate) async fn wait(
+    pub(crate) async fn long_poll(
         &mut self,
         store: &StoreClient,
         wait: Duration,
-    ) -> Result<bool, StoreAway> {
-        let from = self.end.ok_or(StoreAway)?;
+    ) -> Result<bool, StoreUnavailable> {
+        let from = self.end.ok_or(StoreUnavailable)?;
         let Partition { topic, number } = self.partition;
         let wait_ms = u64::try_from(wait.as_millis()).unwrap_or(u64::MAX);
         let target = read_target(&topic, number, from, wait_ms);
         let call = StoreCall::get(StorePurpose::Follow, target);
-        let reply = store.call_waiting(&call, wait).await?;
+        let reply = store.call_long_poll(&call, wait).await?;
         let Some(read) = records_from(&reply, from)? else {
             self.end = None;
             return Ok(false);
@@ -92,11 +92,11 @@
     }
 
     /// Reads from the end on; none where the records from there are gone.
-    async fn read_on(
+    async fn read_new(
         &mut self,
         reader: &PartitionReader<'_>,
         from: u64,
-    ) -> Result<Option<bool>, StoreAway> {
+    ) -> Result<Option<bool>, StoreUnavailable> {
         let records = &mut self.records;
         let mut changed = false;
         let take = |new: Vec<KeyedRecord>| changed |= take_records(records, new);
@@ -104,7 +104,7 @@
         Ok(self.end.map(|_| changed))
     }
 
-    async fn read_all(&mut self, reader: &PartitionReader<'_>) -> Result<bool, StoreAway> {
+    async fn read_all(&mut self, reader: &PartitionReader<'_>) -> Result<bool, StoreUnavailable> {
         let mut records = BTreeMap::new();
         let take = |page: Vec<KeyedRecord>| {
             let page = page.into_iter();
--- a/clementinepickd/src/gateway.rs
+++ b/clementinepickd/src/gateway.rs
@@ -23,12 +23,12 @@
 use tokio::task::{JoinSet, LocalSet};
 
 use crate::directory::{Directory, Identity, follow};
-use crate::gateway_ahead::reserve_ahead;
-use crate::gateway_budget::{keep_homes, return_tokens};
+use crate::gateway_budget::{maintain_homes, send_token_returns};
 use crate::gateway_connection::{Handler, serve};
-use crate::gateway_house::keep_house;
+use crate::gateway_maintenance::run_maintenance;
 use crate::gateway_metrics::{GatewayMetrics, MetricsHandler};
 use crate::gateway_peer::PeerHandler;
+use crate::gateway_prefetch::run_prefetch;
 use crate::gateway_request::{CallerHandler, ReadyHandler};
 use crate::gateway_settings::GatewaySettings;
 use crate::gateway_shared::Shared;
@@ -227,7 +227,7 @@
     ) -> Result<(), GatewayError> {
         let settings = &self.settings;
         let logger = self.logger.clone();
-        let (shared, inboxes) = Shared::new(settings, directory, logger, metrics, writer);
+        let (shared, queues) = Shared::new(settings, directory, logger, metrics, writer);
         let shared = Rc::new(shared);
         let mut tasks = JoinSet::new();
         let callers: Rc<dyn Handler> = Rc::new(CallerHandler {
@@ -252,10 +252,10 @@
             let listener = TcpListener::from_std(listener)?;
             tasks.spawn_local(accept(Rc::clone(&shared), listener, handler));
         }
-        tasks.spawn_local(keep_house(Rc::clone(&shared), settings.vm.to_string()));
-        tasks.spawn_local(keep_homes(Rc::clone(&shared)));
-        tasks.spawn_local(reserve_ahead(Rc::clone(&shared), inboxes.ahead));
-        tasks.spawn_local(return_tokens(Rc::clone(&shared), inboxes.returned));
+        tasks.spawn_local(run_maintenance(Rc::clone(&shared), settings.vm.to_string()));
+        tasks.spawn_local(maintain_homes(Rc::clone(&shared)));
+        tasks.spawn_local(run_prefetch(Rc::clone(&shared), queues.prefetch));
+        tasks.spawn_local(send_token_returns(Rc::clone(&shared), queues.returned));
         stop.await?;
         drain(&shared, settings).await;
         tasks.shutdown().await;
@@ -272,7 +272,7 @@
                 take(&shared, &handler, accepted, &mut connections).await;
             }
             Some(_) = connections.join_next() => {}
-            () = shared.idle_connections_close() => break,
+            () = shared.wait_for_close() => break,
         }
     }
     drop(listener);
@@ -317,23 +317,23 @@
 async fn drain(shared: &Shared, settings: &GatewaySettings) {
     let begun = Instant::now();
     shared.start_draining();
-    let event = Event::new(EventKind::ShutdownStarted).with("running", shared.running());
+    let event = Event::new(EventKind::ShutdownStarted).with("running", shared.running_requests());
     shared.log(&event);
     if !Safeguard::DrainNotice.is_left_out() {
-        sleep(settings.notice).await;
+        sleep(settings.drain_delay).await;
     }
     shared.close_idle_connections();
     // A connection on which a request is only just arriving counts too: such a request would be cut off
     // by the end of the process without an answer or a refusal.
     sleep(FLUSH).await;
-    while shared.open() > 0 && begun.elapsed() < settings.shutdown_limit {
+    while shared.open_connections() > 0 && begun.elapsed() < settings.shutdown_limit {
         sleep(FLUSH).await;
     }
     shared.homes.release_all(Instant::now() + RELEASE).await;
-    let kind = if shared.running() == 0 {
+    let kind = if shared.running_requests() == 0 {
         EventKind::ShutdownFinished
     } else {
         EventKind::ShutdownForced
     };
-    shared.log(&Event::new(kind).with("running", shared.running()));
+    shared.log(&Event::new(kind).with("running", shared.running_requests()));
 }
--- a/clementinepickd/src/gateway_attempts.rs
+++ b/clementinepickd/src/gateway_attempts.rs
@@ -6,28 +6,28 @@
 
 use clementinepick::refusal::Refusal;
 
-use crate::gateway_exchange::{Job, ServerSlot};
+use crate::gateway_exchange::{RoutedRequest, ServerSlot};
 use crate::gateway_shared::Shared;
 use crate::gateway_trace::Trace;
 
 /// How a try ended that brought no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum TryEnd {
+pub(crate) enum AttemptError {
     /// The server did not run the request.
     NotRun,
     /// Nothing reached the server.
-    Unreached,
+    ConnectFailed,
     /// The server may have run it, and its answer is lost.
-    Lost,
+    ResponseLost,
 }
 
-impl TryEnd {
+impl AttemptError {
     /// The name in logs.
     fn label(self) -> &'static str {
         match self {
             Self::NotRun => "not_run",
-            Self::Unreached => "unreached",
-            Self::Lost => "lost",
+            Self::ConnectFailed => "unreached",
+            Self::ResponseLost => "lost",
         }
     }
 }
@@ -35,7 +35,7 @@
 /// The tries of one request.
 pub(crate) struct Attempts<'a> {
     shared: &'a Rc<Shared>,
-    job: &'a Job<'a>,
+    job: &'a RoutedRequest<'a>,
     trace: &'a Trace,
     /// Whether the request may run more than once.
     may_repeat: bool,
@@ -47,11 +47,11 @@
 impl<'a> Attempts<'a> {
     pub(crate) fn new(
         shared: &'a Rc<Shared>,
-        job: &'a Job<'a>,
+        job: &'a RoutedRequest<'a>,
         trace: &'a Trace,
         may_repeat: bool,
     ) -> Self {
-        shared.earn_retry(job.service);
+        shared.deposit_retry(job.service);
         Self {
             shared,
             job,
@@ -64,19 +64,21 @@
     }
 
     /// A place at another server; none when the request may be sent to no more.
-    pub(crate) fn next(&mut self, last_server: Option<&str>) -> Option<ServerSlot> {
+    pub(crate) fn next_slot(&mut self, last_server: Option<&str>) -> Option<ServerSlot> {
         let is_given_up = self.refusal == Refusal::ServerLost && !self.may_repeat;
         if is_given_up || self.sends >= self.job.route.attempts {
             return None;
         }
         let kind = self.trace.kind.get();
-        if self.sends > 0 && !self.shared.take_retry(self.job.service, kind) {
+        if self.sends > 0 && !self.shared.withdraw_retry(self.job.service, kind) {
             return None;
         }
-        let slot = self.job.place(self.shared, &self.tried, last_server)?;
+        let slot = self
+            .job
+            .select_server(self.shared, &self.tried, last_server)?;
         self.tried.push(slot.server.id.clone());
         self.trace
-            .place(&slot.server.id, slot.reason, Instant::now());
+            .record_send(&slot.server.id, slot.reason, Instant::now());
         Some(slot)
     }
 
@@ -88,13 +90,13 @@
     /// Notes that the try under way brought no answer.
     ///
     /// Once an answer was lost, the request may have run, whatever the tries after it bring.
-    pub(crate) fn failed(&mut self, end: TryEnd) {
-        self.sends += u32::from(end != TryEnd::Unreached);
-        self.trace.failed(end.label());
+    pub(crate) fn record_error(&mut self, end: AttemptError) {
+        self.sends += u32::from(end != AttemptError::ConnectFailed);
+        self.trace.record_error(end.label());
         self.refusal = match (self.refusal, end) {
-            (Refusal::ServerLost, _) | (_, TryEnd::Lost) => Refusal::ServerLost,
-            (_, TryEnd::NotRun) => Refusal::ServersRefused,
-            (refusal, TryEnd::Unreached) => refusal,
+            (Refusal::ServerLost, _) | (_, AttemptError::ResponseLost) => Refusal::ServerLost,
+            (_, AttemptError::NotRun) => Refusal::ServersRefused,
+            (refusal, AttemptError::ConnectFailed) => refusal,
         };
         let may_have_run = self.refusal == Refusal::ServerLost;
         self.trace.may_have_run.set(may_have_run);
--- a/clementinepickd/src/gateway_budget.rs
+++ b/clementinepickd/src/gateway_budget.rs
@@ -13,10 +13,11 @@
 use tokio::sync::mpsc;
 
 use crate::budget_messages::{
-    LEND_PATH, LendAsk, RESERVE_PATH, RETURN_PATH, ReserveAnswer, ReserveAsk, ReturnedTokens,
+    LEND_PATH, LendRequest, RESERVE_PATH, RETURN_PATH, ReserveRequest, ReserveResponse,
+    ReturnedTokens,
 };
-use crate::gateway_ahead::ask_ahead;
-use crate::gateway_peer::{PeerCall, ask_peer};
+use crate::gateway_peer::{PeerCall, call_peer};
+use crate::gateway_prefetch::request_prefetch;
 use crate::gateway_shared::Shared;
 use crate::gateway_trace::Trace;
 use crate::ledger::{LedgerError, to_cbor};
@@ -67,11 +68,11 @@
     deadline: Instant,
 ) -> Result<Reserved, LedgerError> {
     if shared.budgets.held_home(request.program).is_some() {
-        let previous_at = note_turn(shared, request, shared.peer_address);
+        let previous_at = record_runner(shared, request, shared.peer_address);
         let lines = request.lines.iter().map(|part| part.id.as_str());
         let line_server = line_server(shared, lines);
         let hold = reserve_hold(shared, trace, request, deadline).await?;
-        ask_ahead(shared, request);
+        request_prefetch(shared, request);
         return Ok(Reserved {
             hold,
             previous_at,
@@ -79,12 +80,12 @@
         });
     }
     if let Some(hold) = shared.budgets.start_held(request, Instant::now()) {
-        trace.note("budget_from", &"held");
+        trace.add_field("budget_from", &"held");
         return Ok(Reserved::alone(hold));
     }
     match ask_homes(shared, request).await {
         Some(Ok(reserved)) => {
-            trace.note("budget_from", &"home");
+            trace.add_field("budget_from", &"home");
             Ok(reserved)
         }
         Some(Err(spent)) => {
@@ -99,7 +100,7 @@
 }
 
 /// Notes at the home who runs a turn, and says who ran the one before it.
-pub(crate) fn note_turn(
+pub(crate) fn record_runner(
     shared: &Shared,
     request: &BudgetRequest<'_>,
     runner: SocketAddr,
@@ -125,15 +126,15 @@
 }
 
 /// Notes at the home, or for it, where the line of a turn was placed.
-pub(crate) fn note_placed(
+pub(crate) fn record_placement(
     shared: &Shared,
     hold: &mut BudgetHold,
     program: &str,
     line: &str,
     server: &str,
 ) {
-    if hold.is_lent() {
-        hold.note_placed(line, server);
+    if hold.is_borrowed() {
+        hold.record_placement(line, server);
     } else if shared.budgets.held_home(program).is_some() {
         let mut line_servers = shared.homes.line_servers.borrow_mut();
         line_servers.insert(line, server.to_owned());
@@ -149,19 +150,19 @@
     deadline: Instant,
 ) -> Result<BudgetHold, LedgerError> {
     if let Some(hold) = shared.budgets.start_held(request, Instant::now()) {
-        trace.note("budget_from", &"held");
+        trace.add_field("budget_from", &"held");
         return Ok(hold);
     }
-    if shared.store.is_away() {
+    if shared.store.is_unavailable() {
         let peers = shared.directory().peers;
         let borrowed = borrow_budget(shared, request, peers.iter().copied()).await;
         if let Some(hold) = borrowed {
-            trace.note("budget_from", &"peers");
+            trace.add_field("budget_from", &"peers");
             return Ok(hold);
         }
         let start = |least| shared.budgets.start_rest(request, least, Instant::now());
         if let Some(hold) = shared.budgets.mean_turn().and_then(start) {
-            trace.note("budget_from", &"rest");
+            trace.add_field("budget_from", &"rest");
             return Ok(hold);
         }
     }
@@ -170,7 +171,7 @@
             if let Some(grant) = hold.grant {
                 log_grant(shared, request, grant);
             }
-            trace.note("budget_from", &"store");
+            trace.add_field("budget_from", &"store");
             Ok(hold)
         }
         Err(err) => borrow_or(shared, trace, request, err).await,
@@ -192,7 +193,7 @@
     let asked = holders.iter().chain(others.iter()).copied();
     let borrowed = borrow_budget(shared, request, asked).await;
     if borrowed.is_some() {
-        trace.note("budget_from", &"peers");
+        trace.add_field("budget_from", &"peers");
     }
     borrowed.ok_or(err)
 }
@@ -213,7 +214,7 @@
     shared: &Rc<Shared>,
     request: &BudgetRequest<'_>,
 ) -> Option<Result<Reserved, LedgerError>> {
-    let ask = ReserveAsk {
+    let ask = ReserveRequest {
         turn_id: request.turn_id.to_owned(),
         previous_id: request.previous_id.map(str::to_owned),
         keeps_context: request.keeps_context,
@@ -228,18 +229,18 @@
     let body = to_cbor(&ask);
     for _ in 0..MAX_HOMES {
         let now = Instant::now();
-        let address = shared.homes.to_ask(request.program, now)?;
+        let address = shared.homes.remote_home(request.program, now)?;
         let call = PeerCall {
             path: RESERVE_PATH,
             body: body.clone(),
             limit: RESERVE_LIMIT,
         };
-        let answer = ask_peer::<ReserveAnswer>(shared, address, call).await;
+        let answer = call_peer::<ReserveResponse>(shared, address, call).await;
         if answer.is_none() {
-            shared.homes.note_silent_peer(address, now);
+            shared.homes.record_peer_timeout(address, now);
         }
         match answer {
-            Some(ReserveAnswer::Lent {
+            Some(ReserveResponse::Lent {
                 writer,
                 tokens,
                 previous_at,
@@ -255,15 +256,15 @@
                     line_server,
                 }));
             }
-            Some(ReserveAnswer::Spent { reserved, holders }) => {
+            Some(ReserveResponse::Spent { reserved, holders }) => {
                 return Some(Err(LedgerError::Spent { reserved, holders }));
             }
-            Some(ReserveAnswer::Elsewhere { home: Some(home) }) if home != address => {
-                shared.homes.note_home(request.program, home);
+            Some(ReserveResponse::Elsewhere { home: Some(home) }) if home != address => {
+                shared.homes.set_known_home(request.program, home);
             }
-            Some(ReserveAnswer::Away) => return None,
-            Some(ReserveAnswer::Elsewhere { .. }) | None => {
-                shared.homes.forget_home(request.program);
+            Some(ReserveResponse::Away) => return None,
+            Some(ReserveResponse::Elsewhere { .. }) | None => {
+                shared.homes.clear_known_home(request.program);
                 return None;
             }
         }
@@ -280,7 +281,7 @@
     request: &BudgetRequest<'_>,
     peers: impl IntoIterator<Item = SocketAddr>,
 ) -> Option<BudgetHold> {
-    let ask = LendAsk {
+    let ask = LendRequest {
         program: request.program.to_owned(),
         tokens: request.turn,
     };
@@ -297,7 +298,7 @@
             body: body.clone(),
             limit: LEND_LIMIT,
         };
-        ask_peer::<Tokens>(shared, peer, call)
+        call_peer::<Tokens>(shared, peer, call)
     });
     let lent = join_all(asks).await;
     let sum: Tokens = lent.into_iter().flatten().sum();
@@ -308,7 +309,10 @@
 }
 
 /// Sends back what turns here did not need of what homes lent, until the sender is gone.
-pub(crate) async fn return_tokens(shared: Rc<Shared>, mut returned: mpsc::Receiver<TokenReturn>) {
+pub(crate) async fn send_token_returns(
+    shared: Rc<Shared>,
+    mut returned: mpsc::Receiver<TokenReturn>,
+) {
     let mut batch = Vec::with_capacity(RETURN_BATCH);
     while returned.recv_many(&mut batch, RETURN_BATCH).await > 0 {
         let mut by_lender: BTreeMap<SocketAddr, Vec<ReturnedTokens>> = BTreeMap::new();
@@ -327,7 +331,7 @@
                 body: to_cbor(&returned),
                 limit: LEND_LIMIT,
             };
-            ask_peer::<()>(&shared, address, call)
+            call_peer::<()>(&shared, address, call)
         });
         // Tokens whose return fails are lost to their program: a repeat might count them twice.
         join_all(calls).await;
@@ -335,7 +339,7 @@
 }
 
 /// Keeps this process the home of its share of the partitions, until it is dropped.
-pub(crate) async fn keep_homes(shared: Rc<Shared>) {
+pub(crate) async fn maintain_homes(shared: Rc<Shared>) {
     loop {
         sleep(HOMES_PAUSE).await;
         let directory = shared.directory();
--- a/clementinepickd/src/gateway_budget_peer.rs
+++ b/clementinepickd/src/gateway_budget_peer.rs
@@ -7,10 +7,11 @@
 use clementinepick::units::Tokens;
 
 use crate::budget_messages::{
-    LEND_PATH, LendAsk, RESERVE_PATH, RETURN_PATH, ReserveAnswer, ReserveAsk, ReturnedTokens,
+    LEND_PATH, LendRequest, RESERVE_PATH, RETURN_PATH, ReserveRequest, ReserveResponse,
+    ReturnedTokens,
 };
-use crate::gateway_ahead::ask_ahead;
-use crate::gateway_budget::{line_server, log_grant, note_turn};
+use crate::gateway_budget::{line_server, log_grant, record_runner};
+use crate::gateway_prefetch::request_prefetch;
 use crate::gateway_shared::Shared;
 use crate::ledger::{LedgerError, from_cbor, to_cbor};
 use crate::ledger_budgets::BudgetRequest;
@@ -19,7 +20,7 @@
 const HOME_STORE_LIMIT: Duration = Duration::from_millis(200);
 
 /// Answers what a peer asks of this process as a home.
-async fn answer_reserve(shared: &Rc<Shared>, ask: &ReserveAsk) -> ReserveAnswer {
+async fn answer_reserve(shared: &Rc<Shared>, ask: &ReserveRequest) -> ReserveResponse {
     let request = BudgetRequest {
         program: &ask.program,
         budget: ask.budget,
@@ -30,22 +31,22 @@
         keeps_context: ask.keeps_context,
         lines: &[],
     };
-    let lent = |tokens: Tokens| ReserveAnswer::Lent {
+    let lent = |tokens: Tokens| ReserveResponse::Lent {
         writer: shared.budgets.writer.clone(),
         tokens: Some(tokens),
-        previous_at: note_turn(shared, &request, ask.runner),
+        previous_at: record_runner(shared, &request, ask.runner),
         line_server: line_server(shared, ask.lines.iter().map(String::as_str)),
     };
     if shared.budgets.held_home(&ask.program).is_none() {
         let home = shared.homes.known_home(&ask.program);
-        return ReserveAnswer::Elsewhere { home };
+        return ReserveResponse::Elsewhere { home };
     }
     if let Some(hold) = shared.budgets.start_held(&request, Instant::now()) {
         hold.lend_out();
-        ask_ahead(shared, &request);
+        request_prefetch(shared, &request);
         return lent(request.turn);
     }
-    if shared.store.is_away() {
+    if shared.store.is_unavailable() {
         let start = |least| {
             let budgets = &shared.budgets;
             budgets.start_rest(&request, least, Instant::now())
@@ -53,8 +54,8 @@
         return ask
             .mean_turn
             .and_then(start)
-            .map_or(ReserveAnswer::Away, |hold| {
-                let tokens = hold.turn();
+            .map_or(ReserveResponse::Away, |hold| {
+                let tokens = hold.reserved_tokens();
                 hold.lend_out();
                 lent(tokens)
             });
@@ -68,20 +69,22 @@
             hold.lend_out();
             lent(request.turn)
         }
-        Err(LedgerError::Spent { reserved, holders }) => ReserveAnswer::Spent { reserved, holders },
-        Err(_) => ReserveAnswer::Away,
+        Err(LedgerError::Spent { reserved, holders }) => {
+            ReserveResponse::Spent { reserved, holders }
+        }
+        Err(_) => ReserveResponse::Away,
     }
 }
 
 /// Answers a peer's call on one of the paths of budgets; none for other paths.
-pub(crate) async fn answer_peer(
+pub(crate) async fn handle_budget_call(
     shared: &Rc<Shared>,
     path: &str,
     body: &[u8],
 ) -> Option<(u16, Bytes)> {
     const BAD_REQUEST: (u16, Bytes) = (400, Bytes::new());
     let answer = match path {
-        RESERVE_PATH => match from_cbor::<ReserveAsk>(body) {
+        RESERVE_PATH => match from_cbor::<ReserveRequest>(body) {
             Some(ask) => (200, to_cbor(&answer_reserve(shared, &ask).await)),
             None => BAD_REQUEST,
         },
@@ -101,7 +104,7 @@
             }
             None => BAD_REQUEST,
         },
-        LEND_PATH => match from_cbor::<LendAsk>(body) {
+        LEND_PATH => match from_cbor::<LendRequest>(body) {
             Some(ask) => {
                 let now = Instant::now();
                 let lent = shared.budgets.lend(&ask.program, ask.tokens, now);
--- a/clementinepickd/src/gateway_call.rs
+++ b/clementinepickd/src/gateway_call.rs
@@ -9,9 +9,9 @@
 use clementinepick::refusal::Refusal;
 use clementinepick::traffic_config::RequestKind;
 
-use crate::gateway_attempts::{Attempts, TryEnd};
-use crate::gateway_exchange::{Job, ServerSlot};
-use crate::gateway_reply::{CallerGone, Reply};
+use crate::gateway_attempts::{AttemptError, Attempts};
+use crate::gateway_exchange::{RoutedRequest, ServerSlot};
+use crate::gateway_reply::{CallerDisconnected, Reply};
 use crate::gateway_shared::Shared;
 use crate::gateway_trace::Trace;
 use crate::leave_out::Safeguard;
@@ -38,33 +38,37 @@
 /// Makes the call and answers the caller.
 pub(crate) async fn run(
     shared: &Rc<Shared>,
-    job: &Job<'_>,
+    job: &RoutedRequest<'_>,
     trace: &Trace,
     reply: &mut Reply<'_>,
-) -> Result<Result<(), Refusal>, CallerGone> {
+) -> Result<Result<(), Refusal>, CallerDisconnected> {
     let answer = match call(shared, job, trace).await {
         Ok(answer) => answer,
         Err(refusal) => return Ok(Err(refusal)),
     };
     reply
-        .whole(answer.status, answer.headers, answer.body)
+        .send_full(answer.status, answer.headers, answer.body)
         .await?;
     Ok(Ok(()))
 }
 
-async fn call(shared: &Rc<Shared>, job: &Job<'_>, trace: &Trace) -> Result<WholeAnswer, Refusal> {
+async fn call(
+    shared: &Rc<Shared>,
+    job: &RoutedRequest<'_>,
+    trace: &Trace,
+) -> Result<WholeAnswer, Refusal> {
     let is_idempotent = job.route.kind == RequestKind::Idempotent;
     let may_repeat = is_idempotent || Safeguard::BookingOnce.is_left_out();
     let mut attempts = Attempts::new(shared, job, trace, may_repeat);
-    while let Some(slot) = attempts.next(None) {
+    while let Some(slot) = attempts.next_slot(None) {
         let patience = if may_repeat && !attempts.is_last() {
             patience(job)
         } else {
-            job.endless(Instant::now())
+            job.beyond_deadline(Instant::now())
         };
         match exchange(shared, job, trace, slot, patience).await {
             Ok(answer) => return Ok(answer),
-            Err(end) => attempts.failed(end),
+            Err(end) => attempts.record_error(end),
         }
     }
     Err(attempts.refusal())
@@ -72,30 +76,32 @@
 
 async fn exchange(
     shared: &Rc<Shared>,
-    job: &Job<'_>,
+    job: &RoutedRequest<'_>,
     trace: &Trace,
     slot: ServerSlot,
     patience: Duration,
-) -> Result<WholeAnswer, TryEnd> {
+) -> Result<WholeAnswer, AttemptError> {
     let body = job.received.body.clone();
-    let sent = job.send_within(patience, shared, slot, body, None).await;
+    let sent = job
+        .send_with_timeout(patience, shared, slot, body, None)
+        .await;
     let mut answering = sent?;
-    trace.first_byte(Instant::now());
+    trace.record_first_byte(Instant::now());
     let reading = answering.connection.body(MAX_ANSWER_BYTES);
     let Ok(Ok(body)) = timeout(patience, reading).await else {
-        answering.slot.note_failure();
-        return Err(TryEnd::Lost);
+        answering.slot.record_failure();
+        return Err(AttemptError::ResponseLost);
     };
     let answer = WholeAnswer {
         status: answering.head.status,
         headers: platform::answer::forwarded(&answering.head.headers),
         body,
     };
-    answering.finish(shared);
+    answering.release_connection(shared);
     Ok(answer)
 }
 
-fn patience(job: &Job<'_>) -> Duration {
+fn patience(job: &RoutedRequest<'_>) -> Duration {
     let target = duration(job.route.target_latency_us) * PATIENCE_TARGETS;
     target.min(job.time_left(Instant::now()))
 }
--- a/clementinepickd/src/gateway_connection.rs
+++ b/clementinepickd/src/gateway_connection.rs
@@ -16,7 +16,7 @@
 use tokio_util::codec::Decoder;
 
 use crate::gateway_reply::{Reply, ReplyState};
-use crate::gateway_shared::{BodyHold, Shared};
+use crate::gateway_shared::{BodyReservation, Shared};
 use crate::link::duration;
 
 /// How many bytes of a next request are taken while one is answered; a caller that sends more is
@@ -30,10 +30,10 @@
 const REFUSAL_LIMIT: Duration = Duration::from_secs(1);
 
 /// A request that was read in full.
-pub(crate) struct Received<'a> {
+pub(crate) struct ReceivedRequest<'a> {
     pub(crate) head: Request,
     pub(crate) body: Bytes,
-    _hold: Option<BodyHold<'a>>,
+    _hold: Option<BodyReservation<'a>>,
     /// When its first byte was there.
     pub(crate) arrived: Instant,
 }
@@ -43,7 +43,7 @@
     /// Answers a request. A reply that is left incomplete ends the connection.
     fn handle<'a>(
         &'a self,
-        request: &'a Received<'_>,
+        request: &'a ReceivedRequest<'_>,
         reply: &'a mut Reply<'_>,
     ) -> std::pin::Pin<Box<dyn Future<Output = ()> + 'a>>;
 }
@@ -103,7 +103,7 @@
         .metrics
         .count(UNREAD, refusal.answer().code, Duration::ZERO);
     let mut reply = Reply::new(codec, write, true);
-    let answer = reply.refuse(refusal.answer(), None);
+    let answer = reply.send_refusal(refusal.answer(), None);
     if timeout(REFUSAL_LIMIT, answer).await.is_ok() {
         // Closing with unread bytes would reset the connection and take the answer with it.
         let _ = write.shutdown().await;
@@ -115,11 +115,11 @@
     reader: &mut Reader,
     codec: &mut Codec,
     write: &mut OwnedWriteHalf,
-) -> Result<Received<'a>, ReadEnd> {
+) -> Result<ReceivedRequest<'a>, ReadEnd> {
     let limits = shared.limits();
     if reader.buffer.is_empty() {
         let first = timeout(duration(limits.idle_us), reader.fill());
-        let closing = shared.idle_connections_close();
+        let closing = shared.wait_for_close();
         tokio::select! {
             biased;
             filled = first => match filled {
@@ -136,9 +136,9 @@
     let body = in_time(limits.idle_us, body).await?;
     let hold = match body.len() {
         0 => None,
-        bytes => Some(shared.hold_body(bytes).ok_or(overloaded())?),
+        bytes => Some(shared.reserve_body(bytes).ok_or(overloaded())?),
     };
-    Ok(Received {
+    Ok(ReceivedRequest {
         head,
         body,
         _hold: hold,
@@ -176,7 +176,7 @@
     if !has_body(head) {
         return Ok(Bytes::new());
     }
-    if length.is_some_and(|length| shared.hold_body(length).is_none()) {
+    if length.is_some_and(|length| shared.reserve_body(length).is_none()) {
         return Err(overloaded());
     }
     if head.head().expect() && reader.buffer.is_empty() {
--- a/clementinepickd/src/gateway_exchange.rs
+++ b/clementinepickd/src/gateway_exchange.rs
@@ -10,8 +10,8 @@
 use clementinepick::traffic_config::TrafficRoute;
 use platform::request::{RequestInfo, SendInfo, forwarded};
 
-use crate::gateway_attempts::TryEnd;
-use crate::gateway_connection::Received;
+use crate::gateway_attempts::AttemptError;
+use crate::gateway_connection::ReceivedRequest;
 use crate::gateway_shared::Shared;
 use crate::leave_out::Safeguard;
 use crate::outbound::{Connection, Outgoing};
@@ -24,8 +24,8 @@
 const BEYOND_DEADLINE: Duration = Duration::from_secs(1);
 
 /// A request that is on its way through this process.
-pub(crate) struct Job<'a> {
-    pub(crate) received: &'a Received<'a>,
+pub(crate) struct RoutedRequest<'a> {
+    pub(crate) received: &'a ReceivedRequest<'a>,
     pub(crate) info: &'a RequestInfo,
     pub(crate) route: &'a TrafficRoute,
     /// The service that the route gave it to.
@@ -35,16 +35,16 @@
 }
 
 /// A server's answer whose head was read.
-pub(crate) struct Answering {
+pub(crate) struct ServerResponse {
     pub(crate) head: ResponseHead,
     pub(crate) connection: Connection,
     /// Counts the request as running at the server until this is dropped.
     pub(crate) slot: ServerSlot,
 }
 
-impl Answering {
+impl ServerResponse {
     /// Keeps the connection for another request, after the answer was read to its end.
-    pub(crate) fn finish(self, shared: &Shared) {
+    pub(crate) fn release_connection(self, shared: &Shared) {
         let address = self.slot.server.address;
         let now = shared.now_us(Instant::now());
         let has_failed = self.head.status.is_server_error();
@@ -67,8 +67,8 @@
 
 impl ServerSlot {
     /// Passes the server over for a while.
-    pub(crate) fn note_failure(&self) {
-        self.shared.note_failure(&self.server.id);
+    pub(crate) fn record_failure(&self) {
+        self.shared.record_failure(&self.server.id);
     }
 }
 
@@ -78,9 +78,9 @@
     }
 }
 
-impl Job<'_> {
+impl RoutedRequest<'_> {
     /// A patience that ends after the request itself does, for a server that none can replace.
-    pub(crate) fn endless(&self, now: Instant) -> Duration {
+    pub(crate) fn beyond_deadline(&self, now: Instant) -> Duration {
         self.time_left(now) + BEYOND_DEADLINE
     }
 
@@ -90,7 +90,7 @@
     }
 
     /// Takes a place at the best server that was not tried.
-    pub(crate) fn place(
+    pub(crate) fn select_server(
         &self,
         shared: &Rc<Shared>,
         tried: &[String],
@@ -124,20 +124,20 @@
     /// nothing for longer is passed over for a while, like one that breaks off.
     ///
     /// Its health checks may be good all the while, so that nothing else shows it.
-    pub(crate) async fn send_within(
+    pub(crate) async fn send_with_timeout(
         &self,
         patience: Duration,
         shared: &Shared,
         slot: ServerSlot,
         body: bytes::Bytes,
         last_event_id: Option<u64>,
-    ) -> Result<Answering, TryEnd> {
+    ) -> Result<ServerResponse, AttemptError> {
         let server = slot.server.id.clone();
         let sending = self.send(shared, slot, body, last_event_id);
         let sent = timeout(patience, sending).await;
         sent.unwrap_or_else(|_| {
-            shared.note_failure(&server);
-            Err(TryEnd::Lost)
+            shared.record_failure(&server);
+            Err(AttemptError::ResponseLost)
         })
     }
 
@@ -148,13 +148,13 @@
         slot: ServerSlot,
         body: bytes::Bytes,
         last_event_id: Option<u64>,
-    ) -> Result<Answering, TryEnd> {
+    ) -> Result<ServerResponse, AttemptError> {
         let begun = Instant::now();
         let address = slot.server.address;
         let opened = shared.pool.connection(address, CONNECT_LIMIT, begun).await;
         let Ok(mut connection) = opened else {
-            slot.note_failure();
-            return Err(TryEnd::Unreached);
+            slot.record_failure();
+            return Err(AttemptError::ConnectFailed);
         };
         let send = SendInfo {
             time_left: self.time_left(Instant::now()),
@@ -168,8 +168,8 @@
             body,
         };
         let Ok(head) = connection.exchange(&request).await else {
-            slot.note_failure();
-            return Err(TryEnd::Lost);
+            slot.record_failure();
+            return Err(AttemptError::ResponseLost);
         };
         self.judge(shared, slot, connection, head).await
     }
@@ -180,28 +180,28 @@
         slot: ServerSlot,
         mut connection: Connection,
         head: ResponseHead,
-    ) -> Result<Answering, TryEnd> {
+    ) -> Result<ServerResponse, AttemptError> {
         let is_own = platform::answer::belongs_to(&head.headers, &self.info.id);
         if !is_own && !Safeguard::OwnAnswer.is_left_out() {
             // A late answer to an earlier request, or one that can't be told from it.
             let is_refusal = platform::answer::says_not_run(head.status.as_u16(), &head.headers);
-            slot.note_failure();
+            slot.record_failure();
             return if is_refusal && !platform::answer::has_request_id(&head.headers) {
-                Err(TryEnd::NotRun)
+                Err(AttemptError::NotRun)
             } else {
-                Err(TryEnd::Lost)
+                Err(AttemptError::ResponseLost)
             };
         }
         if platform::answer::says_not_run(head.status.as_u16(), &head.headers) {
             let is_another = platform::answer::says_another(head.status.as_u16());
-            shared.note_refusal(&slot.server.id, is_another);
+            shared.record_refusal(&slot.server.id, is_another);
             if connection.body(MAX_REFUSAL_BYTES).await.is_ok() {
                 let address = slot.server.address;
                 shared.pool.give_back(address, connection, Instant::now());
             }
-            return Err(TryEnd::NotRun);
+            return Err(AttemptError::NotRun);
         }
-        Ok(Answering {
+        Ok(ServerResponse {
             head,
             connection,
             slot,
@@ -213,6 +213,6 @@
 const MAX_REFUSAL_BYTES: usize = 16_384;
 
 /// Path and query as the caller sent them.
-fn target(received: &Received<'_>) -> Uri {
+fn target(received: &ReceivedRequest<'_>) -> Uri {
     received.head.uri().clone()
 }
--- a/clementinepickd/src/gateway_ledger.rs
+++ b/clementinepickd/src/gateway_ledger_query.rs
@@ -16,7 +16,7 @@
 const ASK_LIMIT: Duration = Duration::from_secs(2);
 
 /// Answers `/ledger?program=ID` and `/ledger?turn=ID`, with the id percent-encoded.
-pub(crate) async fn answer(shared: &Rc<Shared>, query: &str) -> (StatusCode, String) {
+pub(crate) async fn handle_query(shared: &Rc<Shared>, query: &str) -> (StatusCode, String) {
     let Some((name, id)) = query.split_once('=') else {
         return (StatusCode::BAD_REQUEST, String::new());
     };
@@ -29,7 +29,7 @@
     match found {
         Ok(found) => (StatusCode::OK, found.to_string()),
         Err(LedgerError::UnknownTurn) => (StatusCode::NOT_FOUND, String::new()),
-        Err(LedgerError::Away | LedgerError::Spent { .. }) => {
+        Err(LedgerError::Unavailable | LedgerError::Spent { .. }) => {
             (StatusCode::SERVICE_UNAVAILABLE, String::new())
         }
     }
@@ -40,11 +40,11 @@
     let partition = shared.ledger.budget_partition(id);
     let state = shared.budgets.partition(partition, now);
     let in_use = state.in_use.lock().await;
-    let read = shared.budgets.read_on(partition, &state, now + ASK_LIMIT);
+    let read = shared.budgets.catch_up(partition, &state, now + ASK_LIMIT);
     read.await?;
     drop(in_use);
     let view = state.view.borrow();
-    let held = shared.budgets.held_of(id);
+    let held = shared.budgets.held_slices(id);
     if held.is_none() && !view.knows(id) {
         return Err(LedgerError::UnknownTurn);
     }
--- a/clementinepickd/src/gateway_house.rs
+++ b/clementinepickd/src/gateway_maintenance.rs
@@ -18,7 +18,7 @@
 const HOUSEKEEPING: Duration = Duration::from_millis(250);
 
 /// Keeps house until it is dropped.
-pub(crate) async fn keep_house(shared: Rc<Shared>, vm: String) {
+pub(crate) async fn run_maintenance(shared: Rc<Shared>, vm: String) {
     let event = Event::new(EventKind::ProcessReady).with("vm", vm);
     let mut said_ready = false;
     let mut store_log = StoreLog::default();
@@ -32,7 +32,7 @@
         shared.pool.close_stale(now);
         shared.store.close_stale(now);
         shared.budgets.forget_idle(now);
-        shared.metrics.sum_up();
+        shared.metrics.aggregate_histograms();
         let directory = shared.directory();
         if !directory.peers.is_empty() {
             shared.store.set_relays(directory.peers.to_vec());
@@ -66,7 +66,7 @@
 impl StoreLog {
     /// Logs what has changed.
     fn look(&mut self, shared: &Shared, now: Instant) {
-        let (away, down) = (shared.store.is_away(), shared.store.is_direct_down());
+        let (away, down) = (shared.store.is_unavailable(), shared.store.is_direct_down());
         let counts = shared.store.counts();
         let with_counts = |kind| {
             Event::new(kind)
@@ -80,7 +80,7 @@
             } else {
                 EventKind::LogUp
             };
-            let away_for = shared.store.away_for(now).as_millis();
+            let away_for = shared.store.unavailable_for(now).as_millis();
             shared.log(&with_counts(kind).with("away_ms", away_for));
         }
         if down != std::mem::replace(&mut self.is_direct_down, down) {
--- a/clementinepickd/src/gateway_metrics.rs
+++ b/clementinepickd/src/gateway_metrics.rs
@@ -11,8 +11,8 @@
 use metrics_exporter_prometheus::{BuildError, PrometheusBuilder, PrometheusRecorder};
 use serde_json::json;
 
-use crate::gateway_connection::{Handler, Received};
-use crate::gateway_ledger;
+use crate::gateway_connection::{Handler, ReceivedRequest};
+use crate::gateway_ledger_query;
 use crate::gateway_reply::Reply;
 use crate::gateway_shared::Shared;
 
@@ -69,7 +69,7 @@
     ///
     /// The recorder keeps each sample until it is asked for; where nobody asks, a process that
     /// serves 44 requests a second would grow by 30 MB a day.
-    pub(crate) fn sum_up(&self) {
+    pub(crate) fn aggregate_histograms(&self) {
         self.recorder.handle().run_upkeep();
     }
 
@@ -84,7 +84,7 @@
             set("clementinepick_cached_turn_bytes", turn_bytes);
             set(
                 "clementinepick_store_away",
-                usize::from(shared.store.is_away()),
+                usize::from(shared.store.is_unavailable()),
             );
         });
         self.recorder.handle().render()
@@ -104,7 +104,7 @@
 impl Handler for MetricsHandler {
     fn handle<'a>(
         &'a self,
-        request: &'a Received<'_>,
+        request: &'a ReceivedRequest<'_>,
         reply: &'a mut Reply<'_>,
     ) -> Pin<Box<dyn Future<Output = ()> + 'a>> {
         Box::pin(async move {
@@ -114,12 +114,14 @@
                 "/state" => (StatusCode::OK, state(&self.shared)),
                 "/ledger" => {
                     let query = request.head.uri().query().unwrap_or_default();
-                    gateway_ledger::answer(&self.shared, query).await
+                    gateway_ledger_query::handle_query(&self.shared, query).await
                 }
                 _ => (StatusCode::NOT_FOUND, String::new()),
             };
             // If this fails, whoever asked is gone.
-            let _ = reply.whole(status, content_type(path), body.into()).await;
+            let _ = reply
+                .send_full(status, content_type(path), body.into())
+                .await;
         })
     }
 }
@@ -167,7 +169,7 @@
         "config_version": directory.config.as_ref().map(|config| config.version),
         "lists_age_ms": age_ms,
         "store": {
-            "is_away": shared.store.is_away(),
+            "is_away": shared.store.is_unavailable(),
             "is_direct_down": shared.store.is_direct_down(),
         },
         "peers": directory.peers.iter().map(ToString::to_string).collect::<Vec<_>>(),
--- a/clementinepickd/src/gateway_peer.rs
+++ b/clementinepickd/src/gateway_peer.rs
@@ -13,11 +13,11 @@
 use bytes::Bytes;
 use serde::de::DeserializeOwned;
 
-use crate::gateway_budget_peer::answer_peer;
-use crate::gateway_connection::{Handler, Received};
+use crate::gateway_budget_peer::handle_budget_call;
+use crate::gateway_connection::{Handler, ReceivedRequest};
+use crate::gateway_peer_turns::{self, TURN_PATH};
 use crate::gateway_reply::Reply;
 use crate::gateway_shared::Shared;
-use crate::gateway_turns::{self, TURN_PATH};
 use crate::ledger::from_cbor;
 use crate::outbound::Outgoing;
 use crate::store::{StoreCall, StorePurpose, host_header};
@@ -35,7 +35,7 @@
 }
 
 /// Asks a peer; none where no answer comes in time. An answer shows that the peer lives.
-pub(crate) async fn ask_peer<T: DeserializeOwned>(
+pub(crate) async fn call_peer<T: DeserializeOwned>(
     shared: &Shared,
     peer: SocketAddr,
     call: PeerCall,
@@ -56,7 +56,7 @@
         Some((head.status, body))
     };
     let (status, body) = timeout(limit, exchange).await.ok()??;
-    shared.homes.note_answer(peer);
+    shared.homes.record_peer_response(peer);
     (status == StatusCode::OK).then(|| from_cbor(&body))?
 }
 
@@ -71,17 +71,17 @@
 impl Handler for PeerHandler {
     fn handle<'a>(
         &'a self,
-        request: &'a Received<'_>,
+        request: &'a ReceivedRequest<'_>,
         reply: &'a mut Reply<'_>,
     ) -> Pin<Box<dyn Future<Output = ()> + 'a>> {
         Box::pin(async move {
             let target = request.head.uri().path_and_query();
             let target = target.map(ToString::to_string).unwrap_or_default();
-            let answer = answer_peer(&self.shared, &target, &request.body).await;
+            let answer = handle_budget_call(&self.shared, &target, &request.body).await;
             let (status, body) = if let Some(answer) = answer {
                 answer
             } else if target == TURN_PATH {
-                gateway_turns::answer(&self.shared, &request.body)
+                gateway_peer_turns::handle_fetch(&self.shared, &request.body)
             } else if platform::store::is_call(&target) {
                 let call = StoreCall {
                     purpose: StorePurpose::Relay,
@@ -96,7 +96,7 @@
             };
             let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
             // If this fails, the peer is gone; it makes its call again elsewhere.
-            let _ = reply.whole(status, HeaderMap::new(), body).await;
+            let _ = reply.send_full(status, HeaderMap::new(), body).await;
         })
     }
 }
--- a/clementinepickd/src/gateway_turns.rs
+++ b/clementinepickd/src/gateway_peer_turns.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use clementinepick::turn_chain::TurnRecord;
 
-use crate::gateway_peer::{PeerCall, ask_peer};
+use crate::gateway_peer::{PeerCall, call_peer};
 use crate::gateway_shared::Shared;
 use crate::ledger::to_cbor;
 
@@ -29,15 +29,15 @@
         body: Bytes::copy_from_slice(id.as_bytes()),
         limit: TURN_LIMIT,
     };
-    let answer = ask_peer::<Option<TurnRecord>>(shared, peer, call).await;
+    let answer = call_peer::<Option<TurnRecord>>(shared, peer, call).await;
     if answer.is_none() {
-        shared.homes.note_silent_peer(peer, now);
+        shared.homes.record_peer_timeout(peer, now);
     }
     answer?
 }
 
 /// Answers a peer that asks for a turn.
-pub(crate) fn answer(shared: &Shared, body: &[u8]) -> (u16, Bytes) {
+pub(crate) fn handle_fetch(shared: &Shared, body: &[u8]) -> (u16, Bytes) {
     let id = String::from_utf8_lossy(body);
     (200, to_cbor(&shared.turns.cached_record(&id)))
 }
--- a/clementinepickd/src/gateway_ahead.rs
+++ b/clementinepickd/src/gateway_prefetch.rs
@@ -11,13 +11,13 @@
 use crate::ledger_budgets::BudgetRequest;
 
 /// How many programs may wait for a slice; more than wait while the store answers slowly.
-pub(crate) const MAX_WAITING: usize = 256;
+pub(crate) const PREFETCH_QUEUE_CAPACITY: usize = 256;
 /// How long the store may take for a slice that nobody waits for yet.
 const AHEAD_LIMIT: Duration = Duration::from_secs(1);
 
 /// A program that may need its next slice soon.
 #[derive(Debug)]
-pub(crate) struct AheadRequest {
+pub(crate) struct PrefetchRequest {
     program: String,
     budget: Tokens,
     turn: Tokens,
@@ -25,12 +25,12 @@
 }
 
 /// Asks for the program's next slice, if what is held of it is low and the store is there.
-pub(crate) fn ask_ahead(shared: &Shared, request: &BudgetRequest<'_>) {
-    if shared.store.is_away() || !shared.budgets.is_low(request) {
+pub(crate) fn request_prefetch(shared: &Shared, request: &BudgetRequest<'_>) {
+    if shared.store.is_unavailable() || !shared.budgets.is_low(request) {
         return;
     }
     // Where too many wait, the turn that needs the slice reserves it.
-    let _ = shared.ahead.try_send(AheadRequest {
+    let _ = shared.prefetch.try_send(PrefetchRequest {
         program: request.program.to_owned(),
         budget: request.budget,
         turn: request.turn,
@@ -39,7 +39,7 @@
 }
 
 /// Reserves what was asked for, one slice at a time, until the sender is gone.
-pub(crate) async fn reserve_ahead(shared: Rc<Shared>, mut asked: mpsc::Receiver<AheadRequest>) {
+pub(crate) async fn run_prefetch(shared: Rc<Shared>, mut asked: mpsc::Receiver<PrefetchRequest>) {
     while let Some(ask) = asked.recv().await {
         let request = BudgetRequest {
             program: &ask.program,
@@ -54,7 +54,7 @@
         let deadline = Instant::now() + AHEAD_LIMIT;
         // A budget that is given out and a store that is away are met again, and logged, by the turn
         // that needs the slice.
-        if let Ok(Some(grant)) = shared.budgets.reserve_ahead(&request, deadline).await {
+        if let Ok(Some(grant)) = shared.budgets.prefetch_slice(&request, deadline).await {
             log_grant(&shared, &request, grant);
         }
     }
--- a/clementinepickd/src/gateway_reply.rs
+++ b/clementinepickd/src/gateway_reply.rs
@@ -16,7 +16,7 @@
 /// The caller's connection broke while the answer was written.
 #[derive(Debug, Error)]
 #[error("the caller is gone: {0}")]
-pub(crate) struct CallerGone(#[from] io::Error);
+pub(crate) struct CallerDisconnected(#[from] io::Error);
 
 /// How far an answer is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -57,11 +57,14 @@
         self.state
     }
 
-    fn encode(&mut self, message: Message<(Response<()>, BodySize)>) -> Result<(), CallerGone> {
+    fn encode(
+        &mut self,
+        message: Message<(Response<()>, BodySize)>,
+    ) -> Result<(), CallerDisconnected> {
         Ok(self.codec.encode(message, &mut self.out)?)
     }
 
-    async fn flush(&mut self) -> Result<(), CallerGone> {
+    async fn flush(&mut self) -> Result<(), CallerDisconnected> {
         let out = self.out.split();
         Ok(self.write.write_all(&out).await?)
     }
@@ -71,7 +74,7 @@
         status: StatusCode,
         headers: HeaderMap,
         size: BodySize,
-    ) -> Result<(), CallerGone> {
+    ) -> Result<(), CallerDisconnected> {
         let mut response = Response::with_body(status, ());
         *response.headers_mut() = headers;
         if self.closes {
@@ -85,12 +88,12 @@
     }
 
     /// Writes a whole answer.
-    pub(crate) async fn whole(
+    pub(crate) async fn send_full(
         &mut self,
         status: StatusCode,
         headers: HeaderMap,
         body: Bytes,
-    ) -> Result<(), CallerGone> {
+    ) -> Result<(), CallerDisconnected> {
         self.head(status, headers, BodySize::Sized(body.len() as u64))?;
         if !body.is_empty() {
             self.encode(Message::Chunk(Some(body)))?;
@@ -102,17 +105,17 @@
     }
 
     /// Writes the head of an answer whose length is not known yet.
-    pub(crate) async fn start(
+    pub(crate) async fn send_head(
         &mut self,
         status: StatusCode,
         headers: HeaderMap,
-    ) -> Result<(), CallerGone> {
+    ) -> Result<(), CallerDisconnected> {
         self.head(status, headers, BodySize::Stream)?;
         self.flush().await
     }
 
     /// Writes a part of the body.
-    pub(crate) async fn part(&mut self, bytes: Bytes) -> Result<(), CallerGone> {
+    pub(crate) async fn send_chunk(&mut self, bytes: Bytes) -> Result<(), CallerDisconnected> {
         if bytes.is_empty() {
             // An empty chunk would end the body.
             return Ok(());
@@ -122,7 +125,7 @@
     }
 
     /// Ends the body.
-    pub(crate) async fn end(&mut self) -> Result<(), CallerGone> {
+    pub(crate) async fn finish(&mut self) -> Result<(), CallerDisconnected> {
         self.encode(Message::Chunk(None))?;
         self.flush().await?;
         self.state = ReplyState::Complete;
@@ -130,11 +133,11 @@
     }
 
     /// Answers in place of a backend server.
-    pub(crate) async fn refuse(
+    pub(crate) async fn send_refusal(
         &mut self,
         answer: RefusalAnswer,
         request_id: Option<&str>,
-    ) -> Result<(), CallerGone> {
+    ) -> Result<(), CallerDisconnected> {
         let mut headers = HeaderMap::new();
         headers.insert(
             header::CONTENT_TYPE,
@@ -152,6 +155,6 @@
         }
         let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
         let body = format!("{{\"error\":\"{}\"}}", answer.code);
-        self.whole(status, headers, body.into()).await
+        self.send_full(status, headers, body.into()).await
     }
 }
--- a/clementinepickd/src/gateway_request.rs
+++ b/clementinepickd/src/gateway_request.rs
@@ -16,9 +16,9 @@
 use tokio::time::timeout_at;
 
 use crate::gateway_call::{self, CALL};
-use crate::gateway_connection::{Handler, Received};
-use crate::gateway_exchange::Job;
-use crate::gateway_reply::{CallerGone, Reply, ReplyState};
+use crate::gateway_connection::{Handler, ReceivedRequest};
+use crate::gateway_exchange::RoutedRequest;
+use crate::gateway_reply::{CallerDisconnected, Reply, ReplyState};
 use crate::gateway_shared::Shared;
 use crate::gateway_stream::{self, TURN};
 use crate::gateway_trace::Trace;
@@ -37,7 +37,7 @@
 impl Handler for CallerHandler {
     fn handle<'a>(
         &'a self,
-        request: &'a Received<'_>,
+        request: &'a ReceivedRequest<'_>,
         reply: &'a mut Reply<'_>,
     ) -> Pin<Box<dyn Future<Output = ()> + 'a>> {
         Box::pin(async move {
@@ -45,10 +45,10 @@
             let id = info.as_ref().map(|info| info.id.clone());
             let trace = Trace::default();
             if let Some(program) = info.as_ref().and_then(|info| info.program.as_ref()) {
-                trace.note("program", program);
+                trace.add_field("program", program);
             }
             if let Some(previous) = info.as_ref().and_then(|info| info.previous_turn.as_ref()) {
-                trace.note("previous", previous);
+                trace.add_field("previous", previous);
             }
             let id = id.as_deref().unwrap_or("-");
             let mut leaving = Leaving {
@@ -59,7 +59,7 @@
                 is_over: false,
             };
             let outcome = serve(&self.shared, request, info, &trace, reply).await;
-            leaving.is_over = !matches!(outcome, Err(CallerGone { .. }));
+            leaving.is_over = !matches!(outcome, Err(CallerDisconnected { .. }));
             drop(leaving);
             match outcome {
                 Ok(Ok(())) => {
@@ -80,7 +80,7 @@
                     self.refuse(refusal, id, reply).await;
                 }
                 // `Leaving` has logged it.
-                Err(CallerGone { .. }) => {}
+                Err(CallerDisconnected { .. }) => {}
             }
         })
     }
@@ -90,7 +90,7 @@
 /// wherever it is.
 struct Leaving<'a> {
     handler: &'a CallerHandler,
-    request: &'a Received<'a>,
+    request: &'a ReceivedRequest<'a>,
     id: &'a str,
     trace: &'a Trace,
     is_over: bool,
@@ -117,14 +117,21 @@
             // If this fails, the caller is gone.
             let mut answer = refusal.answer();
             if refusal == Refusal::LedgerAway {
-                let away = self.shared.store.away_for(Instant::now());
+                let away = self.shared.store.unavailable_for(Instant::now());
                 answer.retry_after_us = Some(ledger_retry(span(away)));
             }
-            let _ = reply.refuse(answer, Some(id)).await;
+            let _ = reply.send_refusal(answer, Some(id)).await;
         }
     }
 
-    fn log(&self, event: Event, request: &Received<'_>, id: &str, trace: &Trace, status: u16) {
+    fn log(
+        &self,
+        event: Event,
+        request: &ReceivedRequest<'_>,
+        id: &str,
+        trace: &Trace,
+        status: u16,
+    ) {
         let took = request.arrived.elapsed();
         let directory = self.shared.directory();
         let config_version = directory.config.as_ref().map_or(0, |config| config.version);
@@ -136,18 +143,18 @@
             .with("took_ms", took.as_millis())
             .with("config_version", config_version)
             .with("lists_age_ms", lists_age)
-            .with("store_away", self.shared.store.is_away());
+            .with("store_away", self.shared.store.is_unavailable());
         self.shared.log(&trace.describe(event, request.arrived));
     }
 }
 
 async fn serve(
     shared: &Rc<Shared>,
-    request: &Received<'_>,
+    request: &ReceivedRequest<'_>,
     info: Option<RequestInfo>,
     trace: &Trace,
     reply: &mut Reply<'_>,
-) -> Result<Result<(), Refusal>, CallerGone> {
+) -> Result<Result<(), Refusal>, CallerDisconnected> {
     let Some(config) = shared.directory().config else {
         return Ok(Err(Refusal::NoConfig));
     };
@@ -184,9 +191,9 @@
 
 fn job<'a>(
     config: &'a TrafficConfig,
-    request: &'a Received<'a>,
+    request: &'a ReceivedRequest<'a>,
     info: &'a RequestInfo,
-) -> Result<Job<'a>, Refusal> {
+) -> Result<RoutedRequest<'a>, Refusal> {
     let host = request.head.head().headers.get("host");
     let host = host.and_then(|host| host.to_str().ok()).unwrap_or_default();
     let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
@@ -194,7 +201,7 @@
     let route = config.route(host, path).ok_or(Refusal::NoRoute)?;
     let service = route.service(rand::rng().random());
     let timeout = duration(route.timeout_us);
-    Ok(Job {
+    Ok(RoutedRequest {
         received: request,
         info,
         route,
@@ -211,7 +218,7 @@
 impl Handler for ReadyHandler {
     fn handle<'a>(
         &'a self,
-        request: &'a Received<'_>,
+        request: &'a ReceivedRequest<'_>,
         reply: &'a mut Reply<'_>,
     ) -> Pin<Box<dyn Future<Output = ()> + 'a>> {
         Box::pin(async move {
@@ -223,7 +230,7 @@
             };
             let headers = actix_http::header::HeaderMap::new();
             // If this fails, whoever asked is gone.
-            let _ = reply.whole(status, headers, Bytes::new()).await;
+            let _ = reply.send_full(status, headers, Bytes::new()).await;
         })
     }
 }
--- a/clementinepickd/src/gateway_settings.rs
+++ b/clementinepickd/src/gateway_settings.rs
@@ -43,7 +43,7 @@
     pub body_limit_bytes: usize,
     /// How long callers are still accepted after the signal to end, so that the balancer can notice
     /// that the process is not ready: two of its looks, a second apart, and a half.
-    pub notice: Duration,
+    pub drain_delay: Duration,
     /// How long after the signal the process ends, whatever still runs; under the platform's limit.
     pub shutdown_limit: Duration,
 }
@@ -63,7 +63,7 @@
             seeds: Vec::new(),
             ledger: LedgerSettings::default(),
             body_limit_bytes: 16_777_216,
-            notice: Duration::from_millis(2_500),
+            drain_delay: Duration::from_millis(2_500),
             shutdown_limit: Duration::from_millis(7_400),
         }
     }
@@ -93,9 +93,9 @@
     settings.ledger.record_bytes = bytes(source, "store", "record", settings.ledger.record_bytes)?;
     settings.ledger.call_bytes = bytes(source, "store", "call", settings.ledger.call_bytes)?;
     settings.ledger.cache_bytes = bytes(source, "store", "cache", settings.ledger.cache_bytes)?;
-    settings.notice = span(source, "notice", settings.notice)?;
+    settings.drain_delay = span(source, "notice", settings.drain_delay)?;
     settings.shutdown_limit = span(source, "limit", settings.shutdown_limit)?;
-    if settings.notice >= settings.shutdown_limit {
+    if settings.drain_delay >= settings.shutdown_limit {
         return Err(source.wrong("shutdown", "notice", "must be shorter than `limit`"));
     }
     if settings.ledger.partitions == 0 {
--- a/clementinepickd/src/gateway_shared.rs
+++ b/clementinepickd/src/gateway_shared.rs
@@ -18,8 +18,8 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::directory::Directory;
-use crate::gateway_ahead::{AheadRequest, MAX_WAITING};
 use crate::gateway_metrics::GatewayMetrics;
+use crate::gateway_prefetch::{PREFETCH_QUEUE_CAPACITY, PrefetchRequest};
 use crate::gateway_settings::GatewaySettings;
 use crate::ledger::LedgerStore;
 use crate::ledger_budgets::Budgets;
@@ -46,7 +46,7 @@
     pub(crate) homes: Homes,
     pub(crate) turns: Turns,
     /// Programs that may need their next slice soon.
-    pub(crate) ahead: mpsc::Sender<AheadRequest>,
+    pub(crate) prefetch: mpsc::Sender<PrefetchRequest>,
     /// Where peers reach this process.
     pub(crate) peer_address: SocketAddr,
     pub(crate) pool: Pool,
@@ -69,37 +69,37 @@
 }
 
 /// Counts a request as running, or a connection as open, until it is dropped.
-pub(crate) struct Counted<'a>(&'a Cell<usize>);
+pub(crate) struct CountGuard<'a>(&'a Cell<usize>);
 
-impl Drop for Counted<'_> {
+impl Drop for CountGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-fn count(counter: &Cell<usize>) -> Counted<'_> {
+fn count(counter: &Cell<usize>) -> CountGuard<'_> {
     counter.set(counter.get() + 1);
-    Counted(counter)
+    CountGuard(counter)
 }
 
 /// Bytes of a request's body that count as held until it is dropped.
-pub(crate) struct BodyHold<'a> {
+pub(crate) struct BodyReservation<'a> {
     held: &'a Cell<usize>,
     bytes: usize,
 }
 
-impl Drop for BodyHold<'_> {
+impl Drop for BodyReservation<'_> {
     fn drop(&mut self) {
         self.held.set(self.held.get() - self.bytes);
     }
 }
 
 /// What tasks of their own work off.
-pub(crate) struct Inboxes {
+pub(crate) struct BackgroundQueues {
     /// Tokens to return to peers.
     pub(crate) returned: mpsc::Receiver<TokenReturn>,
     /// Slices to reserve before they are needed.
-    pub(crate) ahead: mpsc::Receiver<AheadRequest>,
+    pub(crate) prefetch: mpsc::Receiver<PrefetchRequest>,
 }
 
 impl Shared {
@@ -110,7 +110,7 @@
         logger: Logger,
         metrics: Arc<GatewayMetrics>,
         writer: String,
-    ) -> (Self, Inboxes) {
+    ) -> (Self, BackgroundQueues) {
         let store = Rc::new(StoreClient::new(settings.store, Arc::clone(&metrics)));
         store.set_relays(settings.seeds.clone());
         let ledger = Rc::new(LedgerStore {
@@ -119,10 +119,10 @@
         });
         let (budgets, returned) = Budgets::new(Rc::clone(&ledger), writer, settings.peers);
         let budgets = Rc::new(budgets);
-        let (ahead, ahead_asked) = mpsc::channel(MAX_WAITING);
+        let (prefetch, prefetch_requests) = mpsc::channel(PREFETCH_QUEUE_CAPACITY);
         let shared = Self {
             store,
-            ahead,
+            prefetch,
             homes: Homes::new(Rc::clone(&budgets)),
             budgets,
             peer_address: settings.peers,
@@ -144,11 +144,11 @@
             is_closing: Cell::new(false),
             closing: Notify::new(),
         };
-        let inboxes = Inboxes {
+        let queues = BackgroundQueues {
             returned,
-            ahead: ahead_asked,
+            prefetch: prefetch_requests,
         };
-        (shared, inboxes)
+        (shared, queues)
     }
 
     pub(crate) fn directory(&self) -> Directory {
@@ -176,13 +176,13 @@
     }
 
     /// Passes a server over for a while.
-    pub(crate) fn note_failure(&self, server: &str) {
+    pub(crate) fn record_failure(&self, server: &str) {
         let now = self.now_us(Instant::now());
         self.choice.borrow_mut().failed(now, server);
     }
 
     /// Notes that a server refused a request without running it.
-    pub(crate) fn note_refusal(&self, server: &str, is_another: bool) {
+    pub(crate) fn record_refusal(&self, server: &str, is_another: bool) {
         let now = self.now_us(Instant::now());
         self.choice.borrow_mut().refused(now, server, is_another);
     }
@@ -199,17 +199,17 @@
     }
 
     /// How many connections to this process are open.
-    pub(crate) fn open(&self) -> usize {
+    pub(crate) fn open_connections(&self) -> usize {
         self.open.get()
     }
 
     /// Counts a connection as open.
-    pub(crate) fn open_connection(&self) -> Counted<'_> {
+    pub(crate) fn open_connection(&self) -> CountGuard<'_> {
         count(&self.open)
     }
 
     /// How many requests run.
-    pub(crate) fn running(&self) -> usize {
+    pub(crate) fn running_requests(&self) -> usize {
         self.running.get()
     }
 
@@ -236,14 +236,14 @@
     }
 
     /// Notes a request for a service; each earns a part of a retry.
-    pub(crate) fn earn_retry(&self, service: &str) {
+    pub(crate) fn deposit_retry(&self, service: &str) {
         let mut retries = self.retries.borrow_mut();
         let budget = retries.entry(service.to_owned()).or_default();
         budget.on_call(Percent::new(RETRY_PERCENT).unwrap_or_default());
     }
 
     /// Whether a request for a service may be sent again.
-    pub(crate) fn take_retry(&self, service: &str, kind: &'static str) -> bool {
+    pub(crate) fn withdraw_retry(&self, service: &str, kind: &'static str) -> bool {
         let mut retries = self.retries.borrow_mut();
         let may_retry = retries.entry(service.to_owned()).or_default().take();
         if may_retry {
@@ -253,24 +253,24 @@
     }
 
     /// Holds `bytes` of a request's body until dropped; none when too much is held already.
-    pub(crate) fn hold_body(&self, bytes: usize) -> Option<BodyHold<'_>> {
+    pub(crate) fn reserve_body(&self, bytes: usize) -> Option<BodyReservation<'_>> {
         let held = self.body_bytes.get() + bytes;
         if held > self.body_limit_bytes {
             return None;
         }
         self.body_bytes.set(held);
-        Some(BodyHold {
+        Some(BodyReservation {
             held: &self.body_bytes,
             bytes,
         })
     }
 
-    pub(crate) fn start_request(&self) -> Counted<'_> {
+    pub(crate) fn start_request(&self) -> CountGuard<'_> {
         count(&self.running)
     }
 
     /// Returns when idle connections are to be closed.
-    pub(crate) async fn idle_connections_close(&self) {
+    pub(crate) async fn wait_for_close(&self) {
         while !self.is_closing.get() {
             self.closing.notified().await;
         }
--- a/clementinepickd/src/gateway_stream.rs
+++ b/clementinepickd/src/gateway_stream.rs
@@ -15,13 +15,13 @@
 use clementinepick::turn_chain::{Turn, prompt};
 use clementinepick::units::Tokens;
 
-use crate::gateway_attempts::{Attempts, TryEnd};
+use crate::gateway_attempts::{AttemptError, Attempts};
 use crate::gateway_budget::{self, Reserved};
-use crate::gateway_exchange::{Answering, Job, ServerSlot};
-use crate::gateway_reply::{CallerGone, Reply, ReplyState};
+use crate::gateway_exchange::{RoutedRequest, ServerResponse, ServerSlot};
+use crate::gateway_peer_turns;
+use crate::gateway_reply::{CallerDisconnected, Reply, ReplyState};
 use crate::gateway_shared::Shared;
 use crate::gateway_trace::Trace;
-use crate::gateway_turns;
 use crate::leave_out::Safeguard;
 use crate::ledger::LedgerError;
 use crate::ledger_budgets::BudgetRequest;
@@ -52,10 +52,10 @@
 /// Runs a turn and answers the caller.
 pub(crate) async fn run(
     shared: &Rc<Shared>,
-    job: &Job<'_>,
+    job: &RoutedRequest<'_>,
     trace: &Trace,
     reply: &mut Reply<'_>,
-) -> Result<Result<(), Refusal>, CallerGone> {
+) -> Result<Result<(), Refusal>, CallerDisconnected> {
     let deadline = ledger_deadline(job);
     let (hold, previous_at, line_server) =
         match reserve(shared, job, trace, most_tokens(job), deadline).await {
@@ -71,12 +71,12 @@
         Ok(previous) => previous,
         Err(refusal) => return Ok(Err(refusal)),
     };
-    trace.admitted(Instant::now());
+    trace.record_admitted(Instant::now());
     let mut stream = TurnStream {
         shared,
         job,
         trace,
-        covered: hold.as_ref().map_or(Tokens(0), BudgetHold::turn),
+        covered: hold.as_ref().map_or(Tokens(0), BudgetHold::reserved_tokens),
         hold,
         body: prompt(previous.as_ref(), &job.received.body),
         last_server: previous
@@ -94,10 +94,10 @@
     if let Err(refusal) = stream.run(reply).await? {
         return Ok(Err(refusal));
     }
-    trace.generated(Instant::now());
+    trace.record_generated(Instant::now());
     if reply.state() == ReplyState::Started {
         if Safeguard::RecordBeforeEnd.is_left_out() {
-            reply.end().await?;
+            reply.finish().await?;
             // Nobody waits for it.
             let _ = stream.record().await;
             return Ok(Ok(()));
@@ -107,7 +107,7 @@
             // this process would lose.
             return Ok(Err(Refusal::LedgerAway));
         }
-        reply.end().await?;
+        reply.finish().await?;
     }
     Ok(Ok(()))
 }
@@ -115,7 +115,7 @@
 /// The turn that a turn continues from; `ran_at` is the peer that ran it, if that is known.
 async fn previous_turn(
     shared: &Rc<Shared>,
-    job: &Job<'_>,
+    job: &RoutedRequest<'_>,
     ran_at: Option<SocketAddr>,
     deadline: Instant,
 ) -> Result<Option<Arc<Turn>>, Refusal> {
@@ -125,7 +125,7 @@
     if !job.route.keeps_context {
         return Ok(None);
     }
-    let fetch = async |id: &str| gateway_turns::fetch(shared, ran_at?, id).await;
+    let fetch = async |id: &str| gateway_peer_turns::fetch(shared, ran_at?, id).await;
     let found = shared.turns.get(id, deadline, fetch).await;
     let found = found.map_err(|err| refusal_of(&err))?;
     if found.records_read > 0 {
@@ -140,7 +140,7 @@
 
 async fn reserve(
     shared: &Rc<Shared>,
-    job: &Job<'_>,
+    job: &RoutedRequest<'_>,
     trace: &Trace,
     tokens: Tokens,
     deadline: Instant,
@@ -163,8 +163,8 @@
         Ok(reserved) => Ok(Some(reserved)),
         Err(err) => {
             if let LedgerError::Spent { reserved, .. } = &err {
-                trace.note("budget", &request.budget);
-                trace.note("reserved", reserved);
+                trace.add_field("budget", &request.budget);
+                trace.add_field("reserved", reserved);
             }
             Err(refusal_of(&err))
         }
@@ -172,21 +172,21 @@
 }
 
 /// What the turn generates at most.
-fn most_tokens(job: &Job<'_>) -> Tokens {
+fn most_tokens(job: &RoutedRequest<'_>) -> Tokens {
     job.info.most_tokens.map_or(DEFAULT_TURN_TOKENS, Tokens)
 }
 
 /// Until when the store is waited for before a request is refused. A caller that comes back is
 /// served by whichever process the store answers, so that waiting for longer than a try and a
 /// repeat takes gains nothing.
-fn ledger_deadline(job: &Job<'_>) -> Instant {
+fn ledger_deadline(job: &RoutedRequest<'_>) -> Instant {
     const LEDGER_PATIENCE: Duration = Duration::from_millis(1_200);
     job.deadline.min(Instant::now() + LEDGER_PATIENCE)
 }
 
 fn refusal_of(err: &LedgerError) -> Refusal {
     match err {
-        LedgerError::Away => Refusal::LedgerAway,
+        LedgerError::Unavailable => Refusal::LedgerAway,
         LedgerError::Spent { .. } => Refusal::BudgetSpent,
         LedgerError::UnknownTurn => Refusal::UnknownTurn,
     }
@@ -194,7 +194,7 @@
 
 struct TurnStream<'a, 'j> {
     shared: &'a Rc<Shared>,
-    job: &'a Job<'j>,
+    job: &'a RoutedRequest<'j>,
     trace: &'a Trace,
     hold: Option<BudgetHold>,
     /// How much was set aside for the turn in all.
@@ -227,26 +227,29 @@
         recorded.await.is_ok()
     }
 
-    async fn run(&mut self, reply: &mut Reply<'_>) -> Result<Result<(), Refusal>, CallerGone> {
+    async fn run(
+        &mut self,
+        reply: &mut Reply<'_>,
+    ) -> Result<Result<(), Refusal>, CallerDisconnected> {
         let may_repeat = self.job.route.is_resumable;
         let mut attempts = Attempts::new(self.shared, self.job, self.trace, may_repeat);
-        while let Some(slot) = attempts.next(self.last_server.as_deref()) {
-            self.note_placed(&slot.server.id);
+        while let Some(slot) = attempts.next_slot(self.last_server.as_deref()) {
+            self.record_placement(&slot.server.id);
             match self.run_once(slot, reply).await? {
                 Ok(()) => return Ok(Ok(())),
                 Err(_) if self.is_out_of_budget => return Ok(Err(Refusal::LedgerAway)),
-                Err(end) => attempts.failed(end),
+                Err(end) => attempts.record_error(end),
             }
         }
         Ok(Err(attempts.refusal()))
     }
 
-    fn note_placed(&mut self, server: &str) {
+    fn record_placement(&mut self, server: &str) {
         self.server = Some(server.to_owned());
         let info = self.job.info;
         let line = info.parts.get(1..).and_then(<[PromptPart]>::last);
         if let (Some(hold), Some(program), Some(line)) = (&mut self.hold, &info.program, line) {
-            gateway_budget::note_placed(self.shared, hold, program, &line.id, server);
+            gateway_budget::record_placement(self.shared, hold, program, &line.id, server);
         }
     }
 
@@ -255,13 +258,13 @@
         &mut self,
         slot: ServerSlot,
         reply: &mut Reply<'_>,
-    ) -> Result<Result<(), TryEnd>, CallerGone> {
+    ) -> Result<Result<(), AttemptError>, CallerDisconnected> {
         let body = self.body.clone();
         let last_event_id = self.delivered.last_event_id;
         let patience = self.first_patience();
         let sent = self
             .job
-            .send_within(patience, self.shared, slot, body, last_event_id);
+            .send_with_timeout(patience, self.shared, slot, body, last_event_id);
         let answering = match sent.await {
             Ok(answering) => answering,
             Err(end) => return Ok(Err(end)),
@@ -271,7 +274,7 @@
         }
         if reply.state() == ReplyState::Open {
             let headers = platform::answer::forwarded(&answering.head.headers);
-            reply.start(StatusCode::OK, headers).await?;
+            reply.send_head(StatusCode::OK, headers).await?;
             self.trace.status.set(StatusCode::OK.as_u16());
         }
         self.deliver_events(answering, reply).await
@@ -280,49 +283,49 @@
     /// Passes on an engine's own failure, or ends a stream that is under way.
     async fn deliver_failure(
         &mut self,
-        mut answering: Answering,
+        mut answering: ServerResponse,
         reply: &mut Reply<'_>,
-    ) -> Result<Result<(), TryEnd>, CallerGone> {
+    ) -> Result<Result<(), AttemptError>, CallerDisconnected> {
         if reply.state() != ReplyState::Open {
-            return Ok(Err(TryEnd::Lost));
+            return Ok(Err(AttemptError::ResponseLost));
         }
         let Ok(body) = answering.connection.body(MAX_FAILURE_BYTES).await else {
-            return Ok(Err(TryEnd::Lost));
+            return Ok(Err(AttemptError::ResponseLost));
         };
         let headers = platform::answer::forwarded(&answering.head.headers);
         let status = answering.head.status;
-        answering.finish(self.shared);
-        reply.whole(status, headers, body).await?;
+        answering.release_connection(self.shared);
+        reply.send_full(status, headers, body).await?;
         Ok(Ok(()))
     }
 
     async fn deliver_events(
         &mut self,
-        mut answering: Answering,
+        mut answering: ServerResponse,
         reply: &mut Reply<'_>,
-    ) -> Result<Result<(), TryEnd>, CallerGone> {
+    ) -> Result<Result<(), AttemptError>, CallerDisconnected> {
         let mut splitter = EventSplitter::default();
         let mut patience = self.first_patience();
         loop {
             let chunk = match timeout(patience, answering.connection.chunk()).await {
                 Ok(Ok(Some(chunk))) => chunk,
                 Ok(Ok(None)) if splitter.is_empty() => {
-                    answering.finish(self.shared);
+                    answering.release_connection(self.shared);
                     return Ok(Ok(()));
                 }
                 Ok(Ok(None) | Err(_)) | Err(_) => {
-                    answering.slot.note_failure();
-                    return Ok(Err(TryEnd::Lost));
+                    answering.slot.record_failure();
+                    return Ok(Err(AttemptError::ResponseLost));
                 }
             };
             splitter.push(&chunk);
             if splitter.is_overfull() {
-                return Ok(Err(TryEnd::Lost));
+                return Ok(Err(AttemptError::ResponseLost));
             }
             while let Some(event) = splitter.next_event() {
                 if !self.cover_event().await {
                     self.is_out_of_budget = true;
-                    return Ok(Err(TryEnd::Lost));
+                    return Ok(Err(AttemptError::ResponseLost));
                 }
                 self.deliver(event, reply).await?;
                 patience = self.gap_patience();
@@ -340,14 +343,14 @@
         let Some(hold) = self.hold.as_ref() else {
             return true;
         };
-        if hold.turn() >= most || hold.covers(tokens) {
+        if hold.reserved_tokens() >= most || hold.covers(tokens) {
             return true;
         }
         let rest = most.saturating_sub(self.covered).max(tokens);
         let deadline = ledger_deadline(self.job);
         match reserve(self.shared, self.job, self.trace, rest, deadline).await {
             Ok(Some(reserved)) => {
-                self.covered.0 += reserved.hold.turn().0;
+                self.covered.0 += reserved.hold.reserved_tokens().0;
                 self.hold = Some(reserved.hold);
                 true
             }
@@ -359,7 +362,7 @@
         &mut self,
         event: StreamEvent,
         reply: &mut Reply<'_>,
-    ) -> Result<(), CallerGone> {
+    ) -> Result<(), CallerDisconnected> {
         let has = self.delivered.last_event_id;
         if event.id.is_some() && has.is_some() && event.id <= has {
             // A run that goes on may begin with what the caller has.
@@ -373,10 +376,10 @@
             self.delivered.output.extend_from_slice(b"\n");
         }
         if let Some(hold) = &mut self.hold {
-            hold.hand_out(self.shared.tokens_per_event(self.job.service));
+            hold.consume(self.shared.tokens_per_event(self.job.service));
         }
-        self.trace.first_byte(Instant::now());
-        reply.part(event.raw).await
+        self.trace.record_first_byte(Instant::now());
+        reply.send_chunk(event.raw).await
     }
 
     fn first_patience(&self) -> Duration {
@@ -394,7 +397,7 @@
         if self.job.route.is_resumable {
             silence
         } else {
-            self.job.endless(Instant::now())
+            self.job.beyond_deadline(Instant::now())
         }
     }
 }
--- a/clementinepickd/src/gateway_trace.rs
+++ b/clementinepickd/src/gateway_trace.rs
@@ -28,12 +28,12 @@
 
 impl Trace {
     /// Budget and context are there.
-    pub(crate) fn admitted(&self, now: Instant) {
+    pub(crate) fn record_admitted(&self, now: Instant) {
         self.admitted.set(Some(now));
     }
 
     /// The request is about to be sent to a server.
-    pub(crate) fn place(&self, server: &str, reason: PlacingReason, now: Instant) {
+    pub(crate) fn record_send(&self, server: &str, reason: PlacingReason, now: Instant) {
         self.may_have_run.set(true);
         self.placed.set(Some(now));
         self.servers.borrow_mut().push(server.to_owned());
@@ -41,7 +41,7 @@
     }
 
     /// The last server that it was sent to brought no answer.
-    pub(crate) fn failed(&self, how: &str) {
+    pub(crate) fn record_error(&self, how: &str) {
         if let Some(server) = self.servers.borrow_mut().last_mut() {
             server.push(':');
             server.push_str(how);
@@ -49,19 +49,19 @@
     }
 
     /// The first event or the head of the answer came.
-    pub(crate) fn first_byte(&self, now: Instant) {
+    pub(crate) fn record_first_byte(&self, now: Instant) {
         if self.first_byte.get().is_none() {
             self.first_byte.set(Some(now));
         }
     }
 
     /// The last event came; the turn's record may still have to be written.
-    pub(crate) fn generated(&self, now: Instant) {
+    pub(crate) fn record_generated(&self, now: Instant) {
         self.generated.set(Some(now));
     }
 
     /// An input of the decision that ended the request.
-    pub(crate) fn note(&self, name: &'static str, value: &dyn Display) {
+    pub(crate) fn add_field(&self, name: &'static str, value: &dyn Display) {
         self.inputs.borrow_mut().push((name, value.to_string()));
     }
 
--- a/clementinepickd/src/ledger.rs
+++ b/clementinepickd/src/ledger.rs
@@ -16,7 +16,7 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_128};
 
 use crate::partition_reader::PartitionReader;
-use crate::store::{StoreAway, StoreCall, StoreClient, StorePurpose, StoreReply};
+use crate::store::{StoreCall, StoreClient, StorePurpose, StoreReply, StoreUnavailable};
 
 /// The longest id that is used as a key as it is, in bytes.
 const MAX_PLAIN_ID_BYTES: usize = 64;
@@ -64,7 +64,7 @@
 pub(crate) enum LedgerError {
     /// The store can't be reached, so that nothing is certain.
     #[error("the store is away")]
-    Away,
+    Unavailable,
     /// The budget is reserved to the end.
     #[error("the budget is spent: {reserved} are reserved")]
     Spent {
@@ -78,9 +78,9 @@
     UnknownTurn,
 }
 
-impl From<StoreAway> for LedgerError {
-    fn from(_: StoreAway) -> Self {
-        Self::Away
+impl From<StoreUnavailable> for LedgerError {
+    fn from(_: StoreUnavailable) -> Self {
+        Self::Unavailable
     }
 }
 
--- a/clementinepickd/src/ledger_budgets.rs
+++ b/clementinepickd/src/ledger_budgets.rs
@@ -155,9 +155,9 @@
     }
 
     /// Notes what a turn handed out.
-    pub(crate) fn note_turn(&self, handed_out: Tokens) {
-        let mean = self.mean_turn.get().unwrap_or(handed_out);
-        let next = mean.0 - mean.0 / MEAN_OVER + handed_out.0 / MEAN_OVER;
+    pub(crate) fn update_mean_turn(&self, consumed: Tokens) {
+        let mean = self.mean_turn.get().unwrap_or(consumed);
+        let next = mean.0 - mean.0 / MEAN_OVER + consumed.0 / MEAN_OVER;
         self.mean_turn.set(Some(Tokens(next)));
     }
 
@@ -197,7 +197,7 @@
     }
 
     /// Reserves a slice that no turn waits for; none where enough came meanwhile.
-    pub(crate) async fn reserve_ahead(
+    pub(crate) async fn prefetch_slice(
         &self,
         request: &BudgetRequest<'_>,
         deadline: Instant,
@@ -242,7 +242,7 @@
                 return Ok(grant);
             }
         }
-        Err(LedgerError::Away)
+        Err(LedgerError::Unavailable)
     }
 
     /// The next slice's record; without tokens where those held suffice and only the record that
@@ -368,10 +368,10 @@
     }
 
     /// Takes over what a turn that ends leaves of its maximum.
-    pub(crate) fn finish(&self, program: &str, turn: Tokens, handed_out: Tokens) {
+    pub(crate) fn finish(&self, program: &str, turn: Tokens, consumed: Tokens) {
         let mut programs = self.programs.borrow_mut();
         if let Some(state) = programs.get_mut(program) {
-            state.slices.finish(turn, handed_out);
+            state.slices.finish(turn, consumed);
         }
     }
 
@@ -385,7 +385,7 @@
 
     /// Sends tokens back to their lender, unless too many wait; then they are lost to the program,
     /// and never spent twice.
-    pub(crate) fn give_back(&self, back: TokenReturn) {
+    pub(crate) fn queue_return(&self, back: TokenReturn) {
         // The receiver is gone only when the process ends.
         let _ = self.returns.try_send(back);
     }
@@ -474,7 +474,7 @@
     }
 
     /// What this process holds of a program.
-    pub(crate) fn held_of(&self, program: &str) -> Option<ProgramSlices> {
+    pub(crate) fn held_slices(&self, program: &str) -> Option<ProgramSlices> {
         Some(self.programs.borrow().get(program)?.slices)
     }
 
--- a/clementinepickd/src/ledger_holds.rs
+++ b/clementinepickd/src/ledger_holds.rs
@@ -30,7 +30,7 @@
     budgets: Rc<Budgets>,
     program: String,
     turn: Tokens,
-    handed_out: Tokens,
+    consumed: Tokens,
     /// Who lent the maximum; none if it is from this process's slices.
     lender: Option<Lender>,
     placed: Option<(String, String)>,
@@ -59,7 +59,7 @@
             budgets: Rc::clone(budgets),
             program: request.program.to_owned(),
             turn: request.turn,
-            handed_out: Tokens(0),
+            consumed: Tokens(0),
             lender,
             placed: None,
             grant: None,
@@ -67,27 +67,27 @@
     }
 
     /// How much is set aside.
-    pub(crate) fn turn(&self) -> Tokens {
+    pub(crate) fn reserved_tokens(&self) -> Tokens {
         self.turn
     }
 
     /// Whether so many more tokens are set aside.
     pub(crate) fn covers(&self, tokens: Tokens) -> bool {
-        self.handed_out.0 + tokens.0 <= self.turn.0
+        self.consumed.0 + tokens.0 <= self.turn.0
     }
 
     /// Counts tokens that are about to be handed to the caller.
-    pub(crate) fn hand_out(&mut self, tokens: Tokens) {
-        self.handed_out.0 += tokens.0;
+    pub(crate) fn consume(&mut self, tokens: Tokens) {
+        self.consumed.0 += tokens.0;
     }
 
     /// Notes where the turn's line is now; the home that lent learns it with what comes back.
-    pub(crate) fn note_placed(&mut self, line: &str, server: &str) {
+    pub(crate) fn record_placement(&mut self, line: &str, server: &str) {
         self.placed = Some((line.to_owned(), server.to_owned()));
     }
 
     /// Whether the maximum is lent by another process.
-    pub(crate) fn is_lent(&self) -> bool {
+    pub(crate) fn is_borrowed(&self) -> bool {
         self.lender.is_some()
     }
 
@@ -100,14 +100,14 @@
 
 impl Drop for BudgetHold {
     fn drop(&mut self) {
-        if self.handed_out > Tokens(0) {
-            self.budgets.note_turn(self.handed_out);
+        if self.consumed > Tokens(0) {
+            self.budgets.update_mean_turn(self.consumed);
         }
         if let Some(lender) = self.lender.take() {
-            let tokens = self.turn.saturating_sub(self.handed_out);
+            let tokens = self.turn.saturating_sub(self.consumed);
             if tokens > Tokens(0) || self.placed.is_some() {
                 let program = std::mem::take(&mut self.program);
-                self.budgets.give_back(TokenReturn {
+                self.budgets.queue_return(TokenReturn {
                     lender,
                     program,
                     tokens,
@@ -116,9 +116,7 @@
             }
             return;
         }
-        let Self {
-            turn, handed_out, ..
-        } = *self;
-        self.budgets.finish(&self.program, turn, handed_out);
+        let Self { turn, consumed, .. } = *self;
+        self.budgets.finish(&self.program, turn, consumed);
     }
 }
--- a/clementinepickd/src/ledger_homes.rs
+++ b/clementinepickd/src/ledger_homes.rs
@@ -41,12 +41,12 @@
 const MAX_RELEASE_ROUNDS: u32 = 4;
 
 /// What was noted lately by name; the oldest is forgotten first.
-pub(crate) struct Recent<V> {
+pub(crate) struct FifoCache<V> {
     values: BTreeMap<String, V>,
     by_age: VecDeque<String>,
 }
 
-impl<V> Default for Recent<V> {
+impl<V> Default for FifoCache<V> {
     fn default() -> Self {
         Self {
             values: BTreeMap::new(),
@@ -55,7 +55,7 @@
     }
 }
 
-impl<V> Recent<V> {
+impl<V> FifoCache<V> {
     pub(crate) fn get(&self, name: &str) -> Option<&V> {
         self.values.get(name)
     }
@@ -87,9 +87,9 @@
     liveness: RefCell<PeerLiveness>,
     clock: SteadyClock,
     /// Who ran the turns that this home lent for.
-    pub(crate) runners: RefCell<Recent<SocketAddr>>,
+    pub(crate) runners: RefCell<FifoCache<SocketAddr>>,
     /// The servers that ran the last turns of lines.
-    pub(crate) line_servers: RefCell<Recent<String>>,
+    pub(crate) line_servers: RefCell<FifoCache<String>>,
     /// The longest retention of any program, in milliseconds.
     retain_ms: Cell<u64>,
     is_released: Cell<bool>,
@@ -114,7 +114,7 @@
 
     /// Whom to ask for a program's budget; none if that is this process, or nobody is known who
     /// has answered lately.
-    pub(crate) fn to_ask(&self, program: &str, now: Instant) -> Option<SocketAddr> {
+    pub(crate) fn remote_home(&self, program: &str, now: Instant) -> Option<SocketAddr> {
         let partition = self.budgets.store.budget_partition(program);
         let known = self.known.borrow().get(&partition).copied();
         let known = known.filter(|home| !self.lost.borrow().contains(home));
@@ -130,24 +130,24 @@
     }
 
     /// Notes that a peer did not answer.
-    pub(crate) fn note_silent_peer(&self, peer: SocketAddr, now: Instant) {
+    pub(crate) fn record_peer_timeout(&self, peer: SocketAddr, now: Instant) {
         let now = self.clock.at(now);
         self.liveness.borrow_mut().failed(now, peer);
     }
 
     /// Notes that a peer answered.
-    pub(crate) fn note_answer(&self, peer: SocketAddr) {
+    pub(crate) fn record_peer_response(&self, peer: SocketAddr) {
         self.liveness.borrow_mut().answered(peer);
     }
 
     /// Notes which process is the home of a program's partition.
-    pub(crate) fn note_home(&self, program: &str, home: SocketAddr) {
+    pub(crate) fn set_known_home(&self, program: &str, home: SocketAddr) {
         let partition = self.budgets.store.budget_partition(program);
         self.known.borrow_mut().insert(partition, home);
     }
 
     /// Forgets which process is the home of a program's partition.
-    pub(crate) fn forget_home(&self, program: &str) {
+    pub(crate) fn clear_known_home(&self, program: &str) {
         let partition = self.budgets.store.budget_partition(program);
         self.known.borrow_mut().remove(&partition);
     }
@@ -157,7 +157,7 @@
     /// `retention` is the longest that any program's budget must count on.
     pub(crate) async fn step(&self, processes: &[PeerEntry], retention: SpanUs, now: Instant) {
         self.retain_ms.set(retention.as_ms().max(MIN_RETAIN_MS));
-        if self.is_released.get() || self.budgets.store.client.is_away() {
+        if self.is_released.get() || self.budgets.store.client.is_unavailable() {
             return;
         }
         self.note_processes(processes, now);
@@ -174,7 +174,7 @@
         }
         let is_due = |state: &PartitionState| {
             let home = state.home.get();
-            home.is_some_and(|home| now.saturating_duration_since(home.seen_at) >= LOOK_AGAIN)
+            home.is_some_and(|home| now.saturating_duration_since(home.confirmed_at) >= LOOK_AGAIN)
         };
         let held = self.budgets.homes();
         let due = held.iter().filter(|(_, state)| is_due(state));
@@ -187,7 +187,7 @@
     fn note_processes(&self, processes: &[PeerEntry], now: Instant) {
         let before = self.processes.replace(processes.to_vec());
         for process in processes.iter().filter(|p| !before.contains(p)) {
-            self.note_answer(process.address);
+            self.record_peer_response(process.address);
         }
         let lost = self.liveness.borrow().lost(self.clock.at(now));
         let lost_before = self.lost.replace(lost.clone());
@@ -213,10 +213,10 @@
             let latest = state.view.borrow().home().cloned();
             match latest {
                 Some(home) if home.writer == self.budgets.writer && written_at.is_some() => {
-                    state.home.set(written_at.map(|seen_at| HeldHome {
+                    state.home.set(written_at.map(|confirmed_at| HeldHome {
                         number: home.number,
                         halvings: home.halvings,
-                        seen_at,
+                        confirmed_at,
                     }));
                     return Ok(());
                 }
@@ -266,7 +266,7 @@
         deadline: Instant,
     ) -> Result<(), LedgerError> {
         let in_use = state.in_use.lock().await;
-        self.budgets.read_on(partition, state, deadline).await?;
+        self.budgets.catch_up(partition, state, deadline).await?;
         let latest = state.view.borrow().home().map(|home| home.number);
         let held = state.home.get().map(|home| home.number);
         drop(in_use);
@@ -303,7 +303,7 @@
                 return Ok(());
             }
         }
-        Err(LedgerError::Away)
+        Err(LedgerError::Unavailable)
     }
 
     /// The slices that take the place of this home's standing slices, and the end of its record.
--- a/clementinepickd/src/ledger_partitions.rs
+++ b/clementinepickd/src/ledger_partitions.rs
@@ -30,7 +30,7 @@
     pub(crate) number: u64,
     pub(crate) halvings: u32,
     /// Before the last call that showed that no later home is there.
-    pub(crate) seen_at: Instant,
+    pub(crate) confirmed_at: Instant,
 }
 
 impl HeldHome {
@@ -40,7 +40,7 @@
     }
 
     pub(crate) fn has_lease(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.seen_at) < Duration::from_millis(HOME_LEASE_MS)
+        now.saturating_duration_since(self.confirmed_at) < Duration::from_millis(HOME_LEASE_MS)
     }
 }
 
@@ -62,7 +62,7 @@
             .append(purpose, partition, Some(end), records, deadline);
         let reply = append.await?;
         if reply.status == 200 {
-            let end = decode_end(&reply.body).map_err(|_| LedgerError::Away)?;
+            let end = decode_end(&reply.body).map_err(|_| LedgerError::Unavailable)?;
             let mut view = state.view.borrow_mut();
             apply_records(&mut view, records);
             view.end = end;
@@ -70,11 +70,11 @@
             renew(state, begun);
             return Ok(());
         }
-        self.read_on(partition, state, deadline).await
+        self.catch_up(partition, state, deadline).await
     }
 
     /// Reads what was written since the view's end, or all where that is no longer kept.
-    pub(crate) async fn read_on(
+    pub(crate) async fn catch_up(
         &self,
         partition: Partition,
         state: &PartitionState,
@@ -117,7 +117,7 @@
         && latest == Some(home.number)
     {
         state.home.set(Some(HeldHome {
-            seen_at: at.max(home.seen_at),
+            confirmed_at: at.max(home.confirmed_at),
             ..home
         }));
     }
--- a/clementinepickd/src/ledger_sweep.rs
+++ b/clementinepickd/src/ledger_sweep.rs
@@ -44,7 +44,7 @@
     ) {
         let first = *self.looked_at.get_or_insert(now);
         let interval = interval(store, processes);
-        if now.saturating_duration_since(first) < interval || store.client.is_away() {
+        if now.saturating_duration_since(first) < interval || store.client.is_unavailable() {
             return;
         }
         self.looked_at = Some(now);
--- a/clementinepickd/src/ledger_turns.rs
+++ b/clementinepickd/src/ledger_turns.rs
@@ -117,18 +117,20 @@
                 return Err(if is_first {
                     LedgerError::UnknownTurn
                 } else {
-                    LedgerError::Away
+                    LedgerError::Unavailable
                 });
             };
             wanted.clone_from(&record.parent);
             records.push((id, record));
             if records.len() > MAX_CHAIN_TURNS {
-                return Err(LedgerError::Away);
+                return Err(LedgerError::Unavailable);
             }
         }
         let records_read = records.len() - fetched;
         for (id, record) in records.into_iter().rev() {
-            let turn = record.into_turn(id, base).map_err(|_| LedgerError::Away)?;
+            let turn = record
+                .into_turn(id, base)
+                .map_err(|_| LedgerError::Unavailable)?;
             base = Some(self.keep(turn));
         }
         let turn = base.ok_or(LedgerError::UnknownTurn)?;
@@ -163,7 +165,7 @@
             for record in page.records {
                 let Some(value) = record.value else { continue };
                 if record.key == key {
-                    found = Some(from_cbor(&value).ok_or(LedgerError::Away)?);
+                    found = Some(from_cbor(&value).ok_or(LedgerError::Unavailable)?);
                 } else if is_part_of(&record.key, &key) {
                     parts.push(value);
                 }
@@ -178,7 +180,7 @@
             return Ok(None);
         };
         if parts.len() < record.parts {
-            return Err(LedgerError::Away);
+            return Err(LedgerError::Unavailable);
         }
         if record.parts > 0 {
             record.body = parts.concat().into();
@@ -207,7 +209,7 @@
                 .append(purpose, partition, None, &batch, deadline);
             let reply = append.await?;
             if reply.status != 200 {
-                return Err(LedgerError::Away);
+                return Err(LedgerError::Unavailable);
             }
         }
         self.keep(turn);
--- a/clementinepickd/src/partition_reader.rs
+++ b/clementinepickd/src/partition_reader.rs
@@ -7,7 +7,7 @@
 };
 
 use crate::ledger::Partition;
-use crate::store::{StoreAway, StoreCall, StoreClient, StorePurpose, StoreReply};
+use crate::store::{StoreCall, StoreClient, StorePurpose, StoreReply, StoreUnavailable};
 
 /// How many answers one reading of what is new takes; each brings up to a megabyte of records. A
 /// reader that is further behind reads the newest records instead, which are fewer.
@@ -17,11 +17,11 @@
 pub(crate) fn records_from(
     reply: &StoreReply,
     from: u64,
-) -> Result<Option<ReadRecords>, StoreAway> {
+) -> Result<Option<ReadRecords>, StoreUnavailable> {
     if reply.status != 200 {
         return Ok(None);
     }
-    let read = decode_read(&reply.body).map_err(|_| StoreAway)?;
+    let read = decode_read(&reply.body).map_err(|_| StoreUnavailable)?;
     // With an earlier end, the partition is not the one that was read before.
     Ok((read.end >= from).then_some(read))
 }
@@ -42,7 +42,7 @@
         partition: Partition,
         mut from: u64,
         mut take: impl FnMut(Vec<KeyedRecord>),
-    ) -> Result<Option<u64>, StoreAway> {
+    ) -> Result<Option<u64>, StoreUnavailable> {
         for _ in 0..MAX_READS {
             let target = read_target(&partition.topic, partition.number, from, 0);
             let call = StoreCall::get(self.purpose, target);
@@ -66,7 +66,7 @@
         &self,
         partition: Partition,
         mut take: impl FnMut(Vec<KeyedRecord>),
-    ) -> Result<u64, StoreAway> {
+    ) -> Result<u64, StoreUnavailable> {
         let mut after: Option<String> = None;
         let mut first_end = None;
         loop {
@@ -87,13 +87,13 @@
         &self,
         partition: Partition,
         after: Option<&str>,
-    ) -> Result<NewestPage, StoreAway> {
+    ) -> Result<NewestPage, StoreUnavailable> {
         let target = newest_target(&partition.topic, partition.number, after);
         let call = StoreCall::get(self.purpose, target);
         let reply = self.client.call(&call, self.deadline).await?;
         match decode_newest(&reply.body) {
             Ok(page) if reply.status == 200 => Ok(page),
-            _ => Err(StoreAway),
+            _ => Err(StoreUnavailable),
         }
     }
 }
--- a/clementinepickd/src/process_registry.rs
+++ b/clementinepickd/src/process_registry.rs
@@ -11,8 +11,8 @@
 use crate::directory::{FollowerContext, Identity, PeerEntry};
 use crate::followed_topic::FollowedTopic;
 use crate::ledger::{from_cbor, to_cbor};
-use crate::store::{StoreAway, StoreCall, StorePurpose};
-use crate::topic_watch::{LOOK, LOOK_LIMIT};
+use crate::store::{StoreCall, StorePurpose, StoreUnavailable};
+use crate::topic_watch::{POLL_INTERVAL, POLL_TIMEOUT};
 use crate::unix_time::unix_ms;
 
 /// How often this process writes its own entry, so that peers find it.
@@ -81,7 +81,7 @@
                 self.announce(now).await;
             }
             self.context.store.close_stale(Instant::now());
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -97,9 +97,9 @@
 
     /// Writes this process's entry and reads those of its peers.
     async fn announce(&mut self, now: Instant) {
-        let deadline = now + LOOK_LIMIT;
+        let deadline = now + POLL_TIMEOUT;
         let is_written = self.write(deadline).await.is_ok();
-        let read = self.processes.look(self.context.store, now, deadline).await;
+        let read = self.processes.poll(self.context.store, now, deadline).await;
         if read.is_err() {
             // The next round tries again; the client counts the failure.
             return;
@@ -111,7 +111,7 @@
         self.take_processes(unix_ms());
     }
 
-    async fn write(&self, deadline: Instant) -> Result<(), StoreAway> {
+    async fn write(&self, deadline: Instant) -> Result<(), StoreUnavailable> {
         let entry = ProcessRecord {
             peer_address: self.identity.peer_address,
             writer: self.identity.writer.clone(),
@@ -127,7 +127,7 @@
         if reply.status == 200 {
             Ok(())
         } else {
-            Err(StoreAway)
+            Err(StoreUnavailable)
         }
     }
 
--- a/clementinepickd/src/store.rs
+++ b/clementinepickd/src/store.rs
@@ -47,7 +47,7 @@
 /// The store gave no answer before the deadline; an append may or may not have been done.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("the store is away")]
-pub(crate) struct StoreAway;
+pub(crate) struct StoreUnavailable;
 
 /// An answer of the store other than that nothing was done.
 #[derive(Debug, Clone)]
@@ -179,13 +179,13 @@
     }
 
     /// Whether several calls in a row failed.
-    pub(crate) fn is_away(&self) -> bool {
+    pub(crate) fn is_unavailable(&self) -> bool {
         self.failures.get() >= AWAY_FAILURES
     }
 
     /// For how long the store has been away; zero while it answers.
-    pub(crate) fn away_for(&self, now: Instant) -> Duration {
-        let since = self.away_since.get().filter(|_| self.is_away());
+    pub(crate) fn unavailable_for(&self, now: Instant) -> Duration {
+        let since = self.away_since.get().filter(|_| self.is_unavailable());
         since.map_or(Duration::ZERO, |at| now.saturating_duration_since(at))
     }
 
@@ -207,21 +207,21 @@
         &self,
         call: &StoreCall,
         deadline: Instant,
-    ) -> Result<StoreReply, StoreAway> {
+    ) -> Result<StoreReply, StoreUnavailable> {
         let mut pause = FIRST_PAUSE;
         loop {
             let now = Instant::now();
             let left = deadline.saturating_duration_since(now);
             if left.is_zero() {
-                return Err(StoreAway);
+                return Err(StoreUnavailable);
             }
-            if self.is_away() && self.is_probing.get() {
+            if self.is_unavailable() && self.is_probing.get() {
                 // Another call tries already. Each waiting call would otherwise load the store just
                 // as it returns, and be charged for.
                 let _ = timeout(left.min(MAX_PAUSE), self.came_back.notified()).await;
                 continue;
             }
-            let is_probe = self.is_away();
+            let is_probe = self.is_unavailable();
             let probing = is_probe.then(|| Probing::new(&self.is_probing));
             let reply = self.try_once(call, left).await;
             drop(probing);
@@ -237,16 +237,16 @@
     }
 
     /// Makes a call directly, once, whose answer the store holds back for up to `wait`.
-    pub(crate) async fn call_waiting(
+    pub(crate) async fn call_long_poll(
         &self,
         call: &StoreCall,
         wait: Duration,
-    ) -> Result<StoreReply, StoreAway> {
+    ) -> Result<StoreReply, StoreUnavailable> {
         let limit = wait + self.try_limit();
         let reply = self.exchange_once(self.address, call, limit).await;
         self.is_direct_down.set(reply.is_none());
         self.note(false, reply.is_some(), true);
-        reply.ok_or(StoreAway)
+        reply.ok_or(StoreUnavailable)
     }
 
     /// How long a direct try may take, by how long the last ones took.
@@ -323,7 +323,8 @@
     /// The peer for the next try: while the direct way is down, the one that helped last, or any.
     /// Every other failure is followed by a direct try, in case no peer can help.
     fn pick_relay(&self) -> Option<SocketAddr> {
-        if !self.is_direct_down() || self.failures.get().is_multiple_of(2) && self.is_away() {
+        if !self.is_direct_down() || self.failures.get().is_multiple_of(2) && self.is_unavailable()
+        {
             return None;
         }
         let relays = self.relays.borrow();
@@ -351,7 +352,7 @@
         counts.failures += u64::from(!is_ok);
         self.counts.set(counts);
         if is_ok {
-            let was_away = self.is_away();
+            let was_away = self.is_unavailable();
             self.failures.set(0);
             self.away_since.set(None);
             if was_away {
--- a/clementinepickd/src/topic_watch.rs
+++ b/clementinepickd/src/topic_watch.rs
@@ -12,13 +12,13 @@
 use platform::store::Topic;
 
 use crate::followed_topic::FollowedTopic;
-use crate::store::{StoreAway, StoreClient};
+use crate::store::{StoreClient, StoreUnavailable};
 
 /// The time between two looks where the store can't be waited at. A change must be in force within
 /// two seconds; three looks fit, so that one that fails is made up for.
-pub(crate) const LOOK: Duration = Duration::from_millis(550);
+pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(550);
 /// How long one look may take.
-pub(crate) const LOOK_LIMIT: Duration = Duration::from_millis(1_500);
+pub(crate) const POLL_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// How long the store may hold an answer back until something changes. With the limit of a try, a
 /// look that is lost is noticed after 1.6 s at the latest, and another one fits into two seconds.
 const WAIT: Duration = Duration::from_secs(1);
@@ -27,11 +27,11 @@
 
 /// One reading of a topic.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Reading {
+pub(crate) struct TopicPoll {
     /// When it began.
     pub(crate) begun: Instant,
     /// Whether there was anything new.
-    pub(crate) result: Result<bool, StoreAway>,
+    pub(crate) result: Result<bool, StoreUnavailable>,
 }
 
 /// Reads one topic at the right times.
@@ -55,19 +55,19 @@
     }
 
     /// Makes the next reading when it is due; with `polls`, one that does not wait for news.
-    pub(crate) async fn next(&mut self, store: &StoreClient, polls: bool) -> Reading {
+    pub(crate) async fn next(&mut self, store: &StoreClient, polls: bool) -> TopicPoll {
         sleep_until(self.next_at.into()).await;
         let begun = Instant::now();
-        let is_whole_due = self.topic.is_whole_due(begun);
-        let waits = self.may_wait && !polls && !is_whole_due && !store.is_direct_down();
+        let is_full_read_due = self.topic.is_full_read_due(begun);
+        let waits = self.may_wait && !polls && !is_full_read_due && !store.is_direct_down();
         let result = if waits {
-            self.topic.wait(store, WAIT).await
+            self.topic.long_poll(store, WAIT).await
         } else {
             store.probe().await;
-            self.topic.look(store, begun, begun + LOOK_LIMIT).await
+            self.topic.poll(store, begun, begun + POLL_TIMEOUT).await
         };
-        self.next_at = begun + if waits { NEWS_PAUSE } else { LOOK };
+        self.next_at = begun + if waits { NEWS_PAUSE } else { POLL_INTERVAL };
         self.may_wait = result.is_ok();
-        Reading { begun, result }
+        TopicPoll { begun, result }
     }
 }
--- a/clementinepickd/tests/gateway_settings.rs
+++ b/clementinepickd/tests/gateway_settings.rs
@@ -55,7 +55,7 @@
     assert_eq!(settings.ledger.record_bytes, 262_144);
     assert_eq!(settings.body_limit_bytes, 8_000_000);
     assert_eq!(settings.log_every, 8);
-    assert_eq!(settings.notice.as_millis(), 2_000);
+    assert_eq!(settings.drain_delay.as_millis(), 2_000);
 }
 
 #[test]
--- a/standins/src/platform_run.rs
+++ b/standins/src/platform_run.rs
@@ -233,7 +233,7 @@
             },
             store,
             seeds,
-            notice: Duration::from_millis(300),
+            drain_delay: Duration::from_millis(300),
             shutdown_limit: Duration::from_secs(3),
             ..GatewaySettings::default()
         }
