--- a/clementinepick/src/entry_log.rs
+++ b/clementinepick/src/entry_log.rs
@@ -5,9 +5,9 @@
 use crate::event::{Event, EventKind};
 use crate::ids::{Offset, PartitionId, RecordId};
 use crate::partition_replay::{Effect, Partitions};
-use crate::platform::{ReadAnswer, StreamName};
+use crate::platform::{ReadResponse, StreamName};
 use crate::record::{PartitionRecord, Record, RecordBody};
-use crate::step_record::tell_committed;
+use crate::step_record::send_committed;
 use crate::units::TimeUs;
 
 impl Entry {
@@ -52,7 +52,7 @@
         &mut self,
         now: TimeUs,
         stream: StreamName,
-        answer: Option<ReadAnswer>,
+        answer: Option<ReadResponse>,
         out: &mut Vec<EntryAction>,
     ) {
         let was_ready = self.is_caught_up();
@@ -86,11 +86,11 @@
         if stream == StreamName::Config {
             self.report_config_gap(out);
         }
-        if self.is_unsure
-            && self.journal.reads_done() >= self.sure_at_read
+        if self.is_ownership_unconfirmed
+            && self.journal.reads_done() >= self.confirmed_at_read
             && self.journal.is_at_end()
         {
-            self.is_unsure = false;
+            self.is_ownership_unconfirmed = false;
         }
         if !was_ready && self.is_caught_up() {
             out.push(EntryAction::Event(Event::new(EventKind::ProcessReady)));
@@ -102,10 +102,10 @@
     /// The oldest records that this entry needs are gone: it starts anew from the oldest that is
     /// kept, and serves only when snapshots have filled what is missing.
     fn start_late(&mut self, now: TimeUs, earliest: Offset, out: &mut Vec<EntryAction>) {
-        let owned = self.own_partitions();
+        let owned = self.owned_partitions();
         self.partitions = Partitions::starting_at(earliest, self.settings.safeguards.clone());
         for partition in owned {
-            self.leave_partition(now, partition, out);
+            self.drop_partition(now, partition, out);
         }
     }
 
@@ -129,7 +129,7 @@
         };
         match (applied, awaited) {
             (Effect::Claimed(partition), _) => self.on_claimed(now, *partition, out),
-            (Effect::ClaimLost(partition), Some(_)) => self.retry_own(now, *partition, out),
+            (Effect::ClaimLost(partition), Some(_)) => self.retry_calls(now, *partition, out),
             (Effect::Accepted(_), Some(awaited)) => self.on_own_record(now, record, awaited, out),
             (Effect::Accepted(partition), None) => self.on_other_record(now, *partition, record),
             (Effect::Stale(partition), Some(_)) => {
@@ -161,7 +161,7 @@
                 target,
                 attempt,
             } => {
-                tell_committed(&target, attempt, out);
+                send_committed(&target, attempt, out);
                 self.finish(now, request, crate::call::TurnState::Committed, out);
             }
             Awaited::Turn { request, program } => {
@@ -169,7 +169,7 @@
             }
             Awaited::Yield(partition) => {
                 self.yield_written.remove(&partition);
-                self.leave_partition(now, partition, out);
+                self.drop_partition(now, partition, out);
             }
             Awaited::Snapshot(partition) => {
                 let event = Event::new(EventKind::SnapshotWritten).with("partition", partition);
--- a/clementinepick/src/recovery.rs
+++ b/clementinepick/src/recovery.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::answer::Reply;
+use crate::answer::SidecarReply;
 use crate::answer_text::AnswerText;
 use crate::call::{AnswerPart, Usage};
 use crate::call_state::{Leader, OpenCall, PendingTurn, Step};
@@ -14,7 +14,7 @@
 use crate::message::{FenceVerdict, KeptCall, Message, Peer};
 use crate::partition_replay::extend_chain;
 use crate::record::CallOutcome;
-use crate::step_record::tell_committed;
+use crate::step_record::send_committed;
 use crate::units::{SpanUs, TimeUs};
 
 /// How long a call waits for an unreachable sidecar before its outcome counts as unknown.
@@ -72,7 +72,7 @@
             } else {
                 let error = CallError::new(ErrorKind::OwnerUnknown, "the owner was lost");
                 let outcome = CallOutcome::NeverRan(error);
-                self.write_ended(&call, partition, open.attempt, outcome, None);
+                self.write_outcome(&call, partition, open.attempt, outcome, None);
             }
         }
         self.query_open_calls(now, out);
@@ -179,7 +179,7 @@
         &mut self,
         now: TimeUs,
         from: &VmId,
-        reply: Reply,
+        reply: SidecarReply,
         out: &mut Vec<EntryAction>,
     ) {
         let found = self
@@ -196,8 +196,8 @@
                 let fresh = crate::sidecar::skip_chars(&text, known.saturating_sub(position));
                 open.answer.push_str(&fresh);
                 for id in self.followers_of_recorded(&call) {
-                    if let Err(error) = self.give_text(id, known, &fresh, out) {
-                        self.drop_call(id, error, out);
+                    if let Err(error) = self.deliver_text(id, known, &fresh, out) {
+                        self.fail_unordered_call(id, error, out);
                     }
                 }
                 return;
@@ -252,11 +252,11 @@
         if matches!(outcome, CallOutcome::NeverRan(_))
             && let Some(live) = self.programs.get_mut(&call.program)
         {
-            live.order.reopen_recorded(call.seq);
+            live.sequencer.reopen_recorded(call.seq);
         }
         if !has_turn_record {
             let notified = Some((RequestId(0), open.target.clone()));
-            self.write_ended(
+            self.write_outcome(
                 call,
                 open.partition,
                 open.attempt,
@@ -270,7 +270,7 @@
                 if let Some(call) = self.calls.get_mut(&id) {
                     call.step = Step::Own;
                 }
-                self.step_order(now, id, out);
+                self.step_sequence(now, id, out);
                 continue;
             }
             self.answer_outcome(id, call, outcome.clone(), out);
@@ -294,7 +294,7 @@
         };
         for id in followers {
             if matches!(outcome, CallOutcome::NeverRan(_)) {
-                self.step_order(now, id, out);
+                self.step_sequence(now, id, out);
             } else {
                 self.answer_outcome(id, call, outcome.clone(), out);
             }
@@ -310,12 +310,12 @@
         calls: Vec<KeptCall>,
         out: &mut Vec<EntryAction>,
     ) {
-        self.kept_until_us = now.after(KEPT_ANSWER_TTL_US);
+        self.kept_answers_until_us = now.after(KEPT_ANSWER_TTL_US);
         let mut calls = calls;
         calls.sort_by(|a, b| a.call.cmp(&b.call));
         for kept in calls {
             if self.is_recorded(partition, &kept) {
-                tell_committed(from, kept.attempt, out);
+                send_committed(from, kept.attempt, out);
             } else if !kept.idempotent {
                 if let Some(open) = self.open_calls.get_mut(&kept.call) {
                     open.kept = Some(kept);
@@ -323,7 +323,7 @@
             } else if !(kept.answered && self.record_kept_turn(now, partition, from, &kept))
                 && (kept.answered || !kept.ended)
             {
-                self.kept.insert(kept.request, (from.clone(), kept));
+                self.kept_answers.insert(kept.request, (from.clone(), kept));
             }
         }
         if let Some(taking_over) = self.taking_over.get_mut(&partition) {
@@ -342,7 +342,7 @@
             .collect();
         for partition in ready {
             self.taking_over.remove(&partition);
-            self.retry_own(now, partition, out);
+            self.retry_calls(now, partition, out);
         }
     }
 
@@ -378,7 +378,7 @@
         };
         let history = History::of(state, live);
         if state.ended.is_some()
-            || kept.call.seq < live.order.next()
+            || kept.call.seq < live.sequencer.next()
             || !starts_with_history(&kept.messages, &history.messages)
         {
             return false;
@@ -401,10 +401,10 @@
             target: target.clone(),
         };
         if let Some(live) = self.programs.get_mut(program) {
-            live.order.pass(kept.call.seq);
+            live.sequencer.skip(kept.call.seq);
             live.holders.insert(target.clone());
         }
-        self.push_turn(partition, history.chain, turn)
+        self.append_turn(partition, history.chain, turn)
     }
 
     /// Suspends a running non-idempotent call whose link went down until the link is restored.
@@ -440,7 +440,7 @@
             let (Some(seq), partition) = (call.seq, call.partition) else {
                 continue;
             };
-            let Some(claim) = call.claim.clone() else {
+            let Some(claim) = call.recorded_start.clone() else {
                 continue;
             };
             if claim.incarnation != peer.incarnation {
@@ -507,24 +507,28 @@
         let Some(call) = self.calls.get(&id) else {
             return;
         };
-        let keyed_open = call.claim.clone().zip(call.seq).map(|(claim, seq)| {
-            let open = OpenCall {
-                partition: call.partition,
-                attempt: claim.attempt,
-                target: claim.target,
-                incarnation: claim.incarnation,
-                started_epoch: self.own_epoch(call.partition).unwrap_or_default(),
-                since_us: now,
-                asked_us: None,
-                is_attached: false,
-                answer: call.answer.clone(),
-                plain: call.plain.clone(),
-                kept: None,
-            };
-            (call.request.key(seq), open)
-        });
+        let keyed_open = call
+            .recorded_start
+            .clone()
+            .zip(call.seq)
+            .map(|(claim, seq)| {
+                let open = OpenCall {
+                    partition: call.partition,
+                    attempt: claim.attempt,
+                    target: claim.target,
+                    incarnation: claim.incarnation,
+                    started_epoch: self.own_epoch(call.partition).unwrap_or_default(),
+                    since_us: now,
+                    asked_us: None,
+                    is_attached: false,
+                    answer: call.answer.clone(),
+                    plain: call.plain.clone(),
+                    kept: None,
+                };
+                (call.request.key(seq), open)
+            });
         if let Step::Lost { attempt, .. } | Step::Running { attempt, .. } = call.step {
-            self.leave_backend(attempt, true);
+            self.end_attempt(attempt, true);
         }
         if let Some((key, open)) = keyed_open {
             self.open_calls.insert(key, open);
@@ -532,10 +536,10 @@
         let detail = "the deadline passed while the backend server could not be reached";
         let error = CallError::new(ErrorKind::OutcomeUnknown, detail);
         if let Some(call) = self.calls.get_mut(&id) {
-            call.claim = None;
+            call.recorded_start = None;
         }
         self.settle_full_reservation(id);
-        self.refuse(now, id, error, out);
+        self.fail_call(now, id, error, out);
     }
 
     /// Charges the full reservation of a call whose actual usage is unknown.
--- a/clementinepick/tests/catalogue.rs
+++ b/clementinepick/tests/catalogue.rs
@@ -13,15 +13,15 @@
     fs::read_to_string(docs.join(name)).expect("readable page")
 }
 
-/// Returns the cells of each table row whose first cell satisfies `is_wanted`.
-fn rows(page: &str, is_wanted: impl Fn(&str) -> bool) -> Vec<Vec<String>> {
+/// Returns the cells of each table row whose first cell satisfies `matches_first_cell`.
+fn rows(page: &str, matches_first_cell: impl Fn(&str) -> bool) -> Vec<Vec<String>> {
     let lines = page.lines().filter(|line| line.starts_with("| "));
     let cells = lines.map(|line| {
         let cells = line.trim_matches('|').split('|');
         cells.map(|cell| cell.trim().to_owned()).collect::<Vec<_>>()
     });
     cells
-        .filter(|cells| cells.first().is_some_and(|first| is_wanted(first)))
+        .filter(|cells| cells.first().is_some_and(|first| matches_first_cell(first)))
         .collect()
 }
 
--- a/clementinepick/tests/common/mod.rs
+++ b/clementinepick/tests/common/mod.rs
@@ -20,7 +20,7 @@
 use clementinepick::message::{Message, Peer};
 use clementinepick::partition_replay::{Effect, Partitions};
 use clementinepick::platform::{
-    EngineOrder, EngineState, GenerateBody, OrderBody, ReadAnswer, StoredRecord, StreamName,
+    EngineOrder, EngineState, GenerateBody, OrderBody, ReadResponse, StoredRecord, StreamName,
 };
 use clementinepick::prompt::ChainHash;
 use clementinepick::prompt::{Prompt, Segment};
@@ -262,7 +262,7 @@
         let process = if name.starts_with('e') {
             let mut settings = EntrySettings::new(id.clone(), life, zone);
             settings.partition_count = 8;
-            settings.settle_us = SpanUs::from_s(3_600);
+            settings.startup_claim_delay_us = SpanUs::from_s(3_600);
             settings.safeguards = self.safeguards.clone();
             (self.tune)(&mut settings);
             Process::Entry(Box::new(Entry::new(settings)))
@@ -578,7 +578,7 @@
         }
     }
 
-    fn read(&self, stream: StreamName, from: Offset) -> ReadAnswer {
+    fn read(&self, stream: StreamName, from: Offset) -> ReadResponse {
         let earliest = self.log.earliest[&stream];
         let records = &self.log.records[&stream];
         let start = from.0.max(earliest);
@@ -587,7 +587,7 @@
             .enumerate()
             .skip(usize::try_from(start).expect("small"))
             .take(500);
-        ReadAnswer {
+        ReadResponse {
             earliest: Offset(earliest),
             end: Offset(records.len() as u64),
             records: part
@@ -883,7 +883,7 @@
         for n in 0..1_000 {
             let name = format!("{prefix}{n}");
             let partition = program(&name).partition(8);
-            let owner = clementinepick::own::suggested_owner(partition, entries.iter());
+            let owner = clementinepick::rendezvous::suggested_owner(partition, entries.iter());
             if owner.is_some_and(|vm| vm.as_str() == entry) {
                 return name;
             }
--- a/clementinepick/tests/log.rs
+++ b/clementinepick/tests/log.rs
@@ -64,7 +64,7 @@
 
 fn with_frequent_snapshots(settings: &mut EntrySettings) {
     settings.partition_count = 4;
-    settings.settle_us = SpanUs::from_s(1);
+    settings.startup_claim_delay_us = SpanUs::from_s(1);
     settings.snapshot_us = SpanUs::from_s(5);
 }
 
@@ -195,7 +195,7 @@
 // Ended programs must be removed after a while, or memory would grow without bound.
 #[test]
 fn ended_programs_are_removed() {
-    let tune = |settings: &mut EntrySettings| settings.keep_ended_us = SpanUs::from_s(5);
+    let tune = |settings: &mut EntrySettings| settings.ended_retention_us = SpanUs::from_s(5);
     let mut world = World::with(1, 1, 1, Safeguards::default(), tune);
     for n in 0..10 {
         let name = format!("p{n}");
--- a/clementinepickd/src/ledger_sweep.rs
+++ b/clementinepickd/src/ledger_sweep.rs
@@ -6,7 +6,7 @@
 
 use std::time::{Duration, Instant};
 
-use clementinepick::budget_ledger::{BudgetRecord, expired_records};
+use clementinepick::budget_ledger::{BudgetRecord, expired_keys};
 use clementinepick::record_expiry::is_expired;
 use clementinepick::turn_chain::TurnRecord;
 use platform::store::{KeyedRecord, Topic};
@@ -44,7 +44,7 @@
     ) {
         let first = *self.looked_at.get_or_insert(now);
         let interval = interval(store, processes);
-        if now.saturating_duration_since(first) < interval || store.client.is_away() {
+        if now.saturating_duration_since(first) < interval || store.client.is_unavailable() {
             return;
         }
         self.looked_at = Some(now);
@@ -95,7 +95,7 @@
         .read_newest(partition, |page| records.extend(page))
         .await?;
     let keys = match partition.topic {
-        Topic::Budgets(_) => expired_records(&decode_budgets(&records), now_unix_ms),
+        Topic::Budgets(_) => expired_keys(&decode_budgets(&records), now_unix_ms),
         _ => expired_turns(&records, now_unix_ms),
     };
     if keys.is_empty() {
