--- a/clementinepick/src/document.rs
+++ b/clementinepick/src/document.rs
@@ -121,7 +121,7 @@
     pub default_class: ClassName,
     /// The maximum number of concurrent calls on one backend server.
     pub max_running_per_backend: u32,
-    /// The maximum number of calls queued at one gate.
+    /// The capacity of each admission queue, in calls.
     pub max_waiting_per_backend: u32,
     /// The classes.
     pub classes: BTreeMap<ClassName, ClassRules>,
--- a/clementinepick/src/document_read.rs
+++ b/clementinepick/src/document_read.rs
@@ -74,7 +74,7 @@
 
 /// The default concurrency limit of a backend server, in calls.
 const DEFAULT_MAX_RUNNING: u32 = 32;
-/// The default queue capacity of a gate, in calls.
+/// The default capacity of an admission queue, in calls.
 const DEFAULT_MAX_WAITING: u32 = 1_000;
 
 const MAX_COUNT: u32 = 100_000;
--- a/clementinepick/src/event.rs
+++ b/clementinepick/src/event.rs
@@ -67,7 +67,7 @@
 }
 
 // 1xx process, 2xx links and membership, 3xx log and configuration, 4xx ownership and calls,
-// 5xx gate, cache and engines, 9xx violated invariants.
+// 5xx admission queue, cache and engines, 9xx violated invariants.
 event_kinds! {
     /// The process has read its settings and starts.
     ProcessStarted = 101, "process_started", Info;
--- a/clementinepick/src/recovery.rs
+++ b/clementinepick/src/recovery.rs
@@ -21,7 +21,7 @@
 const LINK_TIMEOUT_US: SpanUs = SpanUs::from_s(10);
 /// How long an entry keeps a lost owner's answers for callers to fetch.
 const KEPT_ANSWER_TTL_US: SpanUs = SpanUs::from_s(60);
-/// The interval between fence requests to a sidecar that does not answer.
+/// The interval between fence requests to a sidecar that does not respond.
 const FENCE_RETRY_INTERVAL_US: SpanUs = SpanUs::from_s(2);
 
 impl Entry {
@@ -440,10 +440,10 @@
             let (Some(seq), partition) = (call.seq, call.partition) else {
                 continue;
             };
-            let Some(claim) = call.recorded_start.clone() else {
+            let Some(start) = call.recorded_start.clone() else {
                 continue;
             };
-            if claim.incarnation != peer.incarnation {
+            if start.incarnation != peer.incarnation {
                 self.on_lost_call_verdict(now, id, attempt, FenceVerdict::Unknown, out);
                 continue;
             }
@@ -451,7 +451,7 @@
                 continue;
             };
             let key = call.request.key(seq);
-            let fenced = (attempt, epoch, claim.incarnation);
+            let fenced = (attempt, epoch, start.incarnation);
             self.send_fence(&peer.vm, &key, partition, fenced, out);
         }
     }
@@ -511,12 +511,12 @@
             .recorded_start
             .clone()
             .zip(call.seq)
-            .map(|(claim, seq)| {
+            .map(|(start, seq)| {
                 let open = OpenCall {
                     partition: call.partition,
-                    attempt: claim.attempt,
-                    target: claim.target,
-                    incarnation: claim.incarnation,
+                    attempt: start.attempt,
+                    target: start.target,
+                    incarnation: start.incarnation,
                     started_epoch: self.own_epoch(call.partition).unwrap_or_default(),
                     since_us: now,
                     asked_us: None,
