--- a/clementinepick/src/failure_rate.rs
+++ b/clementinepick/src/failure_rate.rs
@@ -1,7 +1,7 @@
-//! How often a backend server fails, by its answers.
+//! Tracks the share of a backend server's recent requests that failed.
 //!
-//! A server that fails a part of its requests passes its health checks and answers between the
-//! failures, so that a pause which a success ends does not keep requests from it.
+//! A server that fails only some of its requests passes its health checks, and each success ends
+//! its backoff. The failure rate still keeps most requests away from it.
 //!
 //! ```
 //! use clementinepick::failure_rate::FailureRate;
@@ -15,36 +15,36 @@
 
 use crate::units::{SpanUs, TimeUs};
 
-/// What one answer counts: a server that fails two requests in five is known after the second failure.
-const ANSWER_WEIGHT: f64 = 0.25;
-/// After this time without an answer, half of what is known is forgotten: a server that has recovered
-/// gets requests again within seconds, and few of them before that.
+/// The weight of one outcome in the exponential moving average.
+const OUTCOME_WEIGHT: f64 = 0.25;
+/// The half-life of the rate while no outcome is recorded, after which a recovered server gets
+/// requests again.
 const HALF_LIFE_US: SpanUs = SpanUs::from_s(1);
 
-/// A lower rate is none: the traces of old failures would decide between servers that are as good.
-const FORGOTTEN: f64 = 0.01;
+/// A lower rate counts as zero, so that old failures don't decide between equally good servers.
+const MIN_RATE: f64 = 0.01;
 
-/// The share of a server's latest requests that failed.
+/// An exponential moving average of a server's failures, which decays over time.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct FailureRate {
     rate: f64,
-    noted_at: TimeUs,
+    recorded_at: TimeUs,
 }
 
 impl FailureRate {
-    /// Notes how a request ended.
+    /// Records the outcome of a request.
     pub fn record(&mut self, now: TimeUs, has_failed: bool) {
         let before = self.at(now);
         let outcome = if has_failed { 1.0 } else { 0.0 };
-        self.rate = before + (outcome - before) * ANSWER_WEIGHT;
-        self.noted_at = now;
+        self.rate = before + (outcome - before) * OUTCOME_WEIGHT;
+        self.recorded_at = now;
     }
 
-    /// The rate as far as it still counts, from 0 to 1.
+    /// Returns the decayed rate, from 0 to 1.
     #[must_use]
     pub fn at(&self, now: TimeUs) -> f64 {
-        let age = now.since(self.noted_at).as_s_f64();
+        let age = now.since(self.recorded_at).as_s_f64();
         let rate = self.rate * (-age / HALF_LIFE_US.as_s_f64()).exp2();
-        if rate < FORGOTTEN { 0.0 } else { rate }
+        if rate < MIN_RATE { 0.0 } else { rate }
     }
 }
--- a/clementinepick/src/outage_detector.rs
+++ b/clementinepick/src/outage_detector.rs
@@ -1,4 +1,7 @@
-//! Whether entries may have lapsed with the store, by the readings of the list that they stand in.
+//! Detects store outages from failed reads of a list whose entries expire without heartbeats.
+//!
+//! After an outage, missing entries are kept for a grace period: live servers may not have been
+//! able to renew them.
 //!
 //! ```
 //! use clementinepick::outage_detector::OutageDetector;
@@ -14,63 +17,60 @@
 
 use crate::units::{SpanUs, TimeUs};
 
-/// How long readings must have failed before entries may have lapsed although their servers live. An
-/// entry lapses after several missed heartbeats, which takes longer; a reading or two also fail where
-/// the store only loses an answer.
-const OUTAGE_US: SpanUs = SpanUs::from_ms(1_600);
-/// How long entries that lapsed are believed after the store's return: the platform says that those
-/// of live servers are back within about two seconds.
-const LAPSE_GRACE_US: SpanUs = SpanUs::from_s(2);
+/// How long reads must have failed to count as an outage. Entries expire only after several missed
+/// heartbeats, which takes longer, and single reads also fail when the store only loses an answer.
+const MIN_OUTAGE_US: SpanUs = SpanUs::from_ms(1_600);
+/// How long missing entries are kept after an outage: live servers register again within about two
+/// seconds.
+const GRACE_PERIOD_US: SpanUs = SpanUs::from_s(2);
 
-/// An outage that a reading has ended.
+/// An outage that ended with a successful read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EndedOutage {
-    /// From the start of the first reading that failed to the one that went well.
+    /// The time from the start of the first failed read to the successful one.
     pub silence_us: SpanUs,
-    /// How many readings failed.
+    /// The number of failed reads.
     pub failed_reads: u32,
 }
 
-/// What the readings of one list tell of the store.
+/// Tracks the reads of one list.
 ///
-/// Only a reading that was made and failed counts as silence of the store. A time in which none was
-/// made, or in which one was given up before its end, says nothing: taken as silence, a gateway that
-/// is busy with other news believes in an outage, and keeps sending requests to a server that has
-/// just left, for as long as lapsed entries are believed.
+/// Only reads that failed count towards an outage, not the time without reads or with cancelled
+/// ones: otherwise a gateway that is busy with other changes would assume an outage, and keep
+/// sending requests to a server that has just left.
 #[derive(Debug, Clone, Default)]
 pub struct OutageDetector {
-    /// The start of the first reading that failed since the last one that went well.
+    /// The start of the first failed read since the last successful one.
     failing_since: Option<TimeUs>,
     failed_reads: u32,
-    returned_at: Option<TimeUs>,
+    ended_at: Option<TimeUs>,
 }
 
 impl OutageDetector {
-    /// Notes that a reading which began at `begun` failed.
+    /// Records the failure of a read that started at `begun`.
     pub fn record_failed_read(&mut self, begun: TimeUs) {
         self.failing_since.get_or_insert(begun);
         self.failed_reads = self.failed_reads.saturating_add(1);
     }
 
-    /// Notes a reading that went well; returns the outage that it ends, if it ends one.
+    /// Records a successful read, and returns the outage that it ends, if any.
     pub fn record_successful_read(&mut self, now: TimeUs) -> Option<EndedOutage> {
         let failed_reads = std::mem::take(&mut self.failed_reads);
         let silence_us = now.since(self.failing_since.take()?);
-        if silence_us <= OUTAGE_US {
+        if silence_us <= MIN_OUTAGE_US {
             return None;
         }
-        self.returned_at = Some(now);
+        self.ended_at = Some(now);
         Some(EndedOutage {
             silence_us,
             failed_reads,
         })
     }
 
-    /// Whether entries that have vanished are still believed, until their servers have had time to
-    /// register again.
+    /// Whether missing entries are kept because their servers may not have registered again yet.
     #[must_use]
     pub fn is_in_grace_period(&self, now: TimeUs) -> bool {
-        self.returned_at
-            .is_some_and(|at| now.since(at) < LAPSE_GRACE_US)
+        self.ended_at
+            .is_some_and(|at| now.since(at) < GRACE_PERIOD_US)
     }
 }
--- a/clementinepick/src/peer_liveness.rs
+++ b/clementinepick/src/peer_liveness.rs
@@ -1,4 +1,4 @@
-//! Which peers answer, by the calls that are made to them anyway.
+//! Detects peers that have stopped answering, from the outcomes of regular calls.
 //!
 //! ```
 //! use clementinepick::peer_liveness::PeerLiveness;
@@ -18,64 +18,65 @@
 
 use crate::units::{SpanUs, TimeUs};
 
-/// How long a peer that did not answer is not asked again.
+/// How long no call is made to a peer after a failed one.
 const SILENCE_US: SpanUs = SpanUs::from_s(1);
-/// A peer that has answered nothing for so long is taken as lost. Answers come within 250 ms, and a
-/// process that is told to end says so; a shorter time would take those as lost that pause, and
-/// replace them in vain.
+/// The time without an answer after which a peer is considered lost. A shorter one would needlessly
+/// replace processes that only pause.
 const LOST_AFTER_US: SpanUs = SpanUs::from_s(2);
-/// How long a lost peer is not asked again: one call that fails tells that it still is lost.
+/// How long no call is made to a lost peer; then a single failed call confirms that it is still
+/// lost.
 const LOST_FOR_US: SpanUs = SpanUs::from_s(10);
 
 #[derive(Debug, Clone, Copy)]
 struct Silence {
-    /// The first call that failed since the last answer.
+    /// The first failed call since the last answer.
     since: TimeUs,
+    /// The latest failed call.
     last: TimeUs,
 }
 
 impl Silence {
-    /// Whether it went on for so long that the peer is taken as lost.
-    fn has_lost(&self) -> bool {
+    /// Whether the silence has lasted long enough to consider the peer lost.
+    fn is_loss(&self) -> bool {
         self.last.since(self.since) >= LOST_AFTER_US
     }
 
-    /// Whether the last failure is too old to be one silence with a failure of now.
+    /// Whether the last failure is too old to belong to the same silence as a failure at `now`.
     ///
-    /// Nobody asked the peer in between. Two failures half a minute apart would make a living peer lost,
-    /// and each change of a partition's coordinator halves what its programs begin with. A peer that is
-    /// lost stays so: it is asked that seldom on purpose.
-    fn is_forgotten(&self, now: TimeUs) -> bool {
-        !self.has_lost() && now.since(self.last) >= LOST_FOR_US
+    /// Otherwise two failures far apart, with no call between them, would make a live peer lost,
+    /// and each needless change of a partition's home halves the budget that its programs can start
+    /// with. A peer that is already lost stays lost: it is called that rarely on purpose.
+    fn is_stale(&self, now: TimeUs) -> bool {
+        !self.is_loss() && now.since(self.last) >= LOST_FOR_US
     }
 }
 
-/// The peers whose last calls brought no answer.
+/// Tracks the peers whose latest call got no answer.
 #[derive(Debug, Default)]
 pub struct PeerLiveness {
     silent: BTreeMap<SocketAddr, Silence>,
 }
 
 impl PeerLiveness {
-    /// Notes that a call to a peer brought no answer.
+    /// Records that a call to a peer got no answer.
     pub fn record_failure(&mut self, now: TimeUs, peer: SocketAddr) {
         let first = Silence {
             since: now,
             last: now,
         };
         let silence = self.silent.entry(peer).or_insert(first);
-        if silence.is_forgotten(now) {
+        if silence.is_stale(now) {
             *silence = first;
         }
         silence.last = now;
     }
 
-    /// Notes that a peer answered, or that another process has its address now.
+    /// Records that a peer answered, or that another process has taken its address.
     pub fn record_response(&mut self, peer: SocketAddr) {
         self.silent.remove(&peer);
     }
 
-    /// Whether a peer is better not asked.
+    /// Whether calls to a peer should be avoided for now.
     #[must_use]
     pub fn is_silent(&self, now: TimeUs, peer: SocketAddr) -> bool {
         let silence = self.silent.get(&peer);
@@ -83,18 +84,17 @@
             || self.is_lost(now, peer)
     }
 
-    /// Whether a peer has not answered for so long that another takes its place.
+    /// Whether a peer has been silent long enough that another one replaces it.
     ///
-    /// Its entry in the store lives for more than a minute. Without this, nobody coordinates the
-    /// programs of its partitions until then: each of them needs the store to begin, and is refused
-    /// while that is away.
+    /// The peer's entry in the store expires only after more than a minute. Until then, programs of
+    /// its partitions would need the store to start, and be refused while it is unavailable.
     #[must_use]
     pub fn is_lost(&self, now: TimeUs, peer: SocketAddr) -> bool {
         let silence = self.silent.get(&peer);
-        silence.is_some_and(|silence| silence.has_lost() && now.since(silence.last) < LOST_FOR_US)
+        silence.is_some_and(|silence| silence.is_loss() && now.since(silence.last) < LOST_FOR_US)
     }
 
-    /// All lost peers.
+    /// Returns all lost peers.
     #[must_use]
     pub fn lost(&self, now: TimeUs) -> BTreeSet<SocketAddr> {
         let peers = self.silent.keys().copied();
--- a/clementinepick/src/server_list.rs
+++ b/clementinepick/src/server_list.rs
@@ -1,4 +1,4 @@
-//! The backend servers that are registered at present.
+//! Holds the backend servers that are currently registered.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,32 +6,32 @@
 /// One registered backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendServer {
-    /// Names this start of the server; requests name it, so that another process at the same
+    /// Identifies one start of the server. Requests carry it, so that another process at the same
     /// address refuses them.
     pub id: String,
     /// The service it belongs to.
     pub service: String,
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: String,
-    /// How many requests it runs at once.
+    /// The maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it is leaving and takes no new requests.
+    /// Whether it is shutting down and accepts no new requests.
     pub is_draining: bool,
-    /// When it started, in Unix milliseconds, if it says so.
+    /// When it started, in Unix milliseconds, if it reports it.
     pub started_unix_ms: Option<u64>,
 }
 
-/// All registered backend servers by id.
+/// All registered backend servers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ServerList {
-    /// The servers.
+    /// The servers by id.
     pub servers: BTreeMap<String, BackendServer>,
 }
 
 impl ServerList {
-    /// The servers of `service` that take new requests.
+    /// Returns the servers of `service` that accept new requests.
     pub fn ready<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a BackendServer> {
         self.servers
             .values()
--- a/clementinepick/src/server_selection.rs
+++ b/clementinepick/src/server_selection.rs
@@ -1,9 +1,8 @@
-//! Which backend server a request is sent to.
+//! Selects the backend server for a request by load, prompt cache affinity and failures.
 //!
-//! Several processes share the servers without speaking to each other of their loads. Each counts its
-//! own requests at a server, and knows what the server keeps and how it fails. What servers report of
-//! the others' requests is left out: with many processes it is old when it is used, and moves lines of
-//! turns to servers that must read them again.
+//! Several processes share the servers without exchanging their loads. Each counts only its own
+//! requests at a server. Load reported by the servers is deliberately ignored: with many processes
+//! it is stale when it is used, and moves turn chains to servers that have to prefill them again.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -14,62 +13,58 @@
 use crate::server_list::BackendServer;
 use crate::units::{SpanUs, TimeUs};
 
-/// How long a server that failed is passed over the first time; it doubles with each failure.
-/// A server that was restarted is back within one to four seconds.
-const FIRST_PAUSE_US: SpanUs = SpanUs::from_ms(250);
-/// The longest time that a failing server is passed over, which is the longest wait for a server
-/// that has recovered.
-const MAX_PAUSE_US: SpanUs = SpanUs::from_s(2);
-/// What one more request in an engine's batch costs a turn: 38 us for each of about 240 tokens, by
-/// the users' sheets.
-const LOAD_COST_US: f64 = 9_000.0;
-/// What reading one token of a prompt costs every request in the batch, by the users' sheets: an
-/// engine reads 147 in a ms and generates nothing meanwhile.
-const TOKEN_COST_US: f64 = 6.8;
-/// How probably a line of turns that other processes placed lies at its servers, by their rank for
-/// the line, in percent; in runs of the users' workloads nine lines in ten are placed at the first.
-const RANK_PERCENT: [u64; 2] = [90, 5];
-/// What placing a line at a server one rank lower costs: other processes, which get a third of its
-/// later turns, look for it at the first, and read 4,000 tokens again where they do not find it. Five
-/// requests' worth of load are rarer than that between two servers.
+/// The backoff after a server's first failure; it doubles with each further failure.
+const INITIAL_BACKOFF_US: SpanUs = SpanUs::from_ms(250);
+/// The upper bound of the backoff, and so of the wait for a server that has recovered.
+const MAX_BACKOFF_US: SpanUs = SpanUs::from_s(2);
+/// The delay that one more request in an engine's batch adds to a turn: 38 us for each of about 240
+/// generated tokens.
+const REQUEST_COST_US: f64 = 9_000.0;
+/// The delay that prefilling one prompt token adds to every request in the batch: an engine
+/// prefills 147 tokens in a ms and generates nothing meanwhile.
+const PREFILL_COST_US_PER_TOKEN: f64 = 6.8;
+/// The probability, in percent, that a turn chain placed by another process is cached at a server,
+/// by the server's rank for the chain.
+const RANK_CACHED_PERCENT: [u64; 2] = [90, 5];
+/// The cost of placing a turn chain one rank lower: other processes, which get a third of its later
+/// turns, look for it at the first server and prefill 4,000 tokens again where it isn't cached.
 const RANK_COST_US: f64 = 45_000.0;
 
-/// A server that fails all requests counts as so many times as loaded as the others are on average, one
-/// that fails a quarter of them as a quarter of that: it is used where the others have that much more to
-/// do, since they might fall over without it. On a day of grey servers 5 in 100 programs failed, most by
-/// bookings, which can't be repeated.
-const FAILING_FACTOR: f64 = 8.0;
+/// The load penalty of a server that fails all requests, as a multiple of the mean load; it shrinks
+/// in proportion to the failure rate. The server still gets requests when the others are that much
+/// busier, since they might be overloaded without it.
+const FAILURE_PENALTY_FACTOR: f64 = 8.0;
 
-/// How many lines' and prefixes' servers are remembered: 4,096 are the turns of half a minute at
-/// the size that is designed for, and 600 kB.
-const MAX_REMEMBERED: usize = 4_096;
+/// The capacity of each map of recent servers, about 600 kB.
+const MAX_RECENT_SERVERS: usize = 4_096;
 
 #[derive(Debug, Clone, Copy, Default)]
 struct ServerState {
     in_flight: u32,
     failures: u32,
     failure_rate: FailureRate,
-    paused_until: TimeUs,
+    backoff_until: TimeUs,
     started_unix_ms: Option<u64>,
 }
 
 /// One part of a prompt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Names its content; prompts that begin alike begin with the same parts.
+    /// Identifies the content; prompts with a common prefix begin with the same parts.
     pub id: String,
-    /// Its length.
+    /// The number of tokens.
     pub tokens: u64,
 }
 
-/// What makes a server cheaper for one request than for another.
+/// What a request's prompt has in common with earlier ones, and where it may be cached.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Affinity<'a> {
-    /// The parts of the prompt: a start that many programs share, then the line of turns, below
-    /// that of its parent if it is a sub-agent's.
+    /// The parts of the prompt: first a prefix that many programs share, then the turn chains from
+    /// that of the root program to that of the (sub-)agent that makes the request.
     pub parts: &'a [PromptPart],
-    /// The server that ran the turn before, or the line of its parent, if the ledger or the home of the
-    /// program knows; what this process remembers itself may be older.
+    /// The server that ran the previous turn or the parent's chain, if the ledger or the home of
+    /// the program knows it. It takes precedence over what this process remembers, which may be
+    /// older.
     pub last_server: Option<&'a str>,
 }
 
@@ -78,38 +73,38 @@
         self.parts.first()
     }
 
-    /// The parts of the line of turns, from the program's first line to its own.
-    fn line(&self) -> &[PromptPart] {
+    /// Returns the turn chains, from the root program's to the request's own.
+    fn turn_chains(&self) -> &[PromptPart] {
         self.parts.get(1..).unwrap_or_default()
     }
 }
 
-/// The inputs by which a server was chosen.
+/// The inputs of the cost by which a server was selected.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SelectionReason {
-    /// Whether it failed lately and all others did too.
-    pub is_paused: bool,
-    /// How many of this process's requests are there.
+    /// Whether the server is in backoff; only selected if all candidates are.
+    pub is_in_backoff: bool,
+    /// The number of this process's requests in flight at the server.
     pub load: u32,
-    /// How much more loaded it counts for its failures.
-    pub failing_load: f64,
-    /// How many tokens of the prompt it probably does not keep.
-    pub tokens_to_read: u64,
-    /// Its rank for the line of turns, where nobody is known to keep the line.
+    /// The additional load, in requests, that it counts for its failures.
+    pub failure_penalty: f64,
+    /// The expected number of prompt tokens that the server doesn't have cached.
+    pub prefill_tokens: u64,
+    /// The server's rank for the turn chain, if no server is known to have the chain cached.
     pub rank: Option<usize>,
-    /// Whether it is known to keep the line.
-    pub is_kept_here: bool,
+    /// Whether the server is known to have the turn chain cached.
+    pub is_chain_cached: bool,
 }
 
 impl SelectionReason {
-    /// What the request costs there, by load, reading and rank.
+    /// Returns the estimated cost of the request at the server, in microseconds.
     fn cost_us(&self) -> f64 {
-        let read_us = approx(self.tokens_to_read) * TOKEN_COST_US;
+        let prefill_us = tokens_to_f64(self.prefill_tokens) * PREFILL_COST_US_PER_TOKEN;
         let load = f64::from(self.load);
-        let load_us = (load + self.failing_load) * LOAD_COST_US;
+        let load_us = (load + self.failure_penalty) * REQUEST_COST_US;
         let rank = self.rank.and_then(|rank| u32::try_from(rank).ok());
         let rank_us = rank.map_or(0.0, |rank| f64::from(rank) * RANK_COST_US);
-        load_us + rank_us + read_us * (1.0 + load)
+        load_us + rank_us + prefill_us * (1.0 + load)
     }
 }
 
@@ -118,40 +113,41 @@
         write!(
             f,
             "load {}, {} tokens to read",
-            self.load, self.tokens_to_read
+            self.load, self.prefill_tokens
         )?;
-        if self.is_kept_here {
-            f.write_str(", keeps the line")?;
+        if self.is_chain_cached {
+            f.write_str(", turn chain cached")?;
         }
-        if self.failing_load >= 0.05 {
-            write!(f, ", counts {:.1} more for failures", self.failing_load)?;
+        if self.failure_penalty >= 0.05 {
+            write!(f, ", failure penalty {:.1}", self.failure_penalty)?;
         }
         if let Some(rank) = self.rank {
             write!(f, ", rank {rank}")?;
         }
-        if self.is_paused {
-            f.write_str(", all failed lately")?;
+        if self.is_in_backoff {
+            f.write_str(", all servers in backoff")?;
         }
         Ok(())
     }
 }
 
-/// The loads of all backend servers as one process sees them.
+/// The load, failures and cached prompts of all backend servers, as one process knows them.
 #[derive(Debug, Default)]
 pub struct ServerSelector {
     servers: BTreeMap<String, ServerState>,
-    lines: Remembered<String>,
-    prefixes: Remembered<(String, String)>,
+    chain_servers: RecentServers<String>,
+    prefix_servers: RecentServers<(String, String)>,
 }
 
-/// Servers by what they keep, the least recently used half forgotten when there are too many.
+/// The server that last received each key; above the capacity, the least recently written half is
+/// evicted.
 #[derive(Debug)]
-struct Remembered<K> {
+struct RecentServers<K> {
     servers: BTreeMap<K, (String, u64)>,
     uses: u64,
 }
 
-impl<K> Default for Remembered<K> {
+impl<K> Default for RecentServers<K> {
     fn default() -> Self {
         Self {
             servers: BTreeMap::new(),
@@ -160,8 +156,8 @@
     }
 }
 
-impl<K: Ord> Remembered<K> {
-    fn forget_server(&mut self, id: &str) {
+impl<K: Ord> RecentServers<K> {
+    fn remove_server(&mut self, id: &str) {
         self.servers.retain(|_, (server, _)| server != id);
     }
 
@@ -172,18 +168,18 @@
     fn insert(&mut self, key: K, server: &str) {
         self.uses += 1;
         self.servers.insert(key, (server.to_owned(), self.uses));
-        if self.servers.len() > MAX_REMEMBERED {
-            let oldest_kept = self.uses.saturating_sub(MAX_REMEMBERED as u64 / 2);
-            self.servers.retain(|_, (_, used)| *used > oldest_kept);
+        if self.servers.len() > MAX_RECENT_SERVERS {
+            let oldest_retained = self.uses.saturating_sub(MAX_RECENT_SERVERS as u64 / 2);
+            self.servers.retain(|_, (_, used)| *used > oldest_retained);
         }
     }
 }
 
 impl ServerSelector {
-    /// Chooses among `candidates`, leaving out those named in `tried`.
+    /// Selects one of `candidates`, except those whose ids are in `tried`.
     ///
-    /// A paused server is chosen only when all others are paused too: a request that waits for
-    /// nothing is worse than one that may fail.
+    /// A server in backoff is selected only if all others are too: an attempt that may fail is
+    /// better than none.
     #[must_use]
     pub fn choose<'a>(
         &self,
@@ -196,7 +192,7 @@
         Some(server)
     }
 
-    /// Chooses as [`choose`](Self::choose) does, and says by which inputs.
+    /// Selects as [`choose`](Self::choose) does, and also returns the inputs of the decision.
     #[must_use]
     pub fn choose_with_reason<'a>(
         &self,
@@ -205,11 +201,11 @@
         tried: &[String],
         affinity: Affinity<'_>,
     ) -> Option<(&'a BackendServer, SelectionReason)> {
-        // A server that is gone or leaving keeps nothing for anyone: its lines go where their ranks say.
-        let is_there = |id: &&str| candidates.iter().any(|server| server.id == *id);
-        let kept_at = self.line_server(affinity).filter(is_there);
-        let first_line = affinity.line().first();
-        let ranks = first_line.map(|line| ranked(&line.id, candidates));
+        // The chains of a server that is gone or draining are placed by rank again.
+        let is_candidate = |id: &&str| candidates.iter().any(|server| server.id == *id);
+        let cached_at = self.chain_server(affinity).filter(is_candidate);
+        let root_chain = affinity.turn_chains().first();
+        let ranks = root_chain.map(|chain| rank_servers(&chain.id, candidates));
         let rank_of = |server: &BackendServer| {
             let ranks = ranks.as_ref()?;
             ranks.iter().position(|id| *id == server.id)
@@ -221,12 +217,14 @@
             let state = self.state(&server.id);
             let rank = rank_of(server);
             SelectionReason {
-                is_paused: now < state.paused_until,
+                is_in_backoff: now < state.backoff_until,
                 load: state.in_flight,
-                failing_load: state.failure_rate.at(now) * FAILING_FACTOR * (1.0 + mean_load),
-                tokens_to_read: self.tokens_to_read(server, affinity, kept_at, rank),
-                rank: rank.filter(|_| kept_at.is_none()),
-                is_kept_here: kept_at == Some(server.id.as_str()),
+                failure_penalty: state.failure_rate.at(now)
+                    * FAILURE_PENALTY_FACTOR
+                    * (1.0 + mean_load),
+                prefill_tokens: self.prefill_tokens(server, affinity, cached_at, rank),
+                rank: rank.filter(|_| cached_at.is_none()),
+                is_chain_cached: cached_at == Some(server.id.as_str()),
             }
         };
         let untried = candidates.iter().filter(|s| !tried.contains(&s.id));
@@ -234,142 +232,145 @@
         reasons.min_by(|(one, reason), (other, other_reason)| {
             let tie = |s: &BackendServer| xxh3_64_with_seed(s.id.as_bytes(), now.0);
             reason
-                .is_paused
-                .cmp(&other_reason.is_paused)
+                .is_in_backoff
+                .cmp(&other_reason.is_in_backoff)
                 .then(reason.cost_us().total_cmp(&other_reason.cost_us()))
                 .then_with(|| rank_of(one).cmp(&rank_of(other)))
                 .then_with(|| tie(one).cmp(&tie(other)))
         })
     }
 
-    /// The server at which the line of turns, or the line of its parent, was last.
-    fn line_server<'a>(&'a self, affinity: Affinity<'a>) -> Option<&'a str> {
+    /// Returns the server that last ran the request's turn chain or the nearest parent's.
+    fn chain_server<'a>(&'a self, affinity: Affinity<'a>) -> Option<&'a str> {
         let remembered = || {
-            let mut lines = affinity.line().iter().rev();
-            lines.find_map(|line| self.lines.get(&line.id))
+            let mut chains = affinity.turn_chains().iter().rev();
+            chains.find_map(|chain| self.chain_servers.get(&chain.id))
         };
         affinity.last_server.or_else(remembered)
     }
 
-    /// How many tokens the server probably has to read that another may keep.
-    fn tokens_to_read(
+    /// Returns the expected number of prompt tokens that the server has to prefill.
+    fn prefill_tokens(
         &self,
         server: &BackendServer,
         affinity: Affinity<'_>,
-        kept_at: Option<&str>,
+        cached_at: Option<&str>,
         rank: Option<usize>,
     ) -> u64 {
-        let line_tokens: u64 = affinity.line().iter().map(|part| part.tokens).sum();
-        let kept_percent = match kept_at {
+        let chain_tokens: u64 = affinity.turn_chains().iter().map(|part| part.tokens).sum();
+        let cached_percent = match cached_at {
             Some(id) if id == server.id => 100,
             Some(_) => 0,
             None => rank
-                .and_then(|rank| RANK_PERCENT.get(rank))
+                .and_then(|rank| RANK_CACHED_PERCENT.get(rank))
                 .copied()
                 .unwrap_or(0),
         };
         let prefix_tokens = affinity.prefix().map_or(0, |prefix| {
             let key = (prefix.id.clone(), server.id.clone());
-            let is_kept = self.prefixes.get(&key).is_some();
-            if is_kept { 0 } else { prefix.tokens }
+            let is_cached = self.prefix_servers.get(&key).is_some();
+            if is_cached { 0 } else { prefix.tokens }
         });
-        line_tokens * (100 - kept_percent) / 100 + prefix_tokens
+        chain_tokens * (100 - cached_percent) / 100 + prefix_tokens
     }
 
     fn state(&self, id: &str) -> ServerState {
         self.servers.get(id).copied().unwrap_or_default()
     }
 
-    /// How many of this process's requests are at the server.
+    /// Returns the number of this process's requests at the server.
     #[must_use]
     pub fn in_flight(&self, id: &str) -> u32 {
         self.state(id).in_flight
     }
 
-    /// Notes that a request is on its way to a server.
+    /// Records that a request is being sent to a server.
     pub fn start_request(&mut self, id: &str, affinity: Affinity<'_>) {
         self.servers.entry(id.to_owned()).or_default().in_flight += 1;
         if let Some(prefix) = affinity.prefix() {
-            self.prefixes.insert((prefix.id.clone(), id.to_owned()), id);
+            self.prefix_servers
+                .insert((prefix.id.clone(), id.to_owned()), id);
         }
-        if let Some(line) = affinity.line().last() {
-            self.lines.insert(line.id.clone(), id);
+        if let Some(chain) = affinity.turn_chains().last() {
+            self.chain_servers.insert(chain.id.clone(), id);
         }
     }
 
-    /// Notes that a request is no longer at a server.
+    /// Records that a request is no longer at a server.
     pub fn end_request(&mut self, id: &str) {
         if let Some(state) = self.servers.get_mut(id) {
             state.in_flight = state.in_flight.saturating_sub(1);
         }
     }
 
-    /// Notes that a server answered; `has_failed` says that it answered with a failure of its own.
+    /// Records a response, which ends the backoff; `has_failed` marks a failure of the server
+    /// itself.
     pub fn record_response(&mut self, now: TimeUs, id: &str, has_failed: bool) {
         if let Some(state) = self.servers.get_mut(id) {
             state.failures = 0;
-            state.paused_until = TimeUs(0);
+            state.backoff_until = TimeUs(0);
             state.failure_rate.record(now, has_failed);
         }
     }
 
-    /// Notes that a server refused a request without running it; `is_another` says that it is not the
-    /// one that its entry names.
+    /// Records that a server refused a request without running it; `is_wrong_server` says that
+    /// another server than the registered one listens at the address.
     ///
-    /// A server that refuses is idle: without this, it looks the best of all and gets every request.
-    pub fn record_refusal(&mut self, now: TimeUs, id: &str, is_another: bool) {
-        if is_another {
+    /// A refusing server stays idle: if refusals didn't count as failures, it would have the lowest
+    /// load and get every request.
+    pub fn record_refusal(&mut self, now: TimeUs, id: &str, is_wrong_server: bool) {
+        if is_wrong_server {
             self.record_failure(now, id);
         } else if let Some(state) = self.servers.get_mut(id) {
             state.failure_rate.record(now, true);
         }
     }
 
-    /// Notes that a server could not be reached, broke off or gave no answer in time.
+    /// Records that a server was unreachable, closed the connection or timed out, and backs off.
     pub fn record_failure(&mut self, now: TimeUs, id: &str) {
         let state = self.servers.entry(id.to_owned()).or_default();
-        let pause_us = FIRST_PAUSE_US.0 << state.failures.min(8);
+        let backoff_us = INITIAL_BACKOFF_US.0 << state.failures.min(8);
         if state.failures == 0 {
-            // The pause alone is for a server that answers nothing any more.
+            // Only the first failure in a row counts: for the others the backoff suffices.
             state.failure_rate.record(now, true);
         }
         state.failures += 1;
-        state.paused_until = now.after(SpanUs(pause_us.min(MAX_PAUSE_US.0)));
+        state.backoff_until = now.after(SpanUs(backoff_us.min(MAX_BACKOFF_US.0)));
     }
 
-    /// Takes up when a server started: after a new start, it keeps nothing of what it ran before.
+    /// Records when a server started; a restart empties its cache.
     ///
-    /// Without this, turns would follow their lines to an empty server, and all parts that they
-    /// share would be read there again at once, while another keeps them.
+    /// Otherwise turns would follow their chains to an empty server, which would prefill all shared
+    /// parts at once although another server has them cached.
     pub fn record_start_time(&mut self, id: &str, started_unix_ms: Option<u64>) {
         let state = self.servers.entry(id.to_owned()).or_default();
         let before = std::mem::replace(&mut state.started_unix_ms, started_unix_ms);
         if before.is_some() && before != started_unix_ms {
-            self.lines.forget_server(id);
-            self.prefixes.forget_server(id);
+            self.chain_servers.remove_server(id);
+            self.prefix_servers.remove_server(id);
         }
     }
 
-    /// Forgets servers that are registered no more and have none of this process's requests.
+    /// Removes servers that are no longer registered and have no requests in flight.
     pub fn retain(&mut self, is_registered: impl Fn(&str) -> bool) {
         self.servers
             .retain(|id, state| state.in_flight > 0 || is_registered(id));
     }
 }
 
-/// A count of tokens as a factor of a cost.
-fn approx(tokens: u64) -> f64 {
+/// Converts a token count for cost arithmetic.
+fn tokens_to_f64(tokens: u64) -> f64 {
     u32::try_from(tokens).map_or(f64::from(u32::MAX), f64::from)
 }
 
-/// The servers in the order in which a line of turns prefers them, by rendezvous hashing: each
-/// process finds the same order, and the loss of a server moves only the lines that it kept.
-fn ranked<'a>(line: &str, candidates: &[&'a BackendServer]) -> Vec<&'a str> {
+/// Ranks the servers for a turn chain by rendezvous hashing: every process computes the same order,
+/// and the loss of a server moves only its own chains.
+fn rank_servers<'a>(chain: &str, candidates: &[&'a BackendServer]) -> Vec<&'a str> {
     let mut ranked: Vec<(u64, &str)> = candidates
         .iter()
         .map(|server| {
             let seed = xxh3_64_with_seed(server.id.as_bytes(), 0);
-            (xxh3_64_with_seed(line.as_bytes(), seed), &*server.id)
+            (xxh3_64_with_seed(chain.as_bytes(), seed), &*server.id)
         })
         .collect();
     ranked.sort_unstable();
--- a/clementinepick/tests/outage_detector.rs
+++ b/clementinepick/tests/outage_detector.rs
@@ -1,4 +1,4 @@
-//! When entries that have vanished are still believed.
+//! Tests the detection of store outages, after which missing entries are kept for a while.
 
 use clementinepick::outage_detector::OutageDetector;
 use clementinepick::units::{SpanUs, TimeUs};
@@ -7,21 +7,21 @@
     TimeUs(0).after(SpanUs::from_ms(ms))
 }
 
-/// Callers' requests reach a server two seconds after it left. News of the configuration ends each
-/// wait before the servers are read, nothing is read for minutes, and no call fails. Taken as an
-/// outage, that time keeps the server in use after its entry has vanished.
+/// Frequent changes of the configuration keep the list of servers from being read for minutes,
+/// without any failure. If that counted as an outage, a server that has left would still get
+/// requests.
 #[test]
-fn a_time_without_readings_is_no_outage() {
+fn a_time_without_reads_is_no_outage() {
     let mut outage = OutageDetector::default();
     assert_eq!(outage.record_successful_read(at_ms(0)), None);
     assert_eq!(outage.record_successful_read(at_ms(180_000)), None);
     assert!(!outage.is_in_grace_period(at_ms(180_000)));
 }
 
-/// The store loses an answer now and then, as it does on bad days. Nothing lapses in so short a time,
-/// and servers that leave must leave.
+/// The store loses single answers. No entry expires in so short a time, so missing servers have
+/// left.
 #[test]
-fn readings_that_fail_alone_are_no_outage() {
+fn single_failed_reads_are_no_outage() {
     let mut outage = OutageDetector::default();
     for second in 0..60 {
         outage.record_failed_read(at_ms(second * 1_000));
@@ -33,10 +33,10 @@
     assert!(!outage.is_in_grace_period(at_ms(60_000)));
 }
 
-/// The store is away for five seconds, and entries lapse with it. Without the grace, each server
-/// would be taken away at its return and every request be refused for two seconds.
+/// Entries expire during an outage of the store. Without the grace period, all servers would be
+/// removed when it returns, and every request refused until they have registered again.
 #[test]
-fn entries_that_lapsed_are_believed_for_two_seconds_after_an_outage() {
+fn an_outage_is_followed_by_a_grace_period_of_two_seconds() {
     let mut outage = OutageDetector::default();
     assert_eq!(outage.record_successful_read(at_ms(0)), None);
     for failed in 0..5 {
--- a/clementinepick/tests/peer_liveness.rs
+++ b/clementinepick/tests/peer_liveness.rs
@@ -1,4 +1,4 @@
-//! Which peers count as lost, by the calls that are made to them.
+//! Tests the detection of lost peers from failed calls.
 
 use std::net::SocketAddr;
 
@@ -13,8 +13,8 @@
     TimeUs(ms * 1_000)
 }
 
-/// A peer is slow now and then: calls fail seconds apart, and others between them are answered. It keeps
-/// its place, since taking it over would halve what programs begin with.
+/// Calls to a slow peer fail now and then. Replacing it would needlessly halve the budgets that
+/// programs start with.
 #[test]
 fn a_peer_that_answers_between_failures_is_not_lost() {
     let mut liveness = PeerLiveness::default();
@@ -27,10 +27,10 @@
     assert!(liveness.lost(at_ms(20_000)).is_empty());
 }
 
-/// A peer dies: each call to it fails. After two seconds it is lost, is asked again ten seconds after the
-/// last failed call, and one more failed call shows that it is lost still. An answer ends that.
+/// A dead peer is lost after two seconds. Ten seconds after the last failed call it is called
+/// again, and one more failure confirms the loss.
 #[test]
-fn a_peer_that_answers_nothing_is_lost_until_it_answers() {
+fn a_dead_peer_is_lost_until_it_answers() {
     let mut liveness = PeerLiveness::default();
     liveness.record_failure(at_ms(0), peer());
     liveness.record_failure(at_ms(1_100), peer());
@@ -45,11 +45,10 @@
     assert!(!liveness.is_silent(at_ms(12_400), peer()));
 }
 
-/// Programs begin with half as much of their budgets as the coordinators of their partitions change
-/// in vain. A peer fails one call, is not asked for half a minute, and fails one more. Nobody asked in
-/// between, so that this is no silence of half a minute.
+/// Two failed calls half a minute apart, with none in between, are no silence of half a minute: a
+/// live peer would be replaced, which halves the budgets that programs start with.
 #[test]
-fn failures_with_no_call_between_them_are_no_silence() {
+fn rare_failures_are_not_one_silence() {
     let mut liveness = PeerLiveness::default();
     liveness.record_failure(at_ms(0), peer());
     liveness.record_failure(at_ms(30_000), peer());
