--- a/clementinepick/src/budget.rs
+++ b/clementinepick/src/budget.rs
@@ -1,32 +1,32 @@
-//! What a program may still spend: slices of its budget are set aside on record, and spending
-//! happens only out of slices that are confirmed.
+//! Accounts for a program's budget: slices of it are reserved in the log, and calls spend only from
+//! confirmed slices.
 //!
-//! The slices ([`Account`]) are replayed from the log; what the present owner has spent of them
-//! ([`Spending`]) is in its memory only. Sub-agents spend from the account of their root.
+//! The slices ([`Account`]) are replayed from the log. What the current owner has spent of them
+//! ([`Spending`]) is only in its memory. Sub-agents spend from the account of their root program.
 
 use serde::{Deserialize, Serialize};
 
 use crate::record::Budget;
 use crate::units::{SpanUs, Tokens};
 
-/// The least slice that is set aside, as a part of the whole budget.
+/// The minimum slice is the whole budget divided by this.
 const SLICE_DIVISOR: u64 = 16;
-/// The part of a slice below which the next one is set aside ahead of need.
-const AHEAD_DIVISOR: u64 = 2;
+/// The next slice is reserved in advance when less than a minimum slice divided by this is left.
+const PREFETCH_DIVISOR: u64 = 2;
 
-/// Tokens, calls and time.
+/// An amount of a budget: tokens, calls and time.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Amount {
-    /// Tokens.
+    /// The number of tokens.
     pub tokens: Tokens,
-    /// Calls.
+    /// The number of calls.
     pub calls: u64,
-    /// Time.
+    /// The time.
     pub time_us: SpanUs,
 }
 
 impl Amount {
-    /// The sum of both.
+    /// Returns the sum of both amounts.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
         Self {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// What is left of this after `other`; each part stops at zero.
+    /// Subtracts `other`, saturating at zero in each component.
     #[must_use]
     pub fn minus(self, other: Self) -> Self {
         Self {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Whether no part is more than that of `other`.
+    /// Whether no component exceeds that of `other`.
     #[must_use]
     pub fn fits_in(self, other: Self) -> bool {
         self.tokens <= other.tokens && self.calls <= other.calls && self.time_us <= other.time_us
@@ -68,7 +68,7 @@
         }
     }
 
-    fn part(self, divisor: u64) -> Self {
+    fn divided_by(self, divisor: u64) -> Self {
         Self {
             tokens: Tokens(self.tokens.0 / divisor),
             calls: self.calls / divisor,
@@ -87,30 +87,30 @@
     }
 }
 
-/// Whether a call may spend.
+/// The result of [`Account::hold`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Grant {
-    /// It may: the amount is held for it.
+    /// The amount is held for the call.
     Held,
-    /// First this slice must be on record.
+    /// This slice must be reserved in the log first.
     NeedsSlice(Amount),
-    /// The budget does not cover it.
+    /// The budget doesn't cover the call.
     Exhausted,
 }
 
-/// A program's account as the log tells it.
+/// A program's account, as replayed from the log.
 ///
-/// What is reserved never exceeds the budget, and owners spend only what is reserved; so a new
-/// owner that counts all that was reserved before as spent can't overspend.
+/// The reserved amount never exceeds the budget, and owners spend only what is reserved. So a new
+/// owner, which counts everything reserved before as spent, can't overspend.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Account {
     budget: Budget,
     reserved: Amount,
-    /// What earlier owners may have spent.
+    /// The upper bound of what earlier owners spent.
     spent_before: Amount,
 }
 
-/// What the present owner has spent of an account, and what it holds for calls under way.
+/// What the current owner has spent of an account, and what it holds for running calls.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Spending {
     spent: Amount,
@@ -118,19 +118,20 @@
 }
 
 impl Spending {
-    /// What the present owner has spent.
+    /// Returns what the current owner has spent.
     #[must_use]
     pub const fn spent(&self) -> Amount {
         self.spent
     }
 
-    /// Sets the time for which the present owner has kept the program.
+    /// Sets how long the current owner has had the program.
     pub fn set_time(&mut self, time_us: SpanUs) {
         self.spent.time_us = time_us;
     }
 
-    /// A call that held `held_tokens` has ended and used `used_tokens`; `calls` is zero for one
-    /// that did not run. More than was held is never booked, since no more was ever set aside.
+    /// Releases the tokens held for an ended call, and counts `used_tokens` of them and `calls`,
+    /// which is zero for a call that did not run. Never counts more than was held, since no more is
+    /// reserved.
     pub fn settle(&mut self, held_tokens: Tokens, used_tokens: Tokens, calls: u64) {
         self.held.tokens = self.held.tokens.saturating_sub(held_tokens);
         self.held.calls = self.held.calls.saturating_sub(1);
@@ -144,7 +145,7 @@
 }
 
 impl Account {
-    /// An account with nothing reserved.
+    /// Creates an account with nothing reserved.
     #[must_use]
     pub fn new(budget: Budget) -> Self {
         Self {
@@ -153,25 +154,25 @@
         }
     }
 
-    /// What the program may spend in all.
+    /// Returns the whole budget.
     #[must_use]
     pub const fn budget(&self) -> Budget {
         self.budget
     }
 
-    /// What is set aside so far.
+    /// Returns the amount reserved so far.
     #[must_use]
     pub const fn reserved(&self) -> Amount {
         self.reserved
     }
 
-    /// What may have been spent so far, by this owner and earlier ones.
+    /// Returns the upper bound of what this owner and earlier ones have spent.
     #[must_use]
     pub fn spent(&self, spending: &Spending) -> Amount {
         self.spent_before.plus(spending.spent)
     }
 
-    /// The first slice of a new account, which its opening record brings.
+    /// Returns the first slice of a new account, which is part of its opening record.
     #[must_use]
     pub fn first_slice(budget: Budget, tokens: Tokens) -> Amount {
         let wanted = Amount {
@@ -179,10 +180,10 @@
             calls: 1,
             time_us: SpanUs(0),
         };
-        Self::new(budget).slice_for(wanted)
+        Self::new(budget).slice_covering(wanted)
     }
 
-    /// Tries to hold `tokens` for one more call.
+    /// Tries to hold one call and `tokens`.
     pub fn hold(&self, spending: &mut Spending, tokens: Tokens) -> Grant {
         let call = Amount {
             tokens,
@@ -197,72 +198,77 @@
             spending.held = spending.held.plus(call);
             return Grant::Held;
         }
-        Grant::NeedsSlice(self.slice_for(wanted))
+        Grant::NeedsSlice(self.slice_covering(wanted))
     }
 
-    /// Whether the time is used up.
+    /// Whether the time budget is used up.
     #[must_use]
     pub fn is_time_exhausted(&self, spending: &Spending) -> bool {
         self.spent(spending).time_us >= self.budget.time_us
     }
 
-    /// The slice to set aside ahead of need, where little is left of the last one.
-    ///
-    /// A program that always has a slice in hand goes on when the log is down.
+    /// Returns the slice to reserve in advance when little is left of the last one, so that the
+    /// program can continue while the log is down.
     #[must_use]
     pub fn prefetch_slice(&self, spending: &Spending) -> Option<Amount> {
         let used = self.spent_before.plus(spending.total());
-        let step = Amount::from(self.budget).part(SLICE_DIVISOR);
-        let wanted = used.plus(step.part(AHEAD_DIVISOR));
+        let step = Amount::from(self.budget).divided_by(SLICE_DIVISOR);
+        let wanted = used.plus(step.divided_by(PREFETCH_DIVISOR));
         if wanted.min(self.budget.into()).fits_in(self.reserved) {
             return None;
         }
-        let slice = self.slice_for(wanted);
+        let slice = self.slice_covering(wanted);
         (slice != Amount::default()).then_some(slice)
     }
 
-    fn slice_for(&self, wanted: Amount) -> Amount {
-        let missing = wanted.minus(self.reserved);
-        let least = Amount::from(self.budget).part(SLICE_DIVISOR);
+    fn slice_covering(&self, wanted: Amount) -> Amount {
+        let shortfall = wanted.minus(self.reserved);
+        let min_slice = Amount::from(self.budget).divided_by(SLICE_DIVISOR);
         let free = Amount::from(self.budget).minus(self.reserved);
-        // Only what runs short is topped up, so that a call-hungry program strands no tokens.
-        let topped = Amount {
-            tokens: if missing.tokens.0 > 0 {
-                least.tokens
+        // Only components that run short are topped up, so that a program with many calls does not
+        // reserve tokens that it won't use.
+        let top_up = Amount {
+            tokens: if shortfall.tokens.0 > 0 {
+                min_slice.tokens
             } else {
                 Tokens(0)
             },
-            calls: if missing.calls > 0 { least.calls } else { 0 },
-            time_us: if missing.time_us.0 > 0 || self.reserved.time_us.0 == 0 {
-                least.time_us
+            calls: if shortfall.calls > 0 {
+                min_slice.calls
+            } else {
+                0
+            },
+            time_us: if shortfall.time_us.0 > 0 || self.reserved.time_us.0 == 0 {
+                min_slice.time_us
             } else {
                 SpanUs(0)
             },
         };
-        missing.max(topped).min(free)
+        shortfall.max(top_up).min(free)
     }
 
-    /// What a leaving owner gives back.
+    /// Returns the reserved amount that an owner returns when it gives up the program.
     #[must_use]
     pub fn unused(&self, spending: &Spending) -> Amount {
         self.reserved.minus(self.spent(spending))
     }
 
-    /// A slice is on record; one that was made out for another sum changes nothing.
+    /// Applies a recorded slice. It has no effect if the reserved amount is not `before`, so that a
+    /// slice recorded twice counts once.
     pub fn reserve(&mut self, before: Amount, slice: Amount) {
         if self.reserved == before {
             self.reserved = self.reserved.plus(slice);
         }
     }
 
-    /// An unspent rest was given back.
+    /// Applies a recorded return of unspent slices, if the reserved amount is `before`.
     pub fn return_unused(&mut self, before: Amount, unused: Amount) {
         if self.reserved == before {
             self.reserved = self.reserved.minus(unused);
         }
     }
 
-    /// A new owner takes over: it can't know what of the slices was spent.
+    /// Counts all reserved slices as spent: a new owner can't know how much of them was.
     pub fn take_over(&mut self) {
         self.spent_before = self.reserved;
     }
@@ -286,7 +292,7 @@
     }
 
     #[test]
-    fn spending_needs_a_slice_on_record() {
+    fn spending_needs_a_recorded_slice() {
         let (mut account, mut spending) = (account(), Spending::default());
         let slice = Amount {
             tokens: Tokens(100),
@@ -300,7 +306,7 @@
     }
 
     #[test]
-    fn nothing_goes_beyond_the_budget() {
+    fn spending_never_exceeds_the_budget() {
         let (mut account, mut spending) = (account(), Spending::default());
         assert_eq!(account.hold(&mut spending, Tokens(1_601)), Grant::Exhausted);
         account.reserve(Amount::default(), whole());
@@ -319,9 +325,9 @@
         assert_eq!(grant, Grant::Exhausted);
     }
 
-    // The append of a slice was answered by nothing and sent again; the log has it twice.
+    // The append of a slice got no answer and was repeated, so that the log has it twice.
     #[test]
-    fn a_slice_that_is_twice_on_record_counts_once() {
+    fn a_slice_recorded_twice_counts_once() {
         let mut account = account();
         let slice = Amount {
             tokens: Tokens(100),
@@ -333,7 +339,7 @@
     }
 
     #[test]
-    fn time_is_spent_out_of_slices_too() {
+    fn time_is_spent_from_slices() {
         let (mut account, mut spending) = (account(), Spending::default());
         account.reserve(
             Amount::default(),
--- a/clementinepick/src/budget_ledger.rs
+++ b/clementinepick/src/budget_ledger.rs
@@ -1,14 +1,14 @@
-//! What programs may still generate, agreed on by the order of one partition of a log.
+//! Divides programs' token budgets among processes, through the records of a log partition.
 //!
-//! A process reserves a *slice* of a program's budget before it sends a turn on, and spends the slice
-//! without asking again. Slices are records that never change. One is appended under the condition
-//! that the partition still ends where the process last read it, so that the sum of all slices is
-//! known at that moment, and no process has to own a program.
+//! A process reserves a *slice* of a program's budget before it sends a turn to a server, and
+//! spends the slice without further calls. Slices are immutable records. A record is appended on
+//! condition that the partition still ends where the process last read it, so that the sum of all
+//! slices is known at that moment, and no process has to own a program.
 //!
-//! A process may be the *home* of a partition: its record there gives it a *standing slice* of each
-//! program that has no records yet, so that a program begins without a call to the store. Who writes
-//! a program's first record counts the standing slices of all homes that came before it. Two homes
-//! at a time, or one that is lost, cost a program a part of its budget and never give it more.
+//! A process can be the *home* (coordinator) of a partition: its record there gives it a *standing
+//! slice* of each program that has no records yet, so that a program starts without a call to
+//! the store. The first record of a program counts the standing slices of all homes before it. Two
+//! concurrent homes, or a lost one, cost a program a part of its budget but never give it more.
 //!
 //! ```
 //! use clementinepick::budget_ledger::{BudgetRecord, BudgetView, HomeRecord, SliceDecision};
@@ -33,42 +33,39 @@
 use crate::record_age::is_expired;
 use crate::units::Tokens;
 
-/// A slice is this part of what is left of a budget, and at least one turn. With a quarter, half the
-/// programs of the users' workloads need one slice, and six processes can hold slices of one program
-/// before its budget is reserved. With a half, processes that are lost take so much with them that
-/// 1 to 2 in 100 programs are told too early that their budget is spent; with a quarter, and lending
-/// between processes, 1 in 1,000.
+/// A slice is the unreserved budget divided by this, and at least one turn. Smaller slices need
+/// more appends; larger ones lose more of the budget with a lost process.
 const SLICE_DIVISOR: u64 = 4;
 
-/// The first home's standing slices are budgets halved so many times, the next one's once more. What
-/// a lost home gave out is unknown, so that programs which begin in the minutes after its loss can't
-/// have its standing slices: with a quarter, they still get three quarters of their budgets, and the
-/// users' programs use half. With a half, 1 in 10 programs was told too early that its budget is spent
-/// after a loss of all processes; while the store is away, a quarter is enough for a turn or two.
+/// The first home's standing slices are budgets halved this many times, each further home's once
+/// more. What a lost home has granted is unknown, so programs that start in the minutes after its
+/// loss can't use its standing slices: with a quarter, they still get three quarters of their
+/// budgets.
 const FIRST_HALVINGS: u32 = 2;
 
-/// One reserved slice; its record's key makes it unique.
+/// A reserved slice, identified by the key of its record.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SliceRecord {
     /// The program.
     #[serde(rename = "p")]
     pub program: String,
-    /// How many tokens the writer may hand out; zero only says that the program still runs.
+    /// The number of tokens that the writer may spend; zero only marks the program as still
+    /// running.
     #[serde(rename = "t")]
     pub tokens: Tokens,
-    /// Where the writer can be asked for what it does not need.
+    /// The address at which the writer can be asked to lend unused tokens.
     #[serde(rename = "h", default, skip_serializing_if = "Option::is_none")]
     pub holder: Option<SocketAddr>,
     /// When it was written, in Unix milliseconds by the writer's clock.
     #[serde(rename = "w")]
     pub recorded_unix_ms: u64,
-    /// How long the program's budget must count on after its last turn, in milliseconds.
+    /// How long the program's budget is kept after its last turn, in milliseconds.
     #[serde(rename = "r")]
     pub retain_ms: u64,
-    /// The sum of the standing slices that count beside the program's records.
+    /// The sum of the standing slices that count in addition to the program's records.
     #[serde(rename = "s", default, skip_serializing_if = "is_zero")]
     pub standing: Tokens,
-    /// The numbers of the homes whose standing slices those are.
+    /// The numbers of the homes that have those standing slices.
     #[serde(rename = "o", default, skip_serializing_if = "BTreeSet::is_empty")]
     pub homes: BTreeSet<u64>,
 }
@@ -78,56 +75,57 @@
     *tokens == Tokens(0)
 }
 
-/// Makes a process the home of a partition.
+/// A record that makes a process the home of a partition.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HomeRecord {
-    /// Where the process can be asked for parts of budgets.
+    /// The address at which the process can be asked for parts of budgets.
     #[serde(rename = "a")]
     pub address: SocketAddr,
-    /// The start of the process; no other start has the same.
+    /// The unique id of the process start.
     #[serde(rename = "i")]
     pub writer: String,
-    /// Where the partition ended before it: unlike any other's, and the latest home has the highest.
+    /// The end offset of the partition before this record: unique, and highest for the latest home.
     #[serde(rename = "n")]
     pub number: u64,
-    /// Its standing slices are budgets halved so many times.
+    /// The number of times that a budget is halved for a standing slice.
     #[serde(rename = "e")]
     pub halvings: u32,
     /// When it was written, in Unix milliseconds by the writer's clock.
     #[serde(rename = "w")]
     pub recorded_unix_ms: u64,
-    /// The longest retention of a program that may have a standing slice, in milliseconds.
+    /// The longest retention of any program with a standing slice, in milliseconds.
     #[serde(rename = "r")]
     pub retain_ms: u64,
 }
 
 impl HomeRecord {
-    /// The key of the record. A process that becomes a home again has another one: what it gave out the
-    /// first time counts on, unless it was recorded with a planned end.
+    /// Returns the key of the record. A process that becomes a home again gets another key: what it
+    /// granted the first time still counts, unless it was recorded by an orderly release.
     #[must_use]
     pub fn key(&self) -> String {
         home_key(&self.writer, self.number)
     }
 
-    /// The home's standing slice of each program with this budget.
+    /// Returns the home's standing slice of a program with this budget.
     #[must_use]
     pub fn standing(&self, budget: Tokens) -> Tokens {
         standing_slice(budget, self.halvings)
     }
 }
 
-/// The standing slice of a program with this budget at a home with so many halvings.
+/// Returns the standing slice of a program with this budget at a home with this many halvings.
 #[must_use]
 pub fn standing_slice(budget: Tokens, halvings: u32) -> Tokens {
     Tokens(budget.0.checked_shr(halvings).unwrap_or(0))
 }
 
-/// What a home may give out of a program that it begins, for a turn that generates at most `turn`: its
-/// standing slice, and the whole of one turn if it is the first home.
+/// Returns what a home may grant to a program that it starts, for a turn of at most `turn`
+/// tokens: its standing slice, but at least one whole turn if it is the first home.
 ///
-/// A budget allows the turn during which it is reached. Without this part of it, the standing slices of
-/// small budgets hold no turn: such programs needed the store to begin, and none of them could while it
-/// was away. The first home alone has it, and [`BudgetView::decide`] leaves it out of slices.
+/// A budget allows the turn during which it is reached. If the first home couldn't use that,
+/// standing slices of small budgets would be too small for a turn, and such programs couldn't start
+/// while the store is unavailable. Only the first home may, and [`BudgetView::decide`] deducts it
+/// from slices.
 #[must_use]
 pub fn first_grant(budget: Tokens, halvings: u32, turn: Tokens) -> Tokens {
     let standing = standing_slice(budget, halvings);
@@ -138,39 +136,39 @@
     }
 }
 
-/// The key of the record of a home, by its start and number.
+/// Returns the key of a home's record, by process start and home number.
 #[must_use]
 pub fn home_key(writer: &str, number: u64) -> String {
     format!("home/{writer}/{number}")
 }
 
-/// A record of a partition of budgets.
+/// A record of a budget partition.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BudgetRecord {
     /// A slice of a program's budget.
     #[serde(rename = "s")]
     Slice(SliceRecord),
-    /// A home.
+    /// A home of the partition.
     #[serde(rename = "h")]
     Home(HomeRecord),
 }
 
-/// Whether a program may have one more slice.
+/// The result of [`BudgetView::decide`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SliceDecision {
-    /// Append a slice of this size.
+    /// A slice may be appended.
     Reserve {
-        /// The size.
+        /// The size of the slice.
         tokens: Tokens,
     },
-    /// All is reserved.
+    /// The whole budget is reserved.
     Exhausted,
 }
 
-/// What one process has read of one partition.
+/// A process's view of one partition, up to the offset that it has read.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct BudgetView {
-    /// The offset up to which the partition was read.
+    /// The offset of the next record to read.
     pub end: u64,
     programs: BTreeMap<String, ProgramView>,
     homes: BTreeMap<String, HomeRecord>,
@@ -184,7 +182,7 @@
 }
 
 impl ProgramView {
-    fn sum(&self) -> Tokens {
+    fn slice_sum(&self) -> Tokens {
         self.slices.values().map(|slice| slice.tokens).sum()
     }
 }
@@ -196,13 +194,13 @@
 }
 
 impl BudgetView {
-    /// The view of a partition that has no records.
+    /// Creates the view of a partition without records.
     #[must_use]
     pub fn empty() -> Self {
         Self::default()
     }
 
-    /// Takes a record that was read; a key that was seen before changes nothing.
+    /// Applies a record; a record with a known key has no further effect.
     pub fn apply(&mut self, key: &str, record: &BudgetRecord) {
         match record {
             BudgetRecord::Slice(slice) => self.apply_slice(key, slice),
@@ -223,67 +221,68 @@
         program.slices.insert(key.to_owned(), slice);
     }
 
-    /// Forgets a record whose key was dropped.
+    /// Removes the record with a key that was dropped from the partition.
     pub fn drop_key(&mut self, key: &str) {
         if self.homes.remove(key).is_some() {
             return;
         }
         self.programs.retain(|_, program| {
-            let was_there = program.slices.remove(key).is_some();
-            !(was_there && program.slices.is_empty())
+            let had_slice = program.slices.remove(key).is_some();
+            !(had_slice && program.slices.is_empty())
         });
     }
 
-    /// Whether the record of a home with this key is in the partition.
+    /// Whether the partition has the record of a home with this key.
     #[must_use]
     pub fn has_home(&self, key: &str) -> bool {
         self.homes.contains_key(key)
     }
 
-    /// The size of the slice with this key, if it is in the partition.
+    /// Returns the size of the slice with this key, if the partition has it.
     #[must_use]
     pub fn slice_tokens(&self, program: &str, key: &str) -> Option<Tokens> {
         let slice = self.programs.get(program)?.slices.get(key)?;
         Some(slice.tokens)
     }
 
-    /// What of a program's budget is given out: its slices, and the standing slices of homes.
+    /// Returns the reserved part of a program's budget: its slices, and the standing slices of
+    /// homes.
     #[must_use]
     pub fn reserved(&self, program: &str, budget: Tokens) -> Tokens {
         match self.programs.get(program) {
-            Some(known) => Tokens(known.sum().0 + known.standing.0),
+            Some(known) => Tokens(known.slice_sum().0 + known.standing.0),
             None => self.homes.values().map(|home| home.standing(budget)).sum(),
         }
     }
 
-    /// Whether the program has records.
+    /// Whether the program has any records.
     #[must_use]
     pub fn has_program(&self, program: &str) -> bool {
         self.programs.contains_key(program)
     }
 
-    /// Whether the home with this number has a standing slice of the program: the program has no
-    /// records, or the first of them counts it.
+    /// Whether the home with this number has a standing slice of the program: either the program
+    /// has no records yet, or they count it.
     #[must_use]
     pub fn has_standing_slice(&self, program: &str, home: u64) -> bool {
         let known = self.programs.get(program);
         known.is_none_or(|known| known.homes.contains(&home))
     }
 
-    /// The slices of a program: sizes, and where their holders can be asked.
+    /// Returns the sizes of a program's slices, and the addresses of their holders.
     pub fn slices(&self, program: &str) -> impl Iterator<Item = (Tokens, Option<SocketAddr>)> {
         let known = self.programs.get(program);
         let slices = known.into_iter().flat_map(|known| known.slices.values());
         slices.map(|slice| (slice.tokens, slice.holder))
     }
 
-    /// The standing slices that a program's records count; none where it has no records.
+    /// Returns the sum of the standing slices that a program's records count, if it has records.
     #[must_use]
     pub fn standing(&self, program: &str) -> Option<Tokens> {
         Some(self.programs.get(program)?.standing)
     }
 
-    /// All homes, by number.
+    /// Returns all homes, ordered by number.
     #[must_use]
     pub fn homes(&self) -> Vec<&HomeRecord> {
         let mut homes: Vec<&HomeRecord> = self.homes.values().collect();
@@ -291,21 +290,21 @@
         homes
     }
 
-    /// Where the processes that hold slices of a program can be asked.
+    /// Returns the addresses of the processes that hold slices of a program.
     #[must_use]
     pub fn holders(&self, program: &str) -> BTreeSet<SocketAddr> {
         let holders = self.slices(program).filter_map(|(_, holder)| holder);
         holders.collect()
     }
 
-    /// The latest home.
+    /// Returns the latest home.
     #[must_use]
     pub fn latest_home(&self) -> Option<&HomeRecord> {
         self.homes.values().max_by_key(|home| home.number)
     }
 
-    /// The record that makes a process the next home; its standing slices and those of the homes
-    /// that are there are less than a whole budget.
+    /// Returns the record that makes a process the next home. Its number of halvings is unused, so
+    /// that the standing slices of all homes together are less than a whole budget.
     #[must_use]
     pub fn next_home(&self, address: SocketAddr, writer: &str) -> HomeRecord {
         let is_free = |halvings: &u32| self.homes.values().all(|home| home.halvings != *halvings);
@@ -319,7 +318,7 @@
         }
     }
 
-    /// A slice of a program as this view counts it, without times and holder.
+    /// Returns the record of a new slice of a program, without times and holder.
     #[must_use]
     pub fn slice(&self, program: &str, budget: Tokens, tokens: Tokens) -> SliceRecord {
         let (standing, homes) = match self.programs.get(program) {
@@ -338,30 +337,30 @@
         }
     }
 
-    /// Decides over one more slice for a turn that generates at most `turn`.
+    /// Decides on a further slice for a turn of at most `turn` tokens.
     ///
-    /// The last slice may exceed the budget by less than one turn, since the budget allows the turn
-    /// during which it is reached; less that part of a turn that the first home may have given out
-    /// beyond its standing slice.
+    /// The last slice may exceed the budget by less than one turn, since a budget allows the turn
+    /// during which it is reached. What the first home may have granted beyond its standing slice
+    /// is deducted.
     #[must_use]
     pub fn decide(&self, program: &str, budget: Tokens, turn: Tokens) -> SliceDecision {
         let left = budget.saturating_sub(self.reserved(program, budget));
         if left == Tokens(0) {
             return SliceDecision::Exhausted;
         }
-        let beyond = if self.counts_first_home(program, budget) {
+        let overdraft = if self.counts_first_home(program, budget) {
             turn.min(standing_slice(budget, FIRST_HALVINGS))
         } else {
             turn
         };
         let tokens = Tokens(left.0 / SLICE_DIVISOR).max(turn);
         SliceDecision::Reserve {
-            tokens: tokens.min(Tokens(left.0 + beyond.0)),
+            tokens: tokens.min(Tokens(left.0 + overdraft.0)),
         }
     }
 
-    /// Whether the standing slice of a first home counts for the program. The standing slices of all
-    /// later homes together are less than that of a first one.
+    /// Whether the standing slice of a first home counts for the program. It exceeds the standing
+    /// slices of all later homes together.
     fn counts_first_home(&self, program: &str, budget: Tokens) -> bool {
         if let Some(known) = self.programs.get(program) {
             return known.standing >= standing_slice(budget, FIRST_HALVINGS);
@@ -371,19 +370,19 @@
     }
 }
 
-/// For how long a home may give out standing slices after it last saw that it is the latest, in
-/// milliseconds. Outages of the store are shorter; what is given out later must be asked for there.
+/// How long a home may grant standing slices after it last confirmed that it is the latest home. It
+/// is longer than outages of the store.
 pub const HOME_LEASE_MS: u64 = 120_000;
 
-/// The keys of a partition's records that are needed no more: those of programs that ended long
-/// ago, and of homes whose standing slices none but such programs can have.
+/// Returns the keys of records that are no longer needed: those of programs that ended long ago,
+/// and of homes whose standing slices belong only to such programs.
 ///
-/// A program's slices go together or not at all: with only the older ones gone, its budget would
-/// count less than was spent. Each process that runs a program writes a record for it at least once
-/// in a retention, so that a program whose newest record has expired runs nowhere.
+/// A program's slices expire together: without the older ones, its spent budget would be available
+/// again. Each process that runs a program writes a record for it at least once per retention, so a
+/// program whose newest record has expired isn't running anywhere.
 ///
-/// A home goes when another one came after it, its lease has ended, and all programs that it began
-/// have ended or have records that count it.
+/// A home's record expires after another home has replaced it, its lease has ended, and all
+/// programs that it started have ended or have records that count it.
 #[must_use]
 pub fn expired_keys(records: &[(String, BudgetRecord)], now_unix_ms: u64) -> Vec<String> {
     let mut is_live: BTreeMap<&str, bool> = BTreeMap::new();
@@ -400,39 +399,39 @@
             }
         }
     }
-    let is_needless = |record: &BudgetRecord| match record {
+    let is_obsolete = |record: &BudgetRecord| match record {
         BudgetRecord::Slice(slice) => !is_live[slice.program.as_str()],
         BudgetRecord::Home(home) => latest.is_some_and(|latest| {
             let ended_unix_ms = latest.recorded_unix_ms.saturating_add(HOME_LEASE_MS);
             latest.number > home.number && is_expired(ended_unix_ms, home.retain_ms, now_unix_ms)
         }),
     };
-    let ended = records.iter().filter(|(_, record)| is_needless(record));
-    ended.map(|(key, _)| key.clone()).collect()
+    let obsolete = records.iter().filter(|(_, record)| is_obsolete(record));
+    obsolete.map(|(key, _)| key.clone()).collect()
 }
 
-/// What one process holds of one program's budget.
+/// The part of a program's budget that one process holds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ProgramSlices {
-    /// The sum of its own slices.
+    /// The sum of the process's slices.
     pub granted: Tokens,
-    /// What was handed to callers.
+    /// The tokens delivered to callers.
     pub spent: Tokens,
-    /// The most that running turns may still hand out.
+    /// The maximum that running turns may still deliver.
     pub outstanding: Tokens,
     /// The part of `granted` that is a home's standing slice.
     pub standing: Tokens,
-    /// What turns that other processes run have of `granted` no more, less what came back.
+    /// The tokens taken out of `granted` for turns that other processes run, less what they
+    /// returned.
     pub handed_over: Tokens,
 }
 
 impl ProgramSlices {
-    /// Whether the next slice should be reserved before a turn asks for it.
+    /// Whether the next slice should be reserved in advance.
     ///
-    /// While the store is away, a program goes on with what is held. With slices reserved only when
-    /// a turn needs them, nine in ten programs that met an outage of 7 s had a turn or two left and
-    /// failed. How long a program is going to run is unknown; on average it is as long again as it
-    /// has run so far, so that as much as it has used should be free, and one turn at least.
+    /// While the store is unavailable, a program can spend only what is held: with slices reserved
+    /// on demand, it would fail after a turn or two. A program is expected to use as much again as
+    /// it has used so far, so that much should be free, and at least one turn.
     #[must_use]
     pub fn is_low(&self, turn: Tokens) -> bool {
         let used = Tokens(self.spent.0 + self.outstanding.0);
@@ -440,7 +439,7 @@
         free < Tokens(used.0 + self.handed_over.0).max(turn)
     }
 
-    /// Sets a turn's maximum aside; false when the slices do not hold it.
+    /// Reserves a turn's maximum; returns false if the slices don't cover it.
     pub fn try_start(&mut self, turn: Tokens) -> bool {
         let committed = Tokens(self.spent.0 + self.outstanding.0 + turn.0);
         let fits = committed <= self.granted;
@@ -450,19 +449,21 @@
         fits
     }
 
-    /// Sets all that is free aside for a turn that needs `least` at the least; none where less is free.
+    /// Reserves all free tokens for a turn that needs at least `least`; returns none if fewer are
+    /// free.
     pub fn start_with_remaining(&mut self, least: Tokens) -> Option<Tokens> {
         let committed = Tokens(self.spent.0 + self.outstanding.0);
         let free = self.granted.saturating_sub(committed);
-        let starts = free > Tokens(0) && free >= least;
-        starts.then(|| {
+        let can_start = free > Tokens(0) && free >= least;
+        can_start.then(|| {
             self.outstanding.0 += free.0;
             free
         })
     }
 
-    /// Gives away what no running turn may need: half of it or `wanted`, whichever is more, and all
-    /// where that is less, since the asker may put several such rests together.
+    /// Lends tokens that no running turn needs: half of the free ones or `wanted`, whichever is
+    /// more, but at most all of them. Less than `wanted` still helps, since a borrower combines
+    /// several loans.
     pub fn lend(&mut self, wanted: Tokens) -> Tokens {
         let committed = Tokens(self.spent.0 + self.outstanding.0);
         let free = self.granted.saturating_sub(committed);
@@ -471,7 +472,7 @@
         lent
     }
 
-    /// Gives the standing slice up, and returns how much of it was used: what has no record yet.
+    /// Gives up the standing slice, and returns the used part of it, which has no record yet.
     pub fn release_standing(&mut self) -> Tokens {
         let committed = Tokens(self.spent.0 + self.outstanding.0);
         let free = self.granted.saturating_sub(committed).min(self.standing);
@@ -481,20 +482,20 @@
         used
     }
 
-    /// Hands a turn that was started over to another process, which runs it.
+    /// Transfers a started turn to another process, which runs it.
     pub fn hand_over(&mut self, turn: Tokens) {
         self.outstanding = self.outstanding.saturating_sub(turn);
         self.granted = self.granted.saturating_sub(turn);
         self.handed_over.0 += turn.0;
     }
 
-    /// Takes back what a turn elsewhere did not hand out.
+    /// Takes back what a transferred turn did not deliver.
     pub fn take_back(&mut self, tokens: Tokens) {
         self.granted.0 += tokens.0;
         self.handed_over = self.handed_over.saturating_sub(tokens);
     }
 
-    /// Ends a turn that was started with `turn` and handed out `spent`.
+    /// Ends a turn that was started with `turn` and delivered `spent`.
     pub fn finish(&mut self, turn: Tokens, spent: Tokens) {
         self.outstanding = self.outstanding.saturating_sub(turn);
         self.spent.0 += spent.0;
--- a/clementinepick/src/retry.rs
+++ b/clementinepick/src/retry.rs
@@ -1,41 +1,44 @@
-//! The budget of retries: a share of the calls, so that an outage is not answered with a storm.
+//! Limits retries to a share of the calls, so that an outage doesn't cause a retry storm.
 //!
-//! When a service fails as a whole, each of its calls fails and would be sent again up to its limit
-//! of attempts, which multiplies the load just when there is least to serve it with. The budget is
-//! filled by calls and emptied by retries, so over time at most its share of them is sent again.
+//! When a whole service fails, each of its calls would be retried up to its attempt limit, which
+//! multiplies the load when the capacity is lowest. Each call deposits a fraction of a retry and
+//! each retry withdraws a whole one, so that in the long run at most that share of the calls is
+//! retried.
 
 use crate::units::Percent;
 
-/// Thousandths of a retry that the budget holds at most, and at first: a few calls that fail by
-/// themselves are tried again also where there is little traffic.
-const MOST: u64 = 10_000;
-/// Thousandths that one retry takes.
-const RETRY: u64 = 1_000;
+/// The capacity and initial balance, in thousandths of a retry: occasional failures are retried
+/// even where there is little traffic.
+const CAPACITY_MILLI: u64 = 10_000;
+/// The cost of one retry, in thousandths of a retry.
+const RETRY_COST_MILLI: u64 = 1_000;
 
-/// The retries that a service may still make.
+/// The retry budget of one service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RetryBudget {
-    left_milli: u64,
+    balance_milli: u64,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { left_milli: MOST }
+        Self {
+            balance_milli: CAPACITY_MILLI,
+        }
     }
 }
 
 impl RetryBudget {
-    /// A call was sent for the first time; `share` of a retry is earned.
+    /// Records the first attempt of a call, which deposits `share` of a retry.
     pub fn deposit(&mut self, share: Percent) {
-        self.left_milli = (self.left_milli + share.of(RETRY)).min(MOST);
+        self.balance_milli = (self.balance_milli + share.of(RETRY_COST_MILLI)).min(CAPACITY_MILLI);
     }
 
-    /// Takes one retry out; false when none is left.
+    /// Withdraws one retry; returns false if the balance is too low.
     pub fn try_withdraw(&mut self) -> bool {
-        let Some(left) = self.left_milli.checked_sub(RETRY) else {
+        let Some(remaining) = self.balance_milli.checked_sub(RETRY_COST_MILLI) else {
             return false;
         };
-        self.left_milli = left;
+        self.balance_milli = remaining;
         true
     }
 }
@@ -44,10 +47,9 @@
 mod tests {
     use super::*;
 
-    // Every call fails and would be sent again twice. After the few that the budget holds at first,
-    // only its share of them is.
+    // Every call fails and asks for two retries.
     #[test]
-    fn an_outage_is_answered_with_the_share_of_retries_only() {
+    fn retries_stay_within_their_share_in_an_outage() {
         let mut budget = RetryBudget::default();
         let share = Percent::new(10).expect("a share");
         let mut retries = 0;
--- a/clementinepick/src/step_validate.rs
+++ b/clementinepick/src/step_validate.rs
@@ -1,4 +1,4 @@
-//! First filter after parsing: checks a request against the document in force.
+//! Validates parsed requests against the document in force and creates their calls.
 
 use std::collections::BTreeSet;
 
@@ -26,10 +26,10 @@
     ) {
         let id = request.id;
         if self.calls.contains_key(&id) {
-            self.on_request_again(now, id, reply_to, out);
+            self.on_duplicate_request(now, id, reply_to, out);
             return;
         }
-        let call = match self.check(now, request, reply_to, hops) {
+        let call = match self.validate(now, request, reply_to, hops) {
             Ok(call) => call,
             Err(refused) => {
                 answer(reply_to, id, AnswerPart::Failed(refused), out);
@@ -40,8 +40,8 @@
         self.step_own(now, id, out);
     }
 
-    /// The same request has come another way, after the entry before this one lost its link.
-    fn on_request_again(
+    /// Handles a known request that arrives again over another path, after a link was lost.
+    fn on_duplicate_request(
         &mut self,
         now: TimeUs,
         id: crate::ids::RequestId,
@@ -51,8 +51,9 @@
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        // An entry that sent the request on and gets it back must not become its own owner's
-        // caller: the answer would go round between the two.
+        // The entry that this one forwarded the request to has sent it back. Replying to it would
+        // pass the answer round in a loop, so the forward is cancelled and the owner is looked up
+        // again.
         if let Step::Forwarded(to) = &call.step
             && *reply_to == ReplyTo::Entry(to.clone())
         {
@@ -67,7 +68,7 @@
             return;
         }
         call.reply_to = reply_to.clone();
-        // What was sent over the lost link may not have come; a part that did is passed over there.
+        // Parts sent over the lost link may not have arrived; the receiver ignores duplicates.
         if let Some(plain) = call.plain.clone() {
             answer(reply_to, id, AnswerPart::Plain(plain), out);
         }
@@ -83,7 +84,7 @@
         }
     }
 
-    fn check(
+    fn validate(
         &self,
         now: TimeUs,
         request: Request,
@@ -95,15 +96,15 @@
             return Err(CallError::new(ErrorKind::NotReady, detail));
         }
         if self.leaving && *reply_to == ReplyTo::Caller {
-            let detail = "this entry is leaving";
+            let detail = "this entry is shutting down";
             return Err(CallError::new(ErrorKind::ShuttingDown, detail));
         }
         let Some(in_force) = self.config.service(&request.service) else {
-            let detail = format!("no document for `{}` is in force", request.service);
+            let detail = format!("service `{}` has no document in force", request.service);
             return Err(CallError::at(ErrorKind::UnknownService, "service", detail));
         };
         let idempotent = is_idempotent(&in_force.document, &request)?;
-        let class = class_of(in_force, &request);
+        let class = resolve_class(in_force, &request);
         let Some(rules) = in_force.document.class(&class) else {
             let detail = format!(
                 "the document of `{}` has no class `{class}`",
@@ -146,7 +147,7 @@
     match &request.payload {
         Payload::Chat(chat) => {
             if !document.models.is_empty() && !document.models.contains(&chat.model) {
-                let detail = format!("`{}` is not served here", chat.model);
+                let detail = format!("model `{}` is not served by this service", chat.model);
                 return Err(CallError::at(ErrorKind::UnknownModel, "model", detail));
             }
             Ok(true)
@@ -155,7 +156,7 @@
     }
 }
 
-fn class_of(in_force: &InForce, request: &Request) -> ClassName {
+fn resolve_class(in_force: &InForce, request: &Request) -> ClassName {
     let document = &in_force.document;
     let route_class = match &request.payload {
         Payload::Chat(_) => None,
--- a/clementinepick/src/traffic_config.rs
+++ b/clementinepick/src/traffic_config.rs
@@ -1,70 +1,70 @@
-//! The configuration that decides which service runs a request, and under which limits.
+//! Defines the traffic configuration: routes, services and caller limits.
 
 use std::collections::BTreeMap;
 
 use crate::units::{SpanUs, Tokens};
 
-/// Whether a request may be executed again.
+/// Whether and how a request may be executed more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestKind {
-    /// Any number of executions is harmless.
+    /// May be executed any number of times.
     Idempotent,
-    /// At most one execution for each request of a caller.
+    /// Must be executed at most once for each request of a caller.
     NonIdempotent,
-    /// The answer is a series of events.
+    /// Is answered with a stream of events.
     Streaming,
 }
 
-/// One route: which requests it takes, and how they are handled.
+/// A route: which requests match it, and how they are handled.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TrafficRoute {
     /// The route's name, for logs.
     pub name: String,
-    /// The host that requests name.
+    /// The host that it matches, ignoring case.
     pub host: String,
-    /// The start of the paths it takes; begins and ends with a slash.
+    /// The path prefix that it matches; begins and ends with a slash.
     pub path_prefix: String,
-    /// Whether its requests may be executed again.
+    /// Whether its requests may be executed more than once.
     pub kind: RequestKind,
-    /// The services that run its requests, with their weights; never empty.
+    /// The services that run its requests, with their weights; not empty.
     pub services: Vec<(String, u32)>,
     /// The longest time from a request's arrival to the end of its answer.
     pub timeout_us: SpanUs,
-    /// The time in which callers want the answer, or its first event.
+    /// The target time to the answer, or to its first event.
     pub target_latency_us: SpanUs,
-    /// The longest pause between events that callers accept.
+    /// The target for the longest gap between two events.
     pub gap_target_us: SpanUs,
-    /// How many backend servers one request may be sent to.
+    /// The maximum number of backend servers that one request is sent to.
     pub attempts: u32,
-    /// The rank among routes; 0 is served first.
+    /// The priority among routes; 0 is served first.
     pub priority: u32,
-    /// Whether an interrupted stream may continue on another backend server.
+    /// Whether an interrupted stream may be resumed on another backend server.
     pub is_resumable: bool,
-    /// Whether turns carry only their new input and the rest is kept here.
+    /// Whether requests carry only the new input of a turn, and the previous turns are stored here.
     pub keeps_context: bool,
-    /// How long after their end turns, and after its last turn a program's budget, must be kept.
+    /// How long turns are kept after their end, and a program's budget after its last turn.
     pub retention_us: SpanUs,
 }
 
-/// What is known of a service, apart from its backend servers.
+/// The configuration of a service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TrafficService {
-    /// The connections that one backend server accepts from all callers together.
+    /// The maximum number of connections to one backend server from all gateways together.
     pub max_connections: u32,
-    /// The tokens that one event of a stream carries.
+    /// The number of tokens in one event of a stream.
     pub tokens_per_event: Tokens,
 }
 
-/// What a caller may send, and how long it may take.
+/// Size limits and timeouts of callers' requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// The largest request head, in bytes.
+    /// The maximum size of a request head.
     pub head_bytes: usize,
-    /// The largest request body, in bytes.
+    /// The maximum size of a request body.
     pub body_bytes: usize,
-    /// The longest time from the first byte of a head to its last.
+    /// The timeout for receiving a request head, from its first byte.
     pub head_us: SpanUs,
-    /// How long a connection may stay idle.
+    /// The timeout of idle connections.
     pub idle_us: SpanUs,
 }
 
@@ -79,21 +79,21 @@
     }
 }
 
-/// One version of the configuration in full.
+/// A complete version of the traffic configuration.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct TrafficConfig {
-    /// Grows with each change.
+    /// The version number, which increases with each change.
     pub version: u64,
-    /// All routes.
+    /// The routes.
     pub routes: Vec<TrafficRoute>,
-    /// All services by name.
+    /// The services by name.
     pub services: BTreeMap<String, TrafficService>,
-    /// What callers may send.
+    /// The limits for callers' requests.
     pub limits: CallerLimits,
 }
 
 impl TrafficConfig {
-    /// The route with the longest prefix of `path` among those of `host`.
+    /// Returns the route of `host` with the longest matching prefix of `path`.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&TrafficRoute> {
         self.routes
@@ -103,7 +103,7 @@
             .max_by_key(|route| route.path_prefix.len())
     }
 
-    /// The longest retention of all routes.
+    /// Returns the longest retention of all routes.
     #[must_use]
     pub fn longest_retention_us(&self) -> SpanUs {
         let retentions = self.routes.iter().map(|route| route.retention_us);
@@ -112,17 +112,17 @@
 }
 
 impl TrafficRoute {
-    /// The service for a request, chosen by weight with `draw`, a uniform random number.
+    /// Chooses a service by weight, using the uniform random number `draw`.
     #[must_use]
     pub fn choose_service(&self, draw: u64) -> Option<&str> {
         let total: u64 = self.services.iter().map(|(_, w)| u64::from(*w)).sum();
-        let mut left = draw.checked_rem(total)?;
+        let mut offset = draw.checked_rem(total)?;
         for (name, weight) in &self.services {
             let weight = u64::from(*weight);
-            if left < weight {
+            if offset < weight {
                 return Some(name);
             }
-            left -= weight;
+            offset -= weight;
         }
         None
     }
--- a/clementinepick/src/turn_chain.rs
+++ b/clementinepick/src/turn_chain.rs
@@ -1,4 +1,4 @@
-//! The chain of turns that a later turn continues from, and its records.
+//! Links turns into chains, builds prompts from them and converts turns to stored records.
 
 use std::sync::Arc;
 
@@ -8,56 +8,57 @@
 
 use crate::record_age::KEPT_RETENTIONS;
 
-/// One ended turn in memory, linked to the turn it continues from.
+/// A completed turn in memory, linked to the turn it continues from.
 #[derive(Debug)]
 pub struct Turn {
     /// The id of the request that ran it.
     pub id: String,
-    /// The turn before it.
+    /// The previous turn.
     pub parent: Option<Arc<Turn>>,
-    /// The server that ran it and may keep its prompt.
+    /// The server that ran it and may have its prompt cached.
     pub server: Option<String>,
     /// What the caller sent.
     pub input: Bytes,
-    /// The data of each of its events, each followed by a line feed.
+    /// The data of its events, each followed by a line feed.
     pub output: Bytes,
     /// When its record was written, in Unix milliseconds by the writer's clock.
     pub recorded_unix_ms: u64,
 }
 
 impl Turn {
-    /// This turn and all before it, newest first.
-    fn line(self: &Arc<Self>) -> Vec<Arc<Self>> {
+    /// Returns this turn and all previous ones, newest first.
+    fn chain(self: &Arc<Self>) -> Vec<Arc<Self>> {
         std::iter::successors(Some(Arc::clone(self)), |turn| turn.parent.clone()).collect()
     }
 
-    /// The bytes of this one turn.
+    /// Returns the size of this turn, without the previous ones.
     #[must_use]
     pub fn own_bytes(&self) -> usize {
         self.input.len() + self.output.len()
     }
 
-    /// When the oldest record that this chain needs was written.
+    /// Returns the time of the oldest record of this chain, in Unix milliseconds.
     #[must_use]
     pub fn oldest_unix_ms(self: &Arc<Self>) -> u64 {
-        let line = self.line();
-        line.iter()
+        let chain = self.chain();
+        chain
+            .iter()
             .map(|turn| turn.recorded_unix_ms)
             .min()
             .unwrap_or(self.recorded_unix_ms)
     }
 }
 
-/// The prompt of a new turn: all inputs and outputs before it, oldest first, then `input`.
+/// Builds the prompt of a new turn: all previous inputs and outputs, oldest first, then `input`.
 #[must_use]
 pub fn build_prompt(previous: Option<&Arc<Turn>>, input: &Bytes) -> Bytes {
     let Some(previous) = previous else {
         return input.clone();
     };
-    let line = previous.line();
-    let size = line.iter().map(|turn| turn.own_bytes()).sum::<usize>() + input.len();
+    let chain = previous.chain();
+    let size = chain.iter().map(|turn| turn.own_bytes()).sum::<usize>() + input.len();
     let mut prompt = BytesMut::with_capacity(size);
-    for turn in line.iter().rev() {
+    for turn in chain.iter().rev() {
         prompt.extend_from_slice(&turn.input);
         prompt.extend_from_slice(&turn.output);
     }
@@ -65,11 +66,11 @@
     prompt.freeze()
 }
 
-/// The record of an ended turn.
+/// The stored record of a completed turn.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TurnRecord {
-    /// The turn it continues from; none at the start of a chain, and none when `input` holds the
-    /// whole chain before it.
+    /// The turn it continues from; none at the start of a chain, or if the input contains the whole
+    /// previous chain.
     #[serde(rename = "p", default, skip_serializing_if = "Option::is_none")]
     pub parent: Option<String>,
     /// The server that ran it.
@@ -78,13 +79,13 @@
     /// When it was written, in Unix milliseconds by the writer's clock.
     #[serde(rename = "w")]
     pub recorded_unix_ms: u64,
-    /// How long it must stay available, in milliseconds.
+    /// The retention, in milliseconds.
     #[serde(rename = "r")]
     pub retain_ms: u64,
-    /// The length of `body` that is input; the rest is output.
+    /// The length of the input at the start of `body`; the rest is output.
     #[serde(rename = "i")]
     pub input_bytes: usize,
-    /// How many further records hold the body, if it is longer than a record may be.
+    /// The number of further records that hold the body, if it exceeds the size of one record.
     #[serde(rename = "n", default)]
     pub parts: usize,
     /// Input and output; empty when further records hold them.
@@ -124,21 +125,22 @@
     }
 }
 
-/// A record that can't be read.
+/// A turn record that can't be decoded.
 #[derive(Debug, Error)]
-#[error("the record of turn {id} can't be read: {detail}")]
+#[error("decoding the record of turn {id} failed: {detail}")]
 pub struct InvalidTurnRecord {
-    /// The turn.
+    /// The id of the turn.
     pub id: String,
-    /// Why.
+    /// The reason.
     pub detail: String,
 }
 
 /// Whether a turn that ends at `now_unix_ms` must be recorded with its whole chain.
 ///
-/// A record is kept for [`KEPT_RETENTIONS`] times its retention, and a chain needs its oldest record
-/// for one retention after its newest turn. A chain that is continued for longer would lose its
-/// start; written whole before the oldest record has only one retention left, it never does.
+/// A record is kept for [`KEPT_RETENTIONS`] times its retention, and a chain needs its oldest
+/// record for one retention after its newest turn. A longer conversation would lose its start;
+/// writing the whole chain again before its oldest record has only one retention left prevents
+/// that.
 #[must_use]
 pub fn needs_whole_chain(previous: &Arc<Turn>, now_unix_ms: u64, retain_ms: u64) -> bool {
     let age_ms = now_unix_ms.saturating_sub(previous.oldest_unix_ms());
@@ -146,7 +148,7 @@
 }
 
 impl TurnRecord {
-    /// The record of a turn, without those before it.
+    /// Creates the record of a turn, without the previous ones.
     #[must_use]
     pub fn of(turn: &Turn, retain_ms: u64) -> Self {
         let mut body = BytesMut::with_capacity(turn.own_bytes());
@@ -163,11 +165,11 @@
         }
     }
 
-    /// The turn that this record describes, below `parent`.
+    /// Converts the record to a turn that continues from `parent`.
     ///
     /// # Errors
     ///
-    /// The lengths in the record contradict each other.
+    /// Returns an error if the input is longer than the body.
     pub fn into_turn(
         self,
         id: String,
--- a/clementinepick/tests/budget_ledger.rs
+++ b/clementinepick/tests/budget_ledger.rs
@@ -1,4 +1,4 @@
-//! Slices of budgets as several processes read and write one partition.
+//! Tests budget slices with several processes that read and write one partition.
 
 use clementinepick::budget_ledger::{
     BudgetRecord, BudgetView, HOME_LEASE_MS, HomeRecord, ProgramSlices, SliceDecision, SliceRecord,
@@ -7,7 +7,7 @@
 use clementinepick::units::Tokens;
 use proptest::prelude::*;
 
-/// A partition with the condition that appends are made under.
+/// A log partition with conditional appends.
 #[derive(Default)]
 struct Partition {
     records: Vec<(String, Option<BudgetRecord>)>,
@@ -34,7 +34,7 @@
     }
 }
 
-/// One process: its view, its slices, its next key, and its number as a home.
+/// One process: its view, its slices, its last key, and its number and halvings as a home.
 #[derive(Default)]
 struct Process {
     view: BudgetView,
@@ -44,11 +44,11 @@
     standing_home: Option<u64>,
 }
 
-/// The budget and the most of one turn.
+/// A program's budget, and the maximum of one turn.
 #[derive(Clone, Copy)]
 struct Program {
     budget: Tokens,
-    most: Tokens,
+    max_turn: Tokens,
 }
 
 impl Process {
@@ -57,7 +57,7 @@
         format!("p/{name}/{}", self.sequence)
     }
 
-    /// Runs a turn that hands out `spent`; true when it was admitted.
+    /// Runs a turn that delivers `spent`; returns whether it was admitted.
     fn turn(
         &mut self,
         name: usize,
@@ -67,16 +67,16 @@
     ) -> bool {
         let admitted = self.admit(name, partition, program);
         if admitted {
-            self.slices.finish(program.most, spent);
+            self.slices.finish(program.max_turn, spent);
         }
         admitted
     }
 
     fn admit(&mut self, name: usize, partition: &mut Partition, program: Program) -> bool {
-        let Program { budget, most } = program;
-        self.take_standing(budget, most);
-        while !self.slices.try_start(most) {
-            let SliceDecision::Reserve { tokens } = self.view.decide("p", budget, most) else {
+        let Program { budget, max_turn } = program;
+        self.take_standing(budget, max_turn);
+        while !self.slices.try_start(max_turn) {
+            let SliceDecision::Reserve { tokens } = self.view.decide("p", budget, max_turn) else {
                 return false;
             };
             let key = self.key(name);
@@ -90,19 +90,19 @@
         true
     }
 
-    fn take_standing(&mut self, budget: Tokens, most: Tokens) {
+    fn take_standing(&mut self, budget: Tokens, max_turn: Tokens) {
         let Some((number, halvings)) = self.home else {
             return;
         };
         if self.standing_home != Some(number) && self.view.has_standing_slice("p", number) {
-            let tokens = first_grant(budget, halvings, most);
+            let tokens = first_grant(budget, halvings, max_turn);
             self.standing_home = Some(number);
             self.slices.standing = tokens;
             self.slices.granted.0 += tokens.0;
         }
     }
 
-    /// Becomes a home, whether another one lives or not.
+    /// Becomes a home, even if another one is live.
     fn become_home(&mut self, name: usize, partition: &mut Partition) {
         if self.home.is_some() {
             return;
@@ -116,7 +116,7 @@
         partition.read_on(&mut self.view);
     }
 
-    /// Ends being a home: records what was used of the standing slice.
+    /// Stops being a home, and records the used part of the standing slice.
     fn release(&mut self, name: usize, partition: &mut Partition, budget: Tokens) {
         let Some((number, _)) = self.home.take() else {
             return;
@@ -137,12 +137,12 @@
     }
 }
 
-/// What one process does next.
+/// A step of one process.
 #[derive(Debug, Clone)]
 enum Step {
     Turn { percent: u64 },
     LendToNext { percent: u64 },
-    Lose,
+    Crash,
     BecomeHome,
     Release,
     FailToRelease,
@@ -152,7 +152,7 @@
     prop_oneof![
         6 => (0_u64..=100).prop_map(|percent| Step::Turn { percent }),
         2 => (0_u64..=100).prop_map(|percent| Step::LendToNext { percent }),
-        1 => Just(Step::Lose),
+        1 => Just(Step::Crash),
         2 => Just(Step::BecomeHome),
         1 => Just(Step::Release),
         1 => Just(Step::FailToRelease),
@@ -162,37 +162,37 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
-    /// Processes take turns, lend the maximum of a turn and get back what it did not need, become
-    /// homes of the partition at the same time and one after the other, also again, end that properly
-    /// or without its record, or are lost with all they hold. Together they never hand out more than the budget and one turn.
+    /// Processes run turns, transfer turns and take back their unused tokens, become homes
+    /// concurrently or repeatedly, stop with or without a record, or are lost. Together they never
+    /// deliver more than the budget and one turn.
     #[test]
     fn processes_never_exceed_a_budget(
         budget in 1_u64..5_000,
-        most in 1_u64..800,
+        max_turn in 1_u64..800,
         steps in prop::collection::vec((0_usize..4, step()), 1..200),
     ) {
         let mut partition = Partition::default();
         let mut processes: Vec<Process> = (0..4).map(|_| Process::default()).collect();
-        let program = Program { budget: Tokens(budget), most: Tokens(most) };
-        let mut handed_out = 0;
+        let program = Program { budget: Tokens(budget), max_turn: Tokens(max_turn) };
+        let mut delivered = 0;
         for (number, (name, step)) in steps.into_iter().enumerate() {
             let process = &mut processes[name];
             match step {
                 Step::Turn { percent } => {
-                    let spent = most * percent / 100;
+                    let spent = max_turn * percent / 100;
                     if process.turn(name, &mut partition, program, Tokens(spent)) {
-                        handed_out += spent;
+                        delivered += spent;
                     }
                 }
                 Step::LendToNext { percent } => {
-                    let spent = most * percent / 100;
+                    let spent = max_turn * percent / 100;
                     if process.admit(name, &mut partition, program) {
-                        process.slices.hand_over(program.most);
-                        handed_out += spent;
-                        process.slices.take_back(Tokens(most - spent));
+                        process.slices.hand_over(program.max_turn);
+                        delivered += spent;
+                        process.slices.take_back(Tokens(max_turn - spent));
                     }
                 }
-                Step::Lose => {
+                Step::Crash => {
                     *process = Process { sequence: number as u64 * 1_000, ..Process::default() };
                 }
                 Step::BecomeHome => process.become_home(name, &mut partition),
@@ -203,18 +203,18 @@
                 Step::Release => process.release(name, &mut partition, program.budget),
             }
         }
-        prop_assert!(handed_out <= budget + most, "{handed_out} of {budget} + {most}");
+        prop_assert!(delivered <= budget + max_turn, "{delivered} of {budget} + {max_turn}");
     }
 }
 
 #[test]
-fn a_program_alone_gets_nearly_all_of_its_budget() {
+fn a_single_process_can_spend_the_whole_budget() {
     let mut partition = Partition::default();
     let mut process = Process::default();
     let mut turns = 0;
     let program = Program {
         budget: Tokens(4_000),
-        most: Tokens(500),
+        max_turn: Tokens(500),
     };
     while process.turn(0, &mut partition, program, Tokens(500)) {
         turns += 1;
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn a_record_that_is_read_twice_counts_once() {
+fn a_record_read_twice_counts_once() {
     let mut view = BudgetView::empty();
     let record = BudgetRecord::Slice(SliceRecord {
         program: "p".to_owned(),
@@ -237,21 +237,21 @@
 }
 
 #[test]
-fn what_a_turn_did_not_hand_out_is_free_again() {
+fn unused_tokens_of_a_turn_are_free_again() {
     let mut slices = ProgramSlices {
         granted: Tokens(100),
         ..ProgramSlices::default()
     };
     assert!(slices.try_start(Tokens(80)));
-    assert!(!slices.try_start(Tokens(80)), "80 are set aside");
+    assert!(!slices.try_start(Tokens(80)), "80 are reserved");
     slices.finish(Tokens(80), Tokens(15));
     assert!(slices.try_start(Tokens(80)));
 }
 
-/// A program runs for hours on one early slice and a process that says now and then that it runs.
-/// Its old slice must stay, or its budget would be there anew; when it has ended, all goes.
+/// A program runs for hours on one early slice, and only writes records to show that it is running.
+/// If the old slice expired, its budget would be available again.
 #[test]
-fn slices_are_dropped_together_and_only_after_the_end() {
+fn slices_expire_together_after_the_end_of_their_program() {
     let slice = |program: &str, at_s: u64, tokens: u64| {
         BudgetRecord::Slice(SliceRecord {
             program: program.to_owned(),
@@ -272,9 +272,9 @@
     assert_eq!(after_the_end, ["long/a", "long/b", "short/a"]);
 }
 
-/// A process lends what it does not need, and keeps what its running turns may still hand out.
+/// A process lends only tokens that its running turns can't need.
 #[test]
-fn only_what_no_turn_needs_is_lent() {
+fn only_free_tokens_are_lent() {
     let mut slices = ProgramSlices {
         granted: Tokens(1_000),
         ..ProgramSlices::default()
@@ -283,10 +283,14 @@
     assert_eq!(
         slices.lend(Tokens(100)),
         Tokens(350),
-        "half of the 700 that are free"
+        "half of the 700 free tokens"
     );
     assert_eq!(slices.lend(Tokens(200)), Tokens(200));
-    assert_eq!(slices.lend(Tokens(200)), Tokens(150), "all that is left");
+    assert_eq!(
+        slices.lend(Tokens(200)),
+        Tokens(150),
+        "all remaining tokens"
+    );
     assert_eq!(slices.lend(Tokens(100)), Tokens(0));
     slices.finish(Tokens(300), Tokens(300));
     assert_eq!(slices.granted, slices.spent);
@@ -304,9 +308,8 @@
     (format!("home/{number}"), BudgetRecord::Home(record))
 }
 
-/// A home is lost, and another one comes after it. The first one's record counts on until its lease
-/// has ended and the programs that it began can't be under way without a record: a program that got
-/// tokens from it would get them again. The latest home's record stays.
+/// A lost home's record counts until the home's lease has ended and none of its programs can still
+/// be running without a record: otherwise a program could get the same tokens again.
 #[test]
 fn a_lost_home_counts_until_its_programs_have_ended() {
     let records = [home(1, 0), home(8, 50_000)];
@@ -316,10 +319,10 @@
     assert_eq!(expired_keys(&records, u64::MAX), ["home/1"]);
 }
 
-/// A program that a home began is recorded by another process. That record counts the standing
-/// slices of all homes before it, and a home that comes later has none of this program.
+/// The first record of a program counts the standing slices of all homes before it; a later home
+/// has no standing slice of the program.
 #[test]
-fn standing_slices_count_by_the_order_of_the_records() {
+fn standing_slices_count_in_record_order() {
     let budget = Tokens(800);
     let mut view = BudgetView::empty();
     let address = "10.0.0.1:80".parse().expect("an address");
@@ -344,18 +347,18 @@
     assert_eq!(
         view.reserved("p", budget),
         Tokens(300),
-        "its record counts on"
+        "its record still counts"
     );
     assert_eq!(view.reserved("q", budget), Tokens(100));
 }
 
-/// A home began a program and ends properly; another one comes after it. What the first gave out
-/// is recorded with its end, so that the program can't have it again.
+/// A home that is released records what it granted, so that the program can't get it again from the
+/// next home.
 #[test]
-fn a_home_that_ends_leaves_a_record_of_what_it_gave() {
+fn a_released_home_records_what_it_granted() {
     let program = Program {
         budget: Tokens(4_000),
-        most: Tokens(500),
+        max_turn: Tokens(500),
     };
     let mut partition = Partition::default();
     let mut processes = [Process::default(), Process::default()];
@@ -373,13 +376,13 @@
     assert_eq!(turns, 8);
 }
 
-/// A process was the home of a partition and could not record its end; it becomes the home again. Its
-/// first standing slices count on beside the second ones: the programs of both have got some of them.
+/// A process becomes a home again without having recorded its release. Its first standing slices
+/// still count in addition to the second ones, since programs may have spent both.
 #[test]
-fn a_home_that_comes_back_counts_twice() {
+fn a_returning_home_counts_twice() {
     let program = Program {
         budget: Tokens(4_000),
-        most: Tokens(500),
+        max_turn: Tokens(500),
     };
     let mut partition = Partition::default();
     let mut process = Process::default();
--- a/clementinepick/tests/traffic_config.rs
+++ b/clementinepick/tests/traffic_config.rs
@@ -1,4 +1,4 @@
-//! Routes and what callers are told.
+//! Tests the choice of routes and services, and the answers to refused requests.
 
 use clementinepick::refusal::{Refusal, ledger_retry};
 use clementinepick::traffic_config::{RequestKind, TrafficConfig, TrafficRoute};
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_decides() {
+fn the_longest_path_prefix_of_the_host_wins() {
     let config = TrafficConfig {
         routes: vec![
             route("h", "/", &[("all", 1)]),
@@ -54,10 +54,10 @@
     assert_eq!(to_b.count(), 100);
 }
 
-/// A caller repeats a request only after a promise that it has not run. Statuses that promise so
-/// must not be given where a server may have run it.
+/// Callers repeat a request after statuses that guarantee that it has not run, so these must not be
+/// used when a server may have run it.
 #[test]
-fn only_refusals_before_a_send_promise_that_nothing_ran() {
+fn only_refusals_before_sending_guarantee_that_nothing_ran() {
     for refusal in [Refusal::NoAnswerInTime, Refusal::ServerLost] {
         let status = refusal.answer().status;
         assert!(![402, 408, 421, 429, 503].contains(&status), "{refusal:?}");
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn callers_come_back_later_the_longer_the_log_is_away() {
+fn retry_delays_grow_with_the_outage_of_the_log() {
     assert_eq!(ledger_retry(SpanUs(0)), SpanUs::from_ms(700));
     assert_eq!(ledger_retry(SpanUs::from_ms(1_500)), SpanUs::from_ms(1_500));
     assert_eq!(ledger_retry(SpanUs::from_s(60)), SpanUs::from_s(4));
--- a/clementinepick/tests/turn_chain.rs
+++ b/clementinepick/tests/turn_chain.rs
@@ -1,4 +1,4 @@
-//! Chains of turns: what an engine is given, and when a chain is written whole.
+//! Tests prompts and records of turn chains, and when a whole chain is recorded again.
 
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_prompt_has_all_inputs_and_outputs_in_order() {
+fn a_prompt_contains_all_inputs_and_outputs_in_order() {
     let first = turn("a", None, 0);
     let second = turn("b", Some(Arc::clone(&first)), 1);
     let other = turn("c", Some(first), 2);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_record_reads_back_as_it_was_written() {
+fn a_record_round_trips() {
     let first = turn("a", None, 5);
     let second = turn("b", Some(Arc::clone(&first)), 6);
     let record = TurnRecord::of(&second, 60_000);
@@ -62,15 +62,14 @@
 }
 
 #[test]
-fn a_record_whose_lengths_contradict_each_other_is_refused() {
+fn a_record_with_inconsistent_lengths_is_rejected() {
     let mut record = TurnRecord::of(&turn("a", None, 5), 60_000);
     record.input_bytes = record.body.len() + 1;
     assert!(record.into_turn("a".to_owned(), None).is_err());
 }
 
-/// A conversation goes on for hours with pauses shorter than its retention. Its first record is
-/// dropped after three retentions; so before that a turn is written with all before it, and from
-/// then on the chain needs no older record.
+/// A conversation lasts for hours, while its first record is dropped after three retentions. Before
+/// that, a turn must be recorded with its whole chain.
 #[test]
 fn a_long_conversation_never_needs_a_dropped_record() {
     const RETAIN_MS: u64 = 60_000;
