--- a/clementinepick/src/ids.rs
+++ b/clementinepick/src/ids.rs
@@ -1,4 +1,4 @@
-//! Newtypes for the names, numbers and random identifiers that travel between processes.
+//! Defines newtypes for names, numbers and random identifiers that are sent between processes.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,23 +9,23 @@
 use thiserror::Error;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The longest name that is accepted, in bytes.
+/// The maximum length of a name.
 pub const MAX_NAME_BYTES: usize = 128;
 
-/// Text that can't serve as a name or identifier.
+/// A text that does not parse as a name or identifier.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("`{text}` is not {expected}")]
 pub struct ParseIdError {
-    /// What was read, cut to [`MAX_NAME_BYTES`].
+    /// The text, truncated to [`MAX_NAME_BYTES`] characters.
     pub text: String,
-    /// What would have been right.
+    /// A description of the expected text.
     pub expected: &'static str,
 }
 
-/// Says whether `text` may be a name: letters, digits, `.`, `_`, `-` and `:`, 1 to 128 bytes.
+/// Whether `text` is a valid name: 1 to 128 ASCII letters, digits, `.`, `_`, `-` or `:`.
 fn is_name(text: &str) -> bool {
-    let allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'.' | b'_' | b'-' | b':');
-    !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.bytes().all(allowed)
+    let is_allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'.' | b'_' | b'-' | b':');
+    !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.bytes().all(is_allowed)
 }
 
 macro_rules! name_ids {
@@ -38,7 +38,7 @@
         pub struct $name(String);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as a string slice.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -68,15 +68,15 @@
 }
 
 name_ids! {
-    /// A service: one document, one set of backend servers.
+    /// A service, with one document and one set of backend servers.
     ServiceName;
     /// A class of calls, defined by a service's document.
     ClassName;
-    /// A category that classes belong to, with its own share and limit.
+    /// A category of classes, with a share and a limit of its own.
     CategoryName;
-    /// A program: a chain of dependent calls with one history and one budget.
+    /// A program: a sequence of dependent calls with a common history and budget.
     ProgramId;
-    /// A VM, and the one process of the system on it.
+    /// A VM, and the single process of this system on it.
     VmId;
     /// An availability zone.
     ZoneName;
@@ -86,7 +86,7 @@
     VersionName;
     /// A tool that a program calls between its turns.
     ToolName;
-    /// The caller's idempotency key of a call.
+    /// The idempotency key that a caller gives a call.
     IdempotencyKey;
 }
 
@@ -100,7 +100,7 @@
         pub struct $name(pub $inner);
 
         impl $name {
-            /// The number that follows this one.
+            /// Returns the next number.
             #[must_use]
             pub const fn next(self) -> Self {
                 Self(self.0 + 1)
@@ -112,17 +112,17 @@
 number_ids! {
     /// A position in a stream of the log service.
     Offset(u64);
-    /// The offset of the claim that made an entry the owner of a partition.
+    /// The offset of the claim by which an entry became the owner of a partition.
     Epoch(u64);
-    /// A partition of the programs.
+    /// A partition of all programs.
     PartitionId(u16);
-    /// One life of a process: a new one for each start.
+    /// One run of a process; later runs on the same VM have higher numbers.
     Incarnation(u64);
-    /// A version of a service's document, counted from 1 by its accepted publications.
+    /// A version of a service's document, counted from 1.
     Revision(u64);
-    /// The place of a call in its program, from 0.
+    /// The position of a call in its program, from 0.
     CallSeq(u64);
-    /// The number that engine orders carry: the offset of the decider's claim.
+    /// The fencing token of engine orders: the offset of the decider's claim.
     FencingNumber(u64);
 }
 
@@ -134,7 +134,7 @@
         pub struct $name(pub u128);
 
         impl $name {
-            /// Draws a new one.
+            /// Draws a random identifier.
             #[must_use]
             pub fn draw(rng: &mut impl Rng) -> Self {
                 Self(u128::from(rng.next_u64()) << 64 | u128::from(rng.next_u64()))
@@ -151,14 +151,14 @@
             type Err = ParseIdError;
 
             fn from_str(text: &str) -> Result<Self, ParseIdError> {
-                let bad = || ParseIdError {
+                let invalid = || ParseIdError {
                     text: text.chars().take(MAX_NAME_BYTES).collect(),
                     expected: "an identifier of 32 hexadecimal digits",
                 };
                 if text.len() != 32 || text.starts_with('+') {
-                    return Err(bad());
+                    return Err(invalid());
                 }
-                u128::from_str_radix(text, 16).map(Self).map_err(|_| bad())
+                u128::from_str_radix(text, 16).map(Self).map_err(|_| invalid())
             }
         }
 
@@ -179,9 +179,9 @@
 }
 
 random_ids! {
-    /// A record of the log; a second record with the same id is ignored.
+    /// A record of the log; further records with the same id are ignored.
     RecordId;
-    /// One request of a caller, drawn where it came in.
+    /// One request of a caller, drawn by the entry that received it.
     RequestId;
     /// One attempt to run a call on a backend server.
     AttemptId;
@@ -191,18 +191,18 @@
     OrderId;
 }
 
-/// A call: its program and its place in it.
+/// A call, identified by its program and position.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize)]
 #[display("{program}/{seq}")]
 pub struct CallKey {
-    /// The program that issued the call.
+    /// The program that makes the call.
     pub program: ProgramId,
-    /// The call's place in the program.
+    /// The position of the call in the program.
     pub seq: CallSeq,
 }
 
 impl ProgramId {
-    /// The partition of this program among `partition_count`.
+    /// Returns the partition of this program among `partition_count`.
     #[must_use]
     pub fn partition(&self, partition_count: u16) -> PartitionId {
         let slot = xxh3_64(self.as_str().as_bytes()) % u64::from(partition_count.max(1));
@@ -215,19 +215,19 @@
     use super::*;
 
     #[test]
-    fn names_are_checked_when_decoded() {
+    fn names_are_validated_when_decoded() {
         assert!("itinerary-7".parse::<ProgramId>().is_ok());
-        for bad in ["", "a b", "ü", &"x".repeat(MAX_NAME_BYTES + 1)] {
-            assert!(bad.parse::<ProgramId>().is_err(), "{bad}");
+        for invalid in ["", "a b", "ü", &"x".repeat(MAX_NAME_BYTES + 1)] {
+            assert!(invalid.parse::<ProgramId>().is_err(), "{invalid}");
             assert!(
-                serde_json::from_value::<ProgramId>(bad.into()).is_err(),
-                "{bad}"
+                serde_json::from_value::<ProgramId>(invalid.into()).is_err(),
+                "{invalid}"
             );
         }
     }
 
     #[test]
-    fn random_ids_read_back_what_they_print() {
+    fn random_ids_round_trip_through_text() {
         let id = RecordId(0x0123_4567_89ab_cdef);
         assert_eq!(id.to_string().parse(), Ok(id));
         assert!("123".parse::<RecordId>().is_err());
@@ -239,7 +239,7 @@
     }
 
     #[test]
-    fn a_partition_lies_in_range() {
+    fn partitions_are_in_range() {
         for n in 0..100 {
             let program: ProgramId = format!("p{n}").parse().expect("a name");
             assert!(program.partition(16) < PartitionId(16));
--- a/clementinepick/src/platform.rs
+++ b/clementinepick/src/platform.rs
@@ -1,23 +1,23 @@
-//! What the platform and the engines say over HTTP, as typed bodies in JSON.
+//! Defines the JSON bodies of the HTTP interfaces of the platform and the engines.
 //!
-//! | peer | method and path | request | answer |
+//! | peer | method and path | request | response |
 //! |---|---|---|---|
-//! | log | `POST /v1/streams/{stream}` | [`AppendBody`] | [`AppendResponse`]; 429 and 503 mean not appended, anything else unknown |
+//! | log | `POST /v1/streams/{stream}` | [`AppendBody`] | [`AppendResponse`]; 429 and 503: not appended; any other failure: unknown |
 //! | log | `GET /v1/streams/{stream}?from=N&max=M` | | [`ReadResponse`] |
 //! | VM list | `GET /v1/vms` | | `Vec<`[`Vm`]`>` |
 //! | weight store | `GET /v1/weights/{model}/{version}` | | 200, or 429 with `retry-after` |
-//! | engine | `POST /v1/generate` | [`GenerateBody`] | one [`GenerateLine`] of JSON a line |
-//! | engine | `POST /v1/resume` | [`ResumeBody`] | as above, from the position asked for |
+//! | engine | `POST /v1/generate` | [`GenerateBody`] | one [`GenerateLine`] per line |
+//! | engine | `POST /v1/resume` | [`ResumeBody`] | as above, from the requested position |
 //! | engine | `POST /v1/cancel` | [`CancelBody`] | 204 |
 //! | engine | `POST /v1/cache/release` | [`ReleaseBody`] | [`ReleaseResponse`] |
 //! | engine | `POST /v1/cache/retain` | [`RetainBody`] | [`ReleaseResponse`] |
 //! | engine | `POST /v1/cache/export` | [`ReleaseBody`] | [`CacheImage`] |
-//! | engine | `POST /v1/cache/import` | [`CacheImage`] | 204, or 507 when it does not fit |
+//! | engine | `POST /v1/cache/import` | [`CacheImage`] | 204, or 507 if it does not fit |
 //! | engine | `GET /v1/cache/events?after=N` | | [`CacheEventsResponse`] |
 //! | engine | `GET /v1/load` | | [`LoadReport`] |
 //! | engine | `GET /v1/state` | | [`EngineState`] |
-//! | engine | `POST /v1/orders` | [`OrderBody`] | [`EngineState`]; 409 for an old fencing number |
-//! | plain service | any | the caller's | the service's |
+//! | engine | `POST /v1/orders` | [`OrderBody`] | [`EngineState`]; 409 for an outdated fencing number |
+//! | plain service | any | as sent by the caller | as sent by the service |
 
 use std::collections::BTreeMap;
 
@@ -39,10 +39,10 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum StreamName {
-    /// Documents, deciders' claims and orders.
+    /// Documents, deciders' claims, and engine orders.
     #[display("config")]
     Config,
-    /// Claims of partitions and everything about programs.
+    /// Partition claims, and all records of programs.
     #[display("journal")]
     Journal,
 }
@@ -52,21 +52,21 @@
     pub const ALL: [Self; 2] = [Self::Config, Self::Journal];
 }
 
-/// Records to append as one batch, at consecutive offsets.
+/// A request to append records as one batch, at consecutive offsets.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppendBody {
-    /// The records, each one JSON text.
+    /// The records, as JSON texts.
     pub records: Vec<String>,
 }
 
-/// A batch that was appended.
+/// The response to an append.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppendResponse {
-    /// The offset of the batch's first record.
+    /// The offset of the first record of the batch.
     pub first_offset: Offset,
 }
 
-/// One record as read.
+/// A record of a stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredRecord {
     /// Its offset.
@@ -75,14 +75,14 @@
     pub text: String,
 }
 
-/// A part of a stream.
+/// The response to a read of a stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReadResponse {
-    /// The offset of the oldest record that is kept.
+    /// The offset of the oldest retained record.
     pub earliest: Offset,
-    /// The offset that the stream's next record will get.
+    /// The offset of the next record to be appended.
     pub end: Offset,
-    /// The records from the offset asked for, or from `earliest` where that is later.
+    /// The records from the requested offset, or from `earliest` if that is later.
     pub records: Vec<StoredRecord>,
 }
 
@@ -98,20 +98,20 @@
     Sidecar,
 }
 
-/// Whether a VM stays.
+/// The lifecycle state of a VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmState {
-    /// It serves.
+    /// It is in service.
     Live,
-    /// It will be gone soon.
+    /// It is about to be removed.
     Leaving,
 }
 
-/// One line of the platform's list of VMs; the list lags.
+/// An entry of the platform's list of VMs, which may be outdated.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vm {
-    /// The VM.
+    /// The id of the VM.
     pub id: VmId,
     /// What it runs.
     pub role: VmRole,
@@ -119,94 +119,95 @@
     pub service: Option<ServiceName>,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Where its process takes links, as `ip:port`.
+    /// The address at which its process accepts links, as `ip:port`.
     pub link_address: String,
-    /// Whether it stays.
+    /// Its lifecycle state.
     pub state: VmState,
 }
 
-/// An order to generate a turn.
+/// A request to generate a turn.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct GenerateBody {
-    /// The attempt, by which it is resumed and cancelled.
+    /// The id of the attempt, for resuming and cancelling it.
     pub attempt: AttemptId,
-    /// The program whose prefix this is.
+    /// The program that the turn belongs to.
     pub program: ProgramId,
     /// The model.
     pub model: ModelName,
     /// The transcript.
     pub messages: Vec<ChatMessage>,
-    /// Its shape.
+    /// The hashed segments of the transcript.
     pub prompt: Prompt,
-    /// The most tokens to generate.
+    /// The maximum number of tokens to generate.
     pub max_output_tokens: Tokens,
-    /// Other fields of the caller's body.
+    /// Further fields of the caller's body.
     pub extra: BTreeMap<String, Value>,
 }
 
-/// One line of an engine's answer.
+/// One line of an engine's response.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum GenerateLine {
-    /// Generated text and the count of characters before it.
+    /// Generated text.
     Text {
-        /// The count of characters before this text.
+        /// The number of characters before this text.
         position: u64,
         /// The text.
         text: String,
-        /// The tokens that the text stands for.
+        /// The number of tokens of the text.
         count_tokens: Tokens,
     },
-    /// The turn's end.
+    /// The end of the turn.
     Done {
-        /// What was counted.
+        /// The token usage.
         usage: Usage,
-        /// Why it ended.
+        /// The reason of the end.
         finish: FinishReason,
-        /// The chain over prompt and answer that now lies in the cache.
+        /// The segments of prompt and answer that are now cached.
         cached: Vec<Segment>,
     },
-    /// The engine gave up.
+    /// The generation failed.
     Failed {
-        /// Why.
+        /// The cause.
         detail: String,
     },
 }
 
-/// Asks for a stream again.
+/// A request to resume a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResumeBody {
     /// The attempt.
     pub attempt: AttemptId,
-    /// The count of characters already received.
+    /// The number of characters already received.
     pub position: u64,
 }
 
-/// Ends a stream.
+/// A request to cancel a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CancelBody {
     /// The attempt.
     pub attempt: AttemptId,
 }
 
-/// Names cached prefixes; what other prefixes share stays cached.
+/// A request to release (or export) cached prefixes. Segments shared with other prefixes stay
+/// cached.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReleaseBody {
-    /// The chains, each of which stands for its last segment.
+    /// The chain hashes, each of which identifies its last segment.
     pub chains: Vec<ChainHash>,
 }
 
-/// Names the only prefixes to keep, each with all before it; what nobody uses of the rest is freed.
+/// A request to keep only these prefixes; all others that are not in use are freed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RetainBody {
-    /// The chains, each of which stands for the whole prefix that ends with it.
+    /// The chain hashes, each of which identifies a whole prefix.
     pub chains: Vec<ChainHash>,
 }
 
-/// What a release freed.
+/// The response to a release.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReleaseResponse {
-    /// The tokens freed.
+    /// The number of tokens freed.
     pub freed_tokens: Tokens,
 }
 
@@ -219,43 +220,44 @@
     pub size_bytes: Bytes,
 }
 
-/// One change of an engine's cache.
+/// A change of an engine's cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CacheEvent {
     /// A segment was cached.
     Stored(Segment),
-    /// A segment was dropped.
+    /// A segment was evicted.
     Dropped(ChainHash),
 }
 
-/// Changes of an engine's cache; they come late, and a jump of `first` past `after` is a gap.
+/// Changes of an engine's cache, which are reported late. If `first` is beyond the requested
+/// number, events were missed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEventsResponse {
     /// The number of the first event in the list.
     pub first: u64,
-    /// The events, numbered on from `first`.
+    /// The events, numbered consecutively from `first`.
     pub events: Vec<CacheEvent>,
 }
 
-/// An engine's own word of its load; it lags.
+/// An engine's report of its load, which may be outdated.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Sequences in the running batch.
+    /// The number of sequences in the running batch.
     pub running: u32,
-    /// Sequences that wait inside the engine.
+    /// The number of sequences queued in the engine.
     pub waiting: u32,
-    /// Cache memory in use.
+    /// The cache memory in use.
     pub cache_used_tokens: Tokens,
-    /// The whole cache memory.
+    /// The total cache memory.
     pub cache_size_tokens: Tokens,
-    /// The most sequences that run at once.
+    /// The maximum number of sequences in a batch.
     pub max_running: u32,
-    /// How old the report is.
+    /// The age of the report.
     pub age_us: SpanUs,
 }
 
-/// The part an engine plays.
+/// The phases of generation that an engine runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Display, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineRole {
@@ -274,7 +276,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineOrder {
-    /// Load a version of a model, in place of any other version of it.
+    /// Load a version of a model, replacing any other version of it.
     LoadModel {
         /// The model.
         model: ModelName,
@@ -290,7 +292,7 @@
         /// The version.
         version: VersionName,
     },
-    /// Drop a model and its adapters.
+    /// Unload a model and its adapters.
     Unload {
         /// The model.
         model: ModelName,
@@ -305,25 +307,26 @@
 /// An order with its fencing number.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderBody {
-    /// The order's id; an engine carries out the same id once.
+    /// The id of the order; an engine executes each id once.
     pub id: OrderId,
-    /// The decider's number; an engine that checks refuses numbers below the highest seen.
+    /// The fencing number of the decider. Engines that check it refuse numbers below the highest
+    /// seen.
     pub fencing: FencingNumber,
-    /// What to do.
+    /// The order.
     pub order: EngineOrder,
 }
 
-/// What an engine serves.
+/// The state of an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineState {
-    /// The models with their versions.
+    /// The loaded models with their versions.
     pub models: BTreeMap<ModelName, VersionName>,
-    /// The adapters with their versions.
+    /// The loaded adapters with their versions.
     pub adapters: BTreeMap<ModelName, VersionName>,
-    /// The role.
+    /// The role of the engine.
     pub role: EngineRole,
-    /// The highest fencing number seen; absent for engines that ignore the numbers.
+    /// The highest fencing number seen; absent if the engine ignores them.
     pub fencing: Option<FencingNumber>,
-    /// The order that is being carried out.
+    /// The order that is being executed.
     pub busy: Option<OrderId>,
 }
--- a/clementinepick/src/prefix_retention.rs
+++ b/clementinepick/src/prefix_retention.rs
@@ -1,8 +1,8 @@
-//! Decides how long an engine keeps the prefix of a program that pauses.
+//! Decides how long an engine keeps the cached prefix of a program that pauses.
 //!
-//! An engine keeps all until its memory is full and then drops what was used longest ago, which may
-//! be the prefix of a program that is about to return, while the memory is full of programs that
-//! are gone. Here each prefix is kept as long as its expected reuse pays for the memory.
+//! The engine's LRU eviction may drop the prefix of a program that is about to return, while the
+//! memory is full of prefixes of ended programs. Here a prefix is kept as long as its expected
+//! reuse is worth the memory.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,16 +11,16 @@
 use crate::prompt::{ChainHash, Segment};
 use crate::units::{SpanUs, TimeUs, Tokens};
 
-/// How prefixes are kept.
+/// The settings of [`PrefixRetention`].
 #[derive(Debug, Clone)]
 pub struct PrefixRetentionSettings {
-    /// The price of a prefix's memory a second, in thousandths of what its prefill costs.
+    /// The cost of a prefix's memory per second, in thousandths of the cost of its prefill.
     pub price_milli_per_s: u64,
-    /// How long a prefix is kept before anything is known of pauses.
+    /// How long a prefix is kept while no pauses have been observed.
     pub default_keep_us: SpanUs,
-    /// The longest that one is kept.
+    /// The maximum time that a prefix is kept.
     pub max_keep_us: SpanUs,
-    /// How long a prefix that several programs have used is kept after its last use.
+    /// How long a prefix that several programs have used is kept after its last user has ended.
     pub shared_keep_us: SpanUs,
 }
 
@@ -35,42 +35,42 @@
     }
 }
 
-/// A program's prefix at this engine.
+/// The cached prefix of a program.
 #[derive(Debug, Clone)]
-struct Held {
+struct HeldPrefix {
     chains: Vec<Segment>,
     class: ClassName,
     tool: Option<ToolName>,
-    /// Since when the program pauses; absent while one of its calls runs.
+    /// The start of the program's pause; absent while one of its calls runs.
     idle_since_us: Option<TimeUs>,
-    /// When it is released; absent once it was.
-    until_us: Option<TimeUs>,
+    /// When the prefix expires; absent while a call runs, or after the release.
+    expires_us: Option<TimeUs>,
 }
 
-/// Who uses a segment.
+/// The programs that use a segment.
 #[derive(Debug, Clone, Copy, Default)]
 struct Users {
     count: u32,
-    /// Whether more than one program has ever used it here.
+    /// Whether several programs have used the segment.
     shared: bool,
 }
 
-/// The prefixes that one engine keeps, and what is known of pauses.
+/// Tracks the prefixes that one engine caches, and the observed pauses of programs.
 #[derive(Debug, Clone, Default)]
 pub struct PrefixRetention {
     settings: PrefixRetentionSettings,
     pauses: Predictor,
-    held: BTreeMap<ProgramId, Held>,
+    held: BTreeMap<ProgramId, HeldPrefix>,
     timers: BTreeSet<(TimeUs, ProgramId)>,
     users: BTreeMap<ChainHash, Users>,
-    /// Segments that a program no longer continues.
+    /// Segments without users that programs have abandoned.
     orphans: Vec<ChainHash>,
-    /// Shared segments without a user, with the time at which they are released.
-    lingering: BTreeMap<ChainHash, TimeUs>,
+    /// Shared segments without users, with their expiry.
+    expiring_shared: BTreeMap<ChainHash, TimeUs>,
 }
 
 impl PrefixRetention {
-    /// An engine that keeps nothing yet.
+    /// Creates the state of an engine with an empty cache.
     #[must_use]
     pub fn new(settings: PrefixRetentionSettings) -> Self {
         Self {
@@ -79,12 +79,12 @@
         }
     }
 
-    /// Takes new settings; they hold from each prefix's next pause on.
+    /// Replaces the settings; they apply from each prefix's next pause on.
     pub fn set(&mut self, settings: PrefixRetentionSettings) {
         self.settings = settings;
     }
 
-    /// A call of the program has come: its pause is over.
+    /// Handles a call of a program, which ends its pause.
     pub fn on_call(&mut self, now: TimeUs, program: &ProgramId) {
         let Some(held) = self.held.get_mut(program) else {
             return;
@@ -94,12 +94,13 @@
             self.pauses
                 .observe(&held.class, held.tool.as_ref(), Some(pause_us));
         }
-        if let Some(until_us) = held.until_us.take() {
-            self.timers.remove(&(until_us, program.clone()));
+        if let Some(expires_us) = held.expires_us.take() {
+            self.timers.remove(&(expires_us, program.clone()));
         }
     }
 
-    /// A turn has ended and left `cached` in the engine; says until when it is kept.
+    /// Handles the end of a turn that left `cached` in the engine, and returns until when it is
+    /// kept.
     pub fn on_turn_end(
         &mut self,
         now: TimeUs,
@@ -114,33 +115,33 @@
             .remove(program)
             .map(|held| held.chains)
             .unwrap_or_default();
-        self.forget(&old);
+        self.remove_users(&old);
         for segment in cached {
             let users = self.users.entry(segment.chain).or_default();
             users.count += 1;
             users.shared |= users.count > 1;
-            if self.lingering.remove(&segment.chain).is_some() {
+            if self.expiring_shared.remove(&segment.chain).is_some() {
                 users.shared = true;
             }
         }
-        // A transcript that was changed leaves segments behind that nobody would ever name again.
+        // A modified transcript abandons segments, which would otherwise never be released.
         let left = old.iter().map(|segment| segment.chain);
         self.orphans
             .extend(left.filter(|chain| self.users.get(chain).is_some_and(|u| u.count == 0)));
-        let until_us = now.after(self.keep_us(class, tool));
-        self.timers.insert((until_us, program.clone()));
-        let held = Held {
+        let expires_us = now.after(self.keep_us(class, tool));
+        self.timers.insert((expires_us, program.clone()));
+        let held = HeldPrefix {
             chains: cached.to_vec(),
             class: class.clone(),
             tool: tool.cloned(),
             idle_since_us: Some(now),
-            until_us: Some(until_us),
+            expires_us: Some(expires_us),
         };
         self.held.insert(program.clone(), held);
-        until_us
+        expires_us
     }
 
-    /// How long a prefix is kept when its program pauses now.
+    /// Returns how long a prefix is kept if its program pauses now.
     #[must_use]
     pub fn keep_us(&self, class: &ClassName, tool: Option<&ToolName>) -> SpanUs {
         let Some(pauses) = self.pauses.histogram(class, tool) else {
@@ -149,10 +150,11 @@
         optimal_retention(pauses, self.settings.price_milli_per_s).min(self.settings.max_keep_us)
     }
 
-    /// The program has ended, or has moved to another engine; names what nobody else uses.
+    /// Handles a program that has ended or moved to another engine, and returns the segments that
+    /// no other program uses.
     ///
-    /// A program that is known to have ended teaches nothing about pauses; one that nobody ended
-    /// (`known` false) is one that never came back.
+    /// A program that was ended explicitly is no observation of a pause. Without an explicit end
+    /// (`known` is false), it counts as one that never returned.
     pub fn on_program_end(
         &mut self,
         now: TimeUs,
@@ -162,78 +164,79 @@
         let Some(held) = self.held.remove(program) else {
             return Vec::new();
         };
-        if let Some(until_us) = held.until_us {
-            self.timers.remove(&(until_us, program.clone()));
+        if let Some(expires_us) = held.expires_us {
+            self.timers.remove(&(expires_us, program.clone()));
         }
         if held.idle_since_us.is_some() && !known {
             self.pauses.observe(&held.class, held.tool.as_ref(), None);
         }
-        self.drop_unused(now, &held.chains)
+        self.take_unused(now, &held.chains)
     }
 
-    /// Names the prefixes that do not pay any more, by program; shared ones come without a program.
+    /// Removes and returns the expired prefixes by program; abandoned and shared segments are
+    /// returned without a program.
     pub fn take_expired(&mut self, now: TimeUs) -> Vec<(Option<ProgramId>, Vec<ChainHash>)> {
-        let mut due = vec![(None, self.drop_orphans())];
-        while let Some((until_us, program)) = self.timers.first().cloned() {
-            if until_us > now {
+        let mut due = vec![(None, self.take_orphans())];
+        while let Some((expires_us, program)) = self.timers.first().cloned() {
+            if expires_us > now {
                 break;
             }
-            self.timers.remove(&(until_us, program.clone()));
+            self.timers.remove(&(expires_us, program.clone()));
             let Some(held) = self.held.get_mut(&program) else {
                 continue;
             };
-            held.until_us = None;
-            // The entry stays without chains: only so a late return is still learned.
+            held.expires_us = None;
+            // The program stays, without segments, so that a late return is still observed.
             let chains = std::mem::take(&mut held.chains);
-            due.push((Some(program), self.drop_unused(now, &chains)));
+            due.push((Some(program), self.take_unused(now, &chains)));
         }
-        let over: Vec<ChainHash> = self
-            .lingering
+        let expired: Vec<ChainHash> = self
+            .expiring_shared
             .iter()
             .filter(|(_, until)| **until <= now)
             .map(|(c, _)| *c)
             .collect();
-        for chain in &over {
-            self.lingering.remove(chain);
+        for chain in &expired {
+            self.expiring_shared.remove(chain);
             self.users.remove(chain);
         }
-        if !over.is_empty() {
-            due.push((None, over));
+        if !expired.is_empty() {
+            due.push((None, expired));
         }
         due.retain(|(_, chains)| !chains.is_empty());
         due
     }
 
-    /// The engine has lost its cache; what is known of pauses stays.
+    /// Handles the loss of the engine's cache; observed pauses are kept.
     pub fn on_cache_lost(&mut self) {
         self.held.clear();
         self.timers.clear();
         self.users.clear();
-        self.lingering.clear();
+        self.expiring_shared.clear();
         self.orphans.clear();
     }
 
-    /// Whether a program that is kept here uses a segment.
+    /// Whether any program's cached prefix contains the segment.
     #[must_use]
     pub fn is_used(&self, chain: ChainHash) -> bool {
         self.users.get(&chain).is_some_and(|users| users.count > 0)
     }
 
-    /// How long a program has been pausing; nothing while it runs.
+    /// Returns how long a program has been pausing, or none if it isn't.
     #[must_use]
     pub fn idle_us(&self, now: TimeUs, program: &ProgramId) -> Option<SpanUs> {
         let since_us = self.held.get(program)?.idle_since_us?;
         Some(now.since(since_us))
     }
 
-    /// The tokens that paused programs keep here.
+    /// Returns the number of tokens in the cached prefixes of all programs.
     #[must_use]
     pub fn held_tokens(&self) -> Tokens {
         let segments = self.held.values().flat_map(|held| &held.chains);
         segments.map(|segment| segment.length_tokens).sum()
     }
 
-    fn drop_orphans(&mut self) -> Vec<ChainHash> {
+    fn take_orphans(&mut self) -> Vec<ChainHash> {
         let mut orphans = std::mem::take(&mut self.orphans);
         orphans.retain(|chain| self.users.get(chain).is_some_and(|users| users.count == 0));
         for chain in &orphans {
@@ -242,7 +245,7 @@
         orphans
     }
 
-    fn forget(&mut self, chains: &[Segment]) {
+    fn remove_users(&mut self, chains: &[Segment]) {
         for segment in chains {
             if let Some(users) = self.users.get_mut(&segment.chain) {
                 users.count = users.count.saturating_sub(1);
@@ -250,9 +253,10 @@
         }
     }
 
-    /// Counts one user less, and names the segments that have none left; shared ones linger.
-    fn drop_unused(&mut self, now: TimeUs, chains: &[Segment]) -> Vec<ChainHash> {
-        self.forget(chains);
+    /// Removes one user of each segment, and returns the segments without users, except shared
+    /// ones, which expire later.
+    fn take_unused(&mut self, now: TimeUs, chains: &[Segment]) -> Vec<ChainHash> {
+        self.remove_users(chains);
         let mut unused = Vec::new();
         for segment in chains {
             let Some(users) = self.users.get(&segment.chain) else {
@@ -260,7 +264,7 @@
             };
             match (users.count, users.shared) {
                 (0, true) if self.settings.shared_keep_us.0 > 0 => {
-                    self.lingering
+                    self.expiring_shared
                         .insert(segment.chain, now.after(self.settings.shared_keep_us));
                 }
                 (0, _) => {
@@ -294,7 +298,7 @@
     }
 
     #[test]
-    fn what_a_sub_agent_shares_stays_until_its_last_user_ends() {
+    fn shared_segments_outlive_their_last_user() {
         let mut retention = PrefixRetention::new(PrefixRetentionSettings {
             shared_keep_us: SpanUs::from_s(300),
             ..Default::default()
@@ -313,7 +317,7 @@
     }
 
     #[test]
-    fn pauses_that_never_end_are_learned() {
+    fn unbounded_pauses_shorten_the_retention() {
         let mut retention = PrefixRetention::default();
         let class: ClassName = name("c");
         for n in 0..20 {
--- a/clementinepick/src/prompt.rs
+++ b/clementinepick/src/prompt.rs
@@ -1,4 +1,4 @@
-//! The shape of a prompt: a chain of segments that engines can cache and the router can compare.
+//! Describes prompts as chains of hashed segments, which engines cache and the router compares.
 
 use std::str::FromStr;
 
@@ -10,12 +10,12 @@
 use crate::ids::{MAX_NAME_BYTES, ParseIdError};
 use crate::units::Tokens;
 
-/// Bytes of text that make about one token, for estimates before an engine has counted.
+/// The approximate number of bytes per token, for estimates.
 const BYTES_PER_TOKEN: u64 = 4;
-/// Tokens that a message costs beside its text.
+/// The token overhead of a message in addition to its text.
 const TOKENS_PER_MESSAGE: u64 = 4;
 
-/// The digest of a prompt up to and with one segment; equal chains mean equal prefixes.
+/// The hash of a prompt up to and including one segment; equal hashes mean equal prefixes.
 #[derive(
     Debug,
     Clone,
@@ -39,25 +39,27 @@
     type Err = ParseIdError;
 
     fn from_str(text: &str) -> Result<Self, ParseIdError> {
-        let bad = || ParseIdError {
+        let invalid = || ParseIdError {
             text: text.chars().take(MAX_NAME_BYTES).collect(),
-            expected: "a chain of 16 hexadecimal digits",
+            expected: "a chain hash of 16 hexadecimal digits",
         };
         if text.len() != 16 || text.starts_with('+') {
-            return Err(bad());
+            return Err(invalid());
         }
-        u64::from_str_radix(text, 16).map(Self).map_err(|_| bad())
+        u64::from_str_radix(text, 16)
+            .map(Self)
+            .map_err(|_| invalid())
     }
 }
 
 impl ChainHash {
-    /// The chain extended by `content`.
+    /// Returns the hash of the chain extended by `content`.
     #[must_use]
     pub fn extend(self, content: &[u8]) -> Self {
         Self(xxh3_64_with_seed(content, self.0))
     }
 
-    /// The chain extended by one message.
+    /// Returns the hash of the chain extended by a message.
     #[must_use]
     pub fn extend_message(self, role: &str, content: &str) -> Self {
         self.extend(role.as_bytes()).extend(content.as_bytes())
@@ -67,21 +69,21 @@
 /// One segment of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Segment {
-    /// The chain up to and with this segment.
+    /// The hash of the prompt up to and including this segment.
     pub chain: ChainHash,
-    /// The segment's own length.
+    /// The length of the segment.
     pub length_tokens: Tokens,
 }
 
 /// A prompt as a chain of segments, first to last.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Prompt {
-    /// The segments in order; a segment's chain covers all before it.
+    /// The segments in order; the hash of each covers all previous ones.
     pub segments: Vec<Segment>,
 }
 
 impl Prompt {
-    /// The shape of a chat transcript: one segment a message.
+    /// Creates the prompt of a chat transcript, with one segment per message.
     #[must_use]
     pub fn of_messages(messages: &[ChatMessage]) -> Self {
         let mut chain = ChainHash::default();
@@ -96,7 +98,7 @@
         Self { segments }
     }
 
-    /// The whole length.
+    /// Returns the length of the prompt.
     #[must_use]
     pub fn length_tokens(&self) -> Tokens {
         self.segments
@@ -105,7 +107,7 @@
             .sum()
     }
 
-    /// The chain over the whole prompt.
+    /// Returns the hash of the whole prompt.
     #[must_use]
     pub fn chain(&self) -> ChainHash {
         self.segments
@@ -115,7 +117,7 @@
     }
 }
 
-/// Estimates the tokens of a message by its text.
+/// Estimates the number of tokens of a message from its text.
 #[must_use]
 pub fn estimate_tokens(text: &str) -> Tokens {
     Tokens((text.len() as u64).div_ceil(BYTES_PER_TOKEN) + TOKENS_PER_MESSAGE)
@@ -130,7 +132,7 @@
     }
 
     #[test]
-    fn equal_prefixes_share_their_chain() {
+    fn equal_prefixes_have_equal_hashes() {
         let short = Prompt::of_messages(&[message("system", "a"), message("user", "b")]);
         let long = Prompt::of_messages(&[
             message("system", "a"),
--- a/clementinepick/src/units.rs
+++ b/clementinepick/src/units.rs
@@ -1,7 +1,7 @@
-//! Newtypes for times, sizes and rates; each prints with its unit and reads the same text back.
+//! Defines newtypes for times, sizes and rates, whose text with unit parses back to the same value.
 //!
-//! Time is counted in whole microseconds. A [`TimeUs`] is a reading of the clock of one process and
-//! is never compared with that of another; between processes only a [`SpanUs`] travels.
+//! Times are in whole microseconds. A [`TimeUs`] is a point on the clock of one process and is
+//! never compared with another process's; only a [`SpanUs`] is sent between processes.
 
 use std::fmt;
 use std::str::FromStr;
@@ -15,13 +15,13 @@
 /// Microseconds in one second.
 const US_PER_S: u64 = 1_000_000;
 
-/// Text that is no quantity of the expected unit.
+/// A text that does not parse as a quantity of the expected unit.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("`{text}` is not {expected}")]
 pub struct ParseQuantityError {
-    /// What was read.
+    /// The text.
     pub text: String,
-    /// What would have been right, with an example.
+    /// A description of the expected text, with an example.
     pub expected: &'static str,
 }
 
@@ -32,13 +32,13 @@
 pub struct TimeUs(pub u64);
 
 impl TimeUs {
-    /// The time `span` later; it saturates.
+    /// Returns the time `span` later, saturating.
     #[must_use]
     pub const fn after(self, span: SpanUs) -> Self {
         Self(self.0.saturating_add(span.0))
     }
 
-    /// How long after `earlier` this is; zero when it is not after it.
+    /// Returns the time elapsed since `earlier`, or zero if this is not later.
     #[must_use]
     pub const fn since(self, earlier: Self) -> SpanUs {
         SpanUs(self.0.saturating_sub(earlier.0))
@@ -73,25 +73,25 @@
 pub struct SpanUs(pub u64);
 
 impl SpanUs {
-    /// A span of whole milliseconds.
+    /// Creates a span of whole milliseconds.
     #[must_use]
     pub const fn from_ms(ms: u64) -> Self {
         Self(ms.saturating_mul(US_PER_MS))
     }
 
-    /// A span of whole seconds.
+    /// Creates a span of whole seconds.
     #[must_use]
     pub const fn from_s(s: u64) -> Self {
         Self(s.saturating_mul(US_PER_S))
     }
 
-    /// The span in whole milliseconds, rounded down.
+    /// Returns the span in whole milliseconds, rounded down.
     #[must_use]
     pub const fn as_ms(self) -> u64 {
         self.0 / US_PER_MS
     }
 
-    /// The span in seconds.
+    /// Returns the span in seconds.
     #[must_use]
     #[expect(clippy::cast_precision_loss, reason = "spans stay far below 2^53 us")]
     pub fn as_s_f64(self) -> f64 {
@@ -115,24 +115,24 @@
     type Err = ParseQuantityError;
 
     fn from_str(text: &str) -> Result<Self, ParseQuantityError> {
-        let bad = || ParseQuantityError {
+        let invalid = || ParseQuantityError {
             text: text.to_owned(),
             expected: "a time with its unit (us, ms, s, min or h), such as `250 ms`",
         };
-        let (count, unit) = split_quantity(text).ok_or_else(bad)?;
+        let (count, unit) = split_quantity(text).ok_or_else(invalid)?;
         let factor = match unit {
             "us" => 1,
             "ms" => US_PER_MS,
             "s" => US_PER_S,
             "min" => 60 * US_PER_S,
             "h" => 3_600 * US_PER_S,
-            _ => return Err(bad()),
+            _ => return Err(invalid()),
         };
-        count.checked_mul(factor).map(Self).ok_or_else(bad)
+        count.checked_mul(factor).map(Self).ok_or_else(invalid)
     }
 }
 
-/// A count of model tokens.
+/// A number of model tokens.
 #[derive(
     Debug,
     Clone,
@@ -154,7 +154,7 @@
 pub struct Tokens(pub u64);
 
 impl Tokens {
-    /// The difference, or zero where `other` is greater.
+    /// Subtracts `other`, saturating at zero.
     #[must_use]
     pub const fn saturating_sub(self, other: Self) -> Self {
         Self(self.0.saturating_sub(other.0))
@@ -171,13 +171,13 @@
     type Err = ParseQuantityError;
 
     fn from_str(text: &str) -> Result<Self, ParseQuantityError> {
-        let bad = || ParseQuantityError {
+        let invalid = || ParseQuantityError {
             text: text.to_owned(),
             expected: "a count of tokens, such as `4096 tokens`",
         };
-        match split_quantity(text).ok_or_else(bad)? {
+        match split_quantity(text).ok_or_else(invalid)? {
             (count, "" | "tokens") => Ok(Self(count)),
-            _ => Err(bad()),
+            _ => Err(invalid()),
         }
     }
 }
@@ -213,36 +213,36 @@
     type Err = ParseQuantityError;
 
     fn from_str(text: &str) -> Result<Self, ParseQuantityError> {
-        let bad = || ParseQuantityError {
+        let invalid = || ParseQuantityError {
             text: text.to_owned(),
             expected: "a size with its unit (B, KB, MB or GB), such as `16 MB`",
         };
-        let (count, unit) = split_quantity(text).ok_or_else(bad)?;
+        let (count, unit) = split_quantity(text).ok_or_else(invalid)?;
         let factor = match unit {
             "B" => 1,
             "KB" => 1_000,
             "MB" => 1_000_000,
             "GB" => 1_000_000_000,
-            _ => return Err(bad()),
+            _ => return Err(invalid()),
         };
-        count.checked_mul(factor).map(Self).ok_or_else(bad)
+        count.checked_mul(factor).map(Self).ok_or_else(invalid)
     }
 }
 
-/// A rate of events, in thousandths of an event a second, so that it stays exact.
+/// A rate of events, in thousandths of an event per second.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, From, Into, Serialize, Deserialize,
 )]
 pub struct MilliPerS(pub u64);
 
 impl MilliPerS {
-    /// A rate of whole events a second.
+    /// Creates a rate of whole events per second.
     #[must_use]
     pub const fn per_s(count: u64) -> Self {
         Self(count.saturating_mul(1_000))
     }
 
-    /// The least time between two events at this rate; the longest span for a rate of zero.
+    /// Returns the interval between two events, or the maximum span for a rate of zero.
     #[must_use]
     pub const fn interval(self) -> SpanUs {
         match (US_PER_S * 1_000).checked_div(self.0) {
@@ -266,32 +266,32 @@
     type Err = ParseQuantityError;
 
     fn from_str(text: &str) -> Result<Self, ParseQuantityError> {
-        let bad = || ParseQuantityError {
+        let invalid = || ParseQuantityError {
             text: text.to_owned(),
-            expected: "a rate a second, such as `50 /s`",
+            expected: "a rate per second, such as `50 /s`",
         };
-        let count = text.trim().strip_suffix("/s").ok_or_else(bad)?.trim();
+        let count = text.trim().strip_suffix("/s").ok_or_else(invalid)?.trim();
         let (whole, fraction) = count.split_once('.').unwrap_or((count, ""));
-        let whole: u64 = whole.parse().map_err(|_| bad())?;
+        let whole: u64 = whole.parse().map_err(|_| invalid())?;
         if fraction.len() > 3 || !fraction.bytes().all(|b| b.is_ascii_digit()) {
-            return Err(bad());
+            return Err(invalid());
         }
-        let thousandths: u64 = format!("{fraction:0<3}").parse().map_err(|_| bad())?;
+        let thousandths: u64 = format!("{fraction:0<3}").parse().map_err(|_| invalid())?;
         let rate = whole
             .checked_mul(1_000)
             .and_then(|w| w.checked_add(thousandths));
-        rate.map(Self).ok_or_else(bad)
+        rate.map(Self).ok_or_else(invalid)
     }
 }
 
-/// A share of a whole, in per cent from 0 to 100.
+/// A percentage from 0 to 100.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Into, Serialize, Deserialize,
 )]
 pub struct Percent(u8);
 
 impl Percent {
-    /// The share, or nothing when it is over 100.
+    /// Creates a percentage, or returns none if it exceeds 100.
     #[must_use]
     pub const fn new(percent: u8) -> Option<Self> {
         if percent <= 100 {
@@ -301,7 +301,7 @@
         }
     }
 
-    /// This share of `whole`, rounded down.
+    /// Returns this percentage of `whole`, rounded down.
     #[must_use]
     pub const fn of(self, whole: u64) -> u64 {
         whole / 100 * self.0 as u64 + whole % 100 * self.0 as u64 / 100
@@ -318,17 +318,17 @@
     type Err = ParseQuantityError;
 
     fn from_str(text: &str) -> Result<Self, ParseQuantityError> {
-        let bad = || ParseQuantityError {
+        let invalid = || ParseQuantityError {
             text: text.to_owned(),
             expected: "a share from 0% to 100%, such as `20%`",
         };
-        let digits = text.trim().strip_suffix('%').ok_or_else(bad)?.trim();
-        let percent = digits.parse().map_err(|_| bad())?;
-        Self::new(percent).ok_or_else(bad)
+        let digits = text.trim().strip_suffix('%').ok_or_else(invalid)?.trim();
+        let percent = digits.parse().map_err(|_| invalid())?;
+        Self::new(percent).ok_or_else(invalid)
     }
 }
 
-/// Splits `250 ms` or `250ms` into its count and unit.
+/// Splits a text such as `250 ms` or `250ms` into count and unit.
 fn split_quantity(text: &str) -> Option<(u64, &str)> {
     let text = text.trim();
     let end = text
@@ -343,7 +343,7 @@
     use super::*;
 
     #[test]
-    fn spans_read_back_what_they_print() {
+    fn spans_round_trip_through_text() {
         for span in [
             SpanUs(0),
             SpanUs(7),
@@ -355,21 +355,21 @@
     }
 
     #[test]
-    fn a_span_without_unit_is_refused() {
+    fn a_span_without_a_unit_is_rejected() {
         assert!("250".parse::<SpanUs>().is_err());
         assert!("250 parsecs".parse::<SpanUs>().is_err());
         assert!("99999999999999999999 s".parse::<SpanUs>().is_err());
     }
 
     #[test]
-    fn rates_keep_their_thousandths() {
+    fn rates_round_trip_with_thousandths() {
         assert_eq!("2.5 /s".parse(), Ok(MilliPerS(2_500)));
         assert_eq!(MilliPerS(2_500).to_string().parse(), Ok(MilliPerS(2_500)));
         assert_eq!(MilliPerS::per_s(4).interval(), SpanUs::from_ms(250));
     }
 
     #[test]
-    fn a_percentage_over_100_is_refused() {
+    fn a_percentage_over_100_is_rejected() {
         assert!("101%".parse::<Percent>().is_err());
         assert_eq!("20%".parse::<Percent>().map(|p| p.of(50)), Ok(10));
     }
