--- a/clementinepick/src/entry_links.rs
+++ b/clementinepick/src/entry_links.rs
@@ -1,4 +1,4 @@
-//! What an entry makes of its links and of the list of VMs.
+//! Handles the entry's links, the messages that arrive over them, and the list of VMs.
 
 use std::collections::BTreeSet;
 
@@ -105,7 +105,8 @@
         ));
         let vm = peer.vm.clone();
         if self.peers.contains_key(&vm) {
-            // The link came up anew before its end was noticed: what was sent over it may be lost.
+            // The peer reconnected before the loss of its old link was noticed: messages sent over
+            // that link may be lost.
             self.on_link_down(now, &vm, out);
         }
         if let Some(service) = peer.service.clone() {
@@ -176,15 +177,15 @@
             })
             .collect();
         for (id, attempt) in running {
-            let waits = self
+            let must_wait = self
                 .calls
                 .get(&id)
                 .is_some_and(|call| !call.idempotent && call.claim.is_some());
-            if waits {
+            if must_wait {
                 self.wait_for_link(id);
                 continue;
             }
-            let detail = format!("the link to {vm} went down");
+            let detail = format!("the link to {vm} was lost while the call was running");
             let error = CallError::new(ErrorKind::BackendFailed, detail);
             self.on_failed(now, id, attempt, (error, true, Usage::default()), out);
         }
--- a/clementinepick/src/entry_members.rs
+++ b/clementinepick/src/entry_members.rs
@@ -1,4 +1,4 @@
-//! What an entry makes of who lives, leaves and lags.
+//! Handles heartbeats and status changes of the entry's peers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,11 +11,11 @@
 use crate::platform::VmRole;
 use crate::units::{SpanUs, TimeUs};
 
-/// The time between two judgements of all peers.
-const JUDGE_INTERVAL: SpanUs = SpanUs::from_ms(100);
+/// The interval between two status updates of all peers.
+const STATUS_UPDATE_INTERVAL: SpanUs = SpanUs::from_ms(100);
 
 impl Entry {
-    /// What this entry tells a peer of itself; a sidecar hears of its own service only.
+    /// Creates the heartbeat to a peer; a sidecar gets only the revision of its own service.
     pub(crate) fn heartbeat_to(&self, now: TimeUs, peer: &PeerState) -> Heartbeat {
         let service = peer.peer.service.as_ref();
         let decider = service.and_then(|service| self.config.decider(service));
@@ -56,12 +56,12 @@
         }
         self.membership.on_heartbeat(now, from, leaving, silence_us);
         self.evaluate_member(now, from, out);
-        self.pass_documents(from, revisions, out);
+        self.send_missing_documents(from, revisions, out);
     }
 
-    /// Passes on what a peer lacks: sidecars do not read the log, and another entry may be cut off
-    /// from it.
-    fn pass_documents(
+    /// Sends the documents that a peer lacks: sidecars don't read the log, and another entry may be
+    /// cut off from it.
+    fn send_missing_documents(
         &mut self,
         to: &VmId,
         revisions: BTreeMap<ServiceName, Revision>,
@@ -70,36 +70,38 @@
         let Some(peer) = self.peers.get_mut(to) else {
             return;
         };
-        let lacking = self.config.lacking(peer.peer.service.as_ref(), &revisions);
+        let missing = self.config.lacking(peer.peer.service.as_ref(), &revisions);
         peer.revisions = Some(revisions);
-        // A heartbeat that crossed the document on its way does not lag. Only the second one in a
-        // row does, or each entry would send each document to each other.
-        let lagged = std::mem::replace(&mut peer.lags, !lacking.is_empty());
-        if lagged && !lacking.is_empty() {
-            for document in &lacking {
+        // A single heartbeat without a document may have crossed it on the way. Only after the
+        // second in a row is the document sent, or each entry would send every document to every
+        // other.
+        let lagged_before = std::mem::replace(&mut peer.lags, !missing.is_empty());
+        if lagged_before && !missing.is_empty() {
+            for document in &missing {
                 peer.note_sent((document.service.clone(), document.revision));
             }
-            let (to, message) = (to.clone(), Message::Documents(lacking));
+            let (to, message) = (to.clone(), Message::Documents(missing));
             out.push(EntryAction::Send { to, message });
         }
     }
 
-    /// Judges all peers anew, a few times a second: silence and held links show with time only.
+    /// Updates the status of all peers periodically, since silence and stable links only show over
+    /// time.
     pub(crate) fn evaluate_members(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
         if now >= self.next_judge_us {
-            self.next_judge_us = now.after(JUDGE_INTERVAL);
+            self.next_judge_us = now.after(STATUS_UPDATE_INTERVAL);
             let changes = self.membership.evaluate(now);
-            self.on_standings(now, changes, out);
+            self.on_status_changes(now, changes, out);
         }
     }
 
     pub(crate) fn evaluate_member(&mut self, now: TimeUs, vm: &VmId, out: &mut Vec<EntryAction>) {
         let change = self.membership.evaluate_one(now, vm);
-        self.on_standings(now, change.into_iter().collect(), out);
+        self.on_status_changes(now, change.into_iter().collect(), out);
     }
 
-    /// Acts on what has changed.
-    fn on_standings(
+    /// Handles status changes: emits events, and updates routing and links.
+    fn on_status_changes(
         &mut self,
         now: TimeUs,
         changes: Vec<PeerStatusChange>,
@@ -108,7 +110,7 @@
         let mut services = BTreeSet::new();
         for change in &changes {
             if let Some(peer) = self.peers.get_mut(&change.vm) {
-                let event = event_of(change, peer.peer.role);
+                let event = status_event(change, peer.peer.role);
                 out.extend(event.map(EntryAction::Event));
                 peer.leaving = matches!(change.to, PeerStatus::Leaving | PeerStatus::Deaf);
                 services.extend(peer.peer.service.clone());
@@ -117,8 +119,8 @@
         for service in services {
             self.update_routable_servers(&service);
         }
-        // What was sent to a peer that hears nothing will never be answered: its calls go elsewhere
-        // now, not at their deadlines, and the link is opened anew.
+        // Calls sent to a peer that receives nothing would wait until their deadlines: they are
+        // failed over at once, and the link is reopened.
         let deaf = changes.into_iter().filter(|c| c.to == PeerStatus::Deaf);
         for PeerStatusChange { vm, .. } in deaf {
             self.on_link_down(now, &vm, out);
@@ -126,30 +128,30 @@
         }
     }
 
-    /// Tells the router which backend servers of a service may get new work.
+    /// Updates which backend servers of a service the router may give new work.
     ///
-    /// Where only flapping ones are left they get it: a call that may be lost is better off than
-    /// one that is surely refused.
+    /// If only flapping ones are left, they get it: a call that may fail is better than a refused
+    /// one.
     pub(crate) fn update_routable_servers(&mut self, service: &ServiceName) {
         let of_service: Vec<(VmId, PeerStatus)> = self
             .membership
             .peers_with_role(VmRole::Sidecar)
             .filter(|(peer, _)| peer.service.as_ref() == Some(service))
-            .map(|(peer, standing)| (peer.vm.clone(), standing))
+            .map(|(peer, status)| (peer.vm.clone(), status))
             .collect();
         let any_serving = of_service.iter().any(|(_, s)| *s == PeerStatus::Serving);
-        for (vm, standing) in of_service {
-            let may = match standing {
+        for (vm, status) in of_service {
+            let may_get_work = match status {
                 PeerStatus::Serving => true,
                 PeerStatus::Flapping => !any_serving,
                 PeerStatus::Deaf | PeerStatus::Leaving | PeerStatus::Gone => false,
             };
-            self.router.set_leaving(&vm, !may);
+            self.router.set_leaving(&vm, !may_get_work);
         }
     }
 }
 
-fn event_of(change: &PeerStatusChange, role: VmRole) -> Option<Event> {
+fn status_event(change: &PeerStatusChange, role: VmRole) -> Option<Event> {
     let kind = match change.to {
         PeerStatus::Leaving if role == VmRole::Sidecar => EventKind::BackendLeaving,
         PeerStatus::Flapping => EventKind::PeerFlapping,
--- a/clementinepick/src/entry_tick.rs
+++ b/clementinepick/src/entry_tick.rs
@@ -1,4 +1,4 @@
-//! What an entry does because time has passed.
+//! Handles the entry's periodic tick: timeouts, heartbeats and background work.
 
 use crate::call_state::Step;
 use crate::entry::{Entry, EntryAction};
@@ -7,11 +7,12 @@
 use crate::step_record::tell_committed;
 use crate::units::{SpanUs, TimeUs};
 
-/// How long after a deadline the answer of whoever runs the call is waited for.
+/// How long after a call's deadline the entry still waits for the answer of the process that runs
+/// it.
 const ANSWER_GRACE_US: SpanUs = SpanUs::from_s(1);
 
-/// The time between two walks over all programs.
-const WALK_US: SpanUs = SpanUs::from_ms(100);
+/// The interval between two sweeps over all programs.
+const PROGRAM_SWEEP_INTERVAL_US: SpanUs = SpanUs::from_ms(100);
 
 impl Entry {
     pub(crate) fn on_tick(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
@@ -22,7 +23,8 @@
         }
         self.disconnect_silent_peers(now, out);
         self.evaluate_members(now, out);
-        // After a pause others may have taken over: nothing is decided before the log is read.
+        // After this process was paused, other entries may have taken over its partitions: nothing
+        // is decided before the log is read again.
         if self.is_unsure && !self.journal.is_down() {
             return;
         }
@@ -32,8 +34,8 @@
         self.ask_open_calls(now, out);
         self.send_releases(now, out);
         self.repeat_ends(now, out);
-        self.walk_programs(now, out);
-        self.drop_kept(now, out);
+        self.sweep_all_programs(now, out);
+        self.release_kept_answers(now, out);
         self.recover_partitions(now);
         self.hand_over(now);
         self.write_snapshots(now);
@@ -45,25 +47,25 @@
         }
     }
 
-    /// Looks at every program, which is too much for each tick: with thousands of them under way an
-    /// entry would do nothing else. What is looked for here has seconds of time.
-    fn walk_programs(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
+    /// Checks every program, less often than every tick: with thousands of programs, an entry would
+    /// do nothing else. The timeouts checked here are seconds long.
+    fn sweep_all_programs(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
         if now < self.next_walk_us {
             return;
         }
-        self.next_walk_us = now.after(WALK_US);
+        self.next_walk_us = now.after(PROGRAM_SWEEP_INTERVAL_US);
         self.sweep_programs(now, out);
         self.forget_programs(now);
     }
 
-    /// The log's append rate is shared by the entries that live.
+    /// Divides the log's append rate among the live entries.
     fn scale_appends(&mut self) {
         let others = self.live_entries();
         self.journal.share_between(others + 1);
     }
 
-    /// Answers kept by sidecars whose callers did not come back are let go.
-    fn drop_kept(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
+    /// Releases answers that sidecars keep for callers that did not return in time.
+    fn release_kept_answers(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
         if now < self.kept_until_us {
             return;
         }
@@ -83,17 +85,17 @@
         let Some(call) = self.calls.get(&id) else {
             return;
         };
-        let late = now >= call.deadline_us;
-        let overdue = now >= call.deadline_us.after(ANSWER_GRACE_US);
+        let is_late = now >= call.deadline_us;
+        let is_overdue = now >= call.deadline_us.after(ANSWER_GRACE_US);
         match call.step.clone() {
             Step::Record { since_us } if now.since(since_us) >= self.settings.commit_wait_us => {
                 self.finish_pending(now, id, out);
             }
-            Step::Own if late => self.refuse_late(now, id, ErrorKind::OwnerUnknown, out),
+            Step::Own if is_late => self.refuse_late(now, id, ErrorKind::OwnerUnknown, out),
             Step::Own => self.step_own(now, id, out),
-            Step::Route { .. } if late => self.refuse_late(now, id, ErrorKind::NoBackend, out),
+            Step::Route { .. } if is_late => self.refuse_late(now, id, ErrorKind::NoBackend, out),
             Step::Route { .. } => self.step_route(now, id, out),
-            Step::Order if late => {
+            Step::Order if is_late => {
                 let live = self.programs.get(&call.request.program);
                 let kind = if live.is_some_and(|live| live.opening) {
                     ErrorKind::LogUnavailable
@@ -102,18 +104,18 @@
                 };
                 self.refuse_late(now, id, kind, out);
             }
-            Step::Claim | Step::Slice if late => {
+            Step::Claim | Step::Slice if is_late => {
                 self.refuse_late(now, id, ErrorKind::LogUnavailable, out);
             }
-            Step::Lost { .. } if late => self.leave_open(now, id, out),
-            Step::Running { .. } if call.left_us.is_some() && !overdue => {
+            Step::Lost { .. } if is_late => self.leave_open(now, id, out),
+            Step::Running { .. } if call.left_us.is_some() && !is_overdue => {
                 self.stop_unwanted(now, id, out);
             }
-            Step::Running { .. } if overdue && call.claim.is_some() => {
+            Step::Running { .. } if is_overdue && call.claim.is_some() => {
                 self.leave_open(now, id, out);
             }
-            Step::Running { .. } | Step::Forwarded(_) | Step::Follow(_) if overdue => {
-                self.give_up(now, id, out);
+            Step::Running { .. } | Step::Forwarded(_) | Step::Follow(_) if is_overdue => {
+                self.fail_overdue(now, id, out);
             }
             Step::Order
             | Step::Claim
@@ -126,8 +128,8 @@
         }
     }
 
-    /// Whoever runs the call has said nothing even after the deadline.
-    fn give_up(&mut self, now: TimeUs, id: RequestId, out: &mut Vec<EntryAction>) {
+    /// Fails a call whose runner did not answer within the grace period after the deadline.
+    fn fail_overdue(&mut self, now: TimeUs, id: RequestId, out: &mut Vec<EntryAction>) {
         let idempotent = self.calls.get(&id).is_some_and(|call| call.idempotent);
         let kind = if idempotent {
             ErrorKind::DeadlineExceeded
--- a/clementinepick/src/membership.rs
+++ b/clementinepick/src/membership.rs
@@ -1,7 +1,7 @@
-//! Which processes may get new work: the platform's list of VMs and the heartbeats over the links.
+//! Tracks which peers may get new work, from the platform's list of VMs, links and heartbeats.
 //!
-//! The list lags and the links are faster, so that each may only take work away: a VM serves while
-//! neither says that it leaves and its link carries in both directions.
+//! The list lags behind the links, so each source can only exclude a peer: a peer serves while none
+//! of them reports that it is leaving, and its link works in both directions.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -13,19 +13,19 @@
 use crate::platform::{Vm, VmRole, VmState};
 use crate::units::{SpanUs, TimeUs};
 
-/// How membership is judged.
+/// The settings of [`Membership`].
 #[derive(Debug, Clone)]
 pub struct MembershipSettings {
-    /// The silence after which a peer counts as gone.
+    /// The silence after which a peer is considered gone.
     pub silence_us: SpanUs,
-    /// The time in which losses of a link are counted.
+    /// The window in which lost links are counted.
     pub flap_window_us: SpanUs,
-    /// The losses within the window that make a peer flapping.
+    /// The number of lost links within the window from which a peer is considered flapping.
     pub flap_losses: usize,
-    /// How long a flapping peer must hold its link until it is trusted; doubles with each further
-    /// loss.
+    /// How long the link of a flapping peer must stay up until it gets work again; doubles with
+    /// each further loss.
     pub hold_us: SpanUs,
-    /// The longest such time; at most the window, in which losses are remembered.
+    /// The maximum of that time; at most the window.
     pub max_hold_us: SpanUs,
 }
 
@@ -45,16 +45,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Display, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PeerStatus {
-    /// It may.
+    /// It may get new work.
     #[display("serving")]
     Serving,
-    /// Its link was lost again and again: only where nobody else is left.
+    /// Its link was lost repeatedly: it gets work only if no other peer serves.
     #[display("flapping")]
     Flapping,
-    /// It hears nothing of this process: what is sent to it does not arrive.
+    /// It does not receive messages from this process.
     #[display("deaf")]
     Deaf,
-    /// It takes no new work; what runs there goes on.
+    /// It accepts no new work; running calls continue.
     #[display("leaving")]
     Leaving,
     /// It has no link, or is silent.
@@ -62,32 +62,32 @@
     Gone,
 }
 
-/// A change of a peer's standing.
+/// A change of a peer's status.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerStatusChange {
     /// The peer.
     pub vm: VmId,
-    /// What it was.
+    /// The previous status.
     pub from: PeerStatus,
-    /// What it is.
+    /// The new status.
     pub to: PeerStatus,
 }
 
 #[derive(Debug, Clone)]
 struct Member {
     peer: Peer,
-    linked: bool,
-    heard_us: TimeUs,
-    linked_us: TimeUs,
-    /// What it last said of itself.
-    said_leaving: bool,
-    /// How long it had not heard this process when it last said so.
+    has_link: bool,
+    last_heard_us: TimeUs,
+    link_up_us: TimeUs,
+    /// Whether its last heartbeat announced that it is leaving.
+    has_announced_leaving: bool,
+    /// How long it had not heard this process, according to its last heartbeat.
     deaf_for_us: SpanUs,
-    losses_us: VecDeque<TimeUs>,
-    standing: PeerStatus,
+    link_losses_us: VecDeque<TimeUs>,
+    status: PeerStatus,
 }
 
-/// All peers that had a link, and the list of VMs.
+/// The status of all peers that have had a link, and the list of VMs.
 #[derive(Debug, Clone, Default)]
 pub struct Membership {
     settings: MembershipSettings,
@@ -96,7 +96,7 @@
 }
 
 impl Membership {
-    /// Nobody known yet.
+    /// Creates a membership without peers.
     #[must_use]
     pub fn new(settings: MembershipSettings) -> Self {
         Self {
@@ -105,81 +105,81 @@
         }
     }
 
-    /// Takes the platform's list.
+    /// Replaces the list of VMs.
     pub fn update_vm_list(&mut self, vms: Vec<Vm>) {
         self.listed = vms.into_iter().map(|vm| (vm.id.clone(), vm)).collect();
-        // A VM without link that is listed no more will not come back under this name.
+        // A VM that has no link and is no longer listed does not return under the same id.
         let listed = &self.listed;
         self.members
-            .retain(|vm, member| member.linked || listed.contains_key(vm));
+            .retain(|vm, member| member.has_link || listed.contains_key(vm));
     }
 
-    /// Takes note of a link that came up.
+    /// Records that a link came up.
     pub fn on_link_up(&mut self, now: TimeUs, peer: Peer) {
         let vm = peer.vm.clone();
         let known = self.members.get(&vm);
-        // A former life whose link comes up late must not stand for the one that replaced it.
-        if known.is_some_and(|m| m.linked && m.peer.incarnation > peer.incarnation) {
+        // A late link of a previous incarnation must not replace that of the current one.
+        if known.is_some_and(|m| m.has_link && m.peer.incarnation > peer.incarnation) {
             return;
         }
-        let same_life = known.filter(|m| m.peer.incarnation == peer.incarnation);
+        let same_incarnation = known.filter(|m| m.peer.incarnation == peer.incarnation);
         let member = Member {
-            linked: true,
-            heard_us: now,
-            linked_us: now,
-            // A life that said it leaves goes on leaving: the loss of its link takes nothing back.
-            said_leaving: same_life.is_some_and(|m| m.said_leaving),
+            has_link: true,
+            last_heard_us: now,
+            link_up_us: now,
+            // An incarnation that announced that it is leaving stays so on a new link.
+            has_announced_leaving: same_incarnation.is_some_and(|m| m.has_announced_leaving),
             deaf_for_us: SpanUs(0),
-            losses_us: known.map(|m| m.losses_us.clone()).unwrap_or_default(),
-            standing: known.map_or(PeerStatus::Gone, |m| m.standing),
+            link_losses_us: known.map(|m| m.link_losses_us.clone()).unwrap_or_default(),
+            status: known.map_or(PeerStatus::Gone, |m| m.status),
             peer,
         };
         self.members.insert(vm, member);
     }
 
-    /// Takes note of a link that went down.
+    /// Records that a link went down.
     pub fn on_link_down(&mut self, now: TimeUs, vm: &VmId) {
-        let Some(member) = self.members.get_mut(vm).filter(|m| m.linked) else {
+        let Some(member) = self.members.get_mut(vm).filter(|m| m.has_link) else {
             return;
         };
-        member.linked = false;
-        // One that said it leaves goes as announced; that is no sign of a bad link.
-        if !member.said_leaving {
-            member.losses_us.push_back(now);
+        member.has_link = false;
+        // An announced shutdown does not count as a lost link.
+        if !member.has_announced_leaving {
+            member.link_losses_us.push_back(now);
         }
     }
 
-    /// Takes note of any message of a peer.
+    /// Records any message from a peer.
     pub fn on_heard(&mut self, now: TimeUs, vm: &VmId) {
         if let Some(member) = self.members.get_mut(vm) {
-            member.heard_us = now;
+            member.last_heard_us = now;
         }
     }
 
-    /// Takes note that this process stood still: the silence of all others was its own.
+    /// Records that this process was paused, so that the silence of all peers was its own.
     pub fn on_pause(&mut self, now: TimeUs) {
         for member in self.members.values_mut() {
-            member.heard_us = now;
+            member.last_heard_us = now;
         }
     }
 
-    /// Takes a heartbeat: whether the sender leaves, and for how long it has not heard this
+    /// Records a heartbeat: whether the sender is leaving, and for how long it has not heard this
     /// process.
     pub fn on_heartbeat(&mut self, now: TimeUs, vm: &VmId, leaving: bool, deaf_for: SpanUs) {
         if let Some(member) = self.members.get_mut(vm) {
-            member.heard_us = now;
-            member.said_leaving = leaving;
+            member.last_heard_us = now;
+            member.has_announced_leaving = leaving;
             member.deaf_for_us = deaf_for;
         }
     }
 
-    /// Judges every peer anew; the changes in the order of names.
+    /// Updates the status of every peer, and returns the changes, ordered by VM.
     pub fn evaluate(&mut self, now: TimeUs) -> Vec<PeerStatusChange> {
         let mut changes = Vec::new();
         for (vm, member) in &mut self.members {
             let listed = self.listed.get(vm).map(|vm| vm.state);
             let to = member.evaluate(now, &self.settings, listed);
-            let from = std::mem::replace(&mut member.standing, to);
+            let from = std::mem::replace(&mut member.status, to);
             if from != to {
                 let vm = vm.clone();
                 changes.push(PeerStatusChange { vm, from, to });
@@ -188,58 +188,57 @@
         changes
     }
 
-    /// Judges one peer anew; its change, if there is one.
+    /// Updates the status of one peer, and returns its change, if any.
     pub fn evaluate_one(&mut self, now: TimeUs, vm: &VmId) -> Option<PeerStatusChange> {
         let listed = self.listed.get(vm).map(|vm| vm.state);
         let member = self.members.get_mut(vm)?;
         let to = member.evaluate(now, &self.settings, listed);
-        let from = std::mem::replace(&mut member.standing, to);
+        let from = std::mem::replace(&mut member.status, to);
         let vm = vm.clone();
         (from != to).then_some(PeerStatusChange { vm, from, to })
     }
 
-    /// A peer's standing as last judged.
+    /// Returns a peer's status as of the last update.
     #[must_use]
     pub fn status(&self, vm: &VmId) -> PeerStatus {
-        self.members
-            .get(vm)
-            .map_or(PeerStatus::Gone, |m| m.standing)
+        self.members.get(vm).map_or(PeerStatus::Gone, |m| m.status)
     }
 
-    /// Whether a peer may get new work without reserve.
+    /// Whether a peer is serving.
     #[must_use]
     pub fn is_serving(&self, vm: &VmId) -> bool {
         self.status(vm) == PeerStatus::Serving
     }
 
-    /// The peers of a role, with their standing.
+    /// Returns the peers with a role, and their status.
     pub fn peers_with_role(&self, role: VmRole) -> impl Iterator<Item = (&Peer, PeerStatus)> {
         let members = self.members.values().filter(move |m| m.peer.role == role);
-        members.map(|m| (&m.peer, m.standing))
+        members.map(|m| (&m.peer, m.status))
     }
 
-    /// The life that a peer's link belongs to, and when the link came up.
+    /// Returns the incarnation that a peer's link belongs to, and when the link came up.
     #[must_use]
     pub fn link(&self, vm: &VmId) -> Option<(Incarnation, TimeUs)> {
-        let member = self.members.get(vm).filter(|m| m.linked)?;
-        Some((member.peer.incarnation, member.linked_us))
+        let member = self.members.get(vm).filter(|m| m.has_link)?;
+        Some((member.peer.incarnation, member.link_up_us))
     }
 
-    /// How long a peer has not been heard.
+    /// Returns the time since the last message from a peer.
     #[must_use]
     pub fn silence(&self, now: TimeUs, vm: &VmId) -> SpanUs {
         self.members
             .get(vm)
-            .map_or(SpanUs(0), |m| now.since(m.heard_us))
+            .map_or(SpanUs(0), |m| now.since(m.last_heard_us))
     }
 
-    /// The count of serving peers of a role by availability zone; zones without any are listed.
+    /// Returns the number of serving peers with a role by availability zone, including zones with
+    /// none.
     #[must_use]
     pub fn serving_peers_by_zone(&self, role: VmRole) -> BTreeMap<ZoneName, usize> {
         let mut zones = BTreeMap::new();
-        for (peer, standing) in self.peers_with_role(role) {
+        for (peer, status) in self.peers_with_role(role) {
             let count = zones.entry(peer.zone.clone()).or_default();
-            *count += usize::from(standing == PeerStatus::Serving);
+            *count += usize::from(status == PeerStatus::Serving);
         }
         zones
     }
@@ -254,38 +253,39 @@
     ) -> PeerStatus {
         let window = settings.flap_window_us;
         while self
-            .losses_us
+            .link_losses_us
             .front()
             .is_some_and(|at| now.since(*at) > window)
         {
-            self.losses_us.pop_front();
+            self.link_losses_us.pop_front();
         }
-        if !self.linked || now.since(self.heard_us) >= settings.silence_us {
+        if !self.has_link || now.since(self.last_heard_us) >= settings.silence_us {
             return PeerStatus::Gone;
         }
-        // The list may lag by minutes and still say that it lives. A process that says itself that
-        // it leaves would refuse what is sent to it, or be gone before the end of a call.
-        if self.said_leaving || listed == Some(VmState::Leaving) {
+        // The list may lag by minutes and still show the VM as live. A process that has announced
+        // that it is leaving would refuse a call, or be gone before the call's end.
+        if self.has_announced_leaving || listed == Some(VmState::Leaving) {
             return PeerStatus::Leaving;
         }
-        // Heartbeats still come in, and nothing sent there arrives: a call would wait for its
-        // deadline. Only the peer can tell, so it says for how long it has heard nothing.
+        // The link fails in one direction: heartbeats arrive, but a call sent there would wait
+        // until its deadline. Only the peer can notice, so its heartbeats tell how long it has
+        // heard nothing.
         if self.deaf_for_us >= settings.silence_us {
             return PeerStatus::Deaf;
         }
-        if now < self.trusted_from(settings) {
+        if now < self.flapping_until(settings) {
             return PeerStatus::Flapping;
         }
         PeerStatus::Serving
     }
 
-    /// When a peer that lost its link repeatedly is trusted again.
-    fn trusted_from(&self, settings: &MembershipSettings) -> TimeUs {
-        let Some(beyond) = self.losses_us.len().checked_sub(settings.flap_losses) else {
+    /// Returns from when on a peer with repeatedly lost links may get new work again.
+    fn flapping_until(&self, settings: &MembershipSettings) -> TimeUs {
+        let Some(excess) = self.link_losses_us.len().checked_sub(settings.flap_losses) else {
             return TimeUs(0);
         };
-        let doublings = u32::try_from(beyond.min(16)).unwrap_or(16);
+        let doublings = u32::try_from(excess.min(16)).unwrap_or(16);
         let hold = SpanUs(settings.hold_us.0 << doublings).min(settings.max_hold_us);
-        self.linked_us.after(hold)
+        self.link_up_us.after(hold)
     }
 }
