--- a/clementinepick/src/budget.rs
+++ b/clementinepick/src/budget.rs
@@ -212,8 +212,8 @@
     #[must_use]
     pub fn prefetch_slice(&self, spending: &Spending) -> Option<Amount> {
         let used = self.spent_before.plus(spending.total());
-        let step = Amount::from(self.budget).divided_by(SLICE_DIVISOR);
-        let wanted = used.plus(step.divided_by(PREFETCH_DIVISOR));
+        let min_size = Amount::from(self.budget).divided_by(SLICE_DIVISOR);
+        let wanted = used.plus(min_size.divided_by(PREFETCH_DIVISOR));
         if wanted.min(self.budget.into()).fits_in(self.reserved) {
             return None;
         }
--- a/clementinepick/src/predict.rs
+++ b/clementinepick/src/predict.rs
@@ -74,11 +74,11 @@
         if self.total == 0 {
             return None;
         }
-        let wanted = u64::from(self.total) * u64::from(percent.min(100));
-        let mut below = 0_u64;
+        let target = u64::from(self.total) * u64::from(percent.min(100));
+        let mut cumulative = 0_u64;
         for (at, count) in self.counts.iter().enumerate() {
-            below += u64::from(*count) * 100;
-            if *count > 0 && below >= wanted {
+            cumulative += u64::from(*count) * 100;
+            if *count > 0 && cumulative >= target {
                 return Some(edge(at));
             }
         }
@@ -86,7 +86,7 @@
     }
 
     /// Returns the upper edge and the weight of each non-empty bucket, in ascending order.
-    pub(crate) fn steps(&self) -> impl Iterator<Item = (u64, u32)> {
+    pub(crate) fn buckets(&self) -> impl Iterator<Item = (u64, u32)> {
         let filled = self.counts.iter().enumerate();
         filled
             .filter(|(_, count)| **count > 0)
@@ -103,8 +103,8 @@
     let value = value.max(1);
     let doubling = value.ilog2();
     // The position within the power of two, in quarters of its width.
-    let below = (value - (1 << doubling)) << 2 >> doubling;
-    let at = u64::from(doubling * BUCKETS_PER_DOUBLING) + below;
+    let offset = (value - (1 << doubling)) << 2 >> doubling;
+    let at = u64::from(doubling * BUCKETS_PER_DOUBLING) + offset;
     usize::try_from(at).unwrap_or(BUCKETS).min(BUCKETS - 1)
 }
 
@@ -119,7 +119,7 @@
 /// The key of a prediction: the class, and the tool that the program calls, if known.
 pub type PredictionKey = (ClassName, Option<ToolName>);
 
-/// The number of observations from which a histogram is used.
+/// The minimum number of observations of a key's own histogram, and of a prediction of outputs.
 const MIN_OBSERVATIONS: u32 = 8;
 
 /// Histograms by class and tool, and by class alone as a fallback for new keys.
@@ -176,16 +176,16 @@
 pub fn optimal_retention(pauses: &Histogram, price_milli_per_s: u64) -> SpanUs {
     let total = u128::from(pauses.total());
     let (mut remaining, mut returned) = (total, 0_u128);
-    let (mut from_us, mut held) = (0_u64, 0_u128);
+    let (mut from_us, mut held_time) = (0_u64, 0_u128);
     // Value and cost are scaled integers, so that results are the same on all machines.
     let scale = 1_000_u128 * 1_000_000;
     let (mut best, mut best_us) = (0_i128, 0_u64);
-    for (edge_us, weight) in pauses.steps() {
-        held += remaining * u128::from(edge_us - from_us);
+    for (edge_us, weight) in pauses.buckets() {
+        held_time += remaining * u128::from(edge_us - from_us);
         from_us = edge_us;
         remaining -= u128::from(weight).min(remaining);
         returned += u128::from(weight);
-        let cost = held * u128::from(price_milli_per_s);
+        let cost = held_time * u128::from(price_milli_per_s);
         let value = signed(returned * scale) - signed(cost);
         if value > best {
             (best, best_us) = (value, edge_us);
--- a/clementinepick/src/prefix_retention.rs
+++ b/clementinepick/src/prefix_retention.rs
@@ -52,7 +52,7 @@
 struct Users {
     count: u32,
     /// Whether several programs have used the segment.
-    shared: bool,
+    is_shared: bool,
 }
 
 /// Tracks the prefixes that one engine caches, and the observed pauses of programs.
@@ -119,15 +119,15 @@
         for segment in cached {
             let users = self.users.entry(segment.chain).or_default();
             users.count += 1;
-            users.shared |= users.count > 1;
+            users.is_shared |= users.count > 1;
             if self.expiring_shared.remove(&segment.chain).is_some() {
-                users.shared = true;
+                users.is_shared = true;
             }
         }
         // A modified transcript abandons segments, which would otherwise never be released.
-        let left = old.iter().map(|segment| segment.chain);
+        let abandoned = old.iter().map(|segment| segment.chain);
         self.orphans
-            .extend(left.filter(|chain| self.users.get(chain).is_some_and(|u| u.count == 0)));
+            .extend(abandoned.filter(|chain| self.users.get(chain).is_some_and(|u| u.count == 0)));
         let expires_us = now.after(self.keep_us(class, tool));
         self.timers.insert((expires_us, program.clone()));
         let held = HeldPrefix {
@@ -154,12 +154,12 @@
     /// no other program uses.
     ///
     /// A program that was ended explicitly is no observation of a pause. Without an explicit end
-    /// (`known` is false), it counts as one that never returned.
+    /// (`is_explicit_end` is false), it counts as one that never returned.
     pub fn on_program_end(
         &mut self,
         now: TimeUs,
         program: &ProgramId,
-        known: bool,
+        is_explicit_end: bool,
     ) -> Vec<ChainHash> {
         let Some(held) = self.held.remove(program) else {
             return Vec::new();
@@ -167,7 +167,7 @@
         if let Some(expires_us) = held.expires_us {
             self.timers.remove(&(expires_us, program.clone()));
         }
-        if held.idle_since_us.is_some() && !known {
+        if held.idle_since_us.is_some() && !is_explicit_end {
             self.pauses.observe(&held.class, held.tool.as_ref(), None);
         }
         self.take_unused(now, &held.chains)
@@ -262,7 +262,7 @@
             let Some(users) = self.users.get(&segment.chain) else {
                 continue;
             };
-            match (users.count, users.shared) {
+            match (users.count, users.is_shared) {
                 (0, true) if self.settings.shared_keep_us.0 > 0 => {
                     self.expiring_shared
                         .insert(segment.chain, now.after(self.settings.shared_keep_us));
--- a/clementinepick/src/server_selection.rs
+++ b/clementinepick/src/server_selection.rs
@@ -144,14 +144,14 @@
 #[derive(Debug)]
 struct RecentServers<K> {
     servers: BTreeMap<K, (String, u64)>,
-    uses: u64,
+    writes: u64,
 }
 
 impl<K> Default for RecentServers<K> {
     fn default() -> Self {
         Self {
             servers: BTreeMap::new(),
-            uses: 0,
+            writes: 0,
         }
     }
 }
@@ -166,11 +166,12 @@
     }
 
     fn insert(&mut self, key: K, server: &str) {
-        self.uses += 1;
-        self.servers.insert(key, (server.to_owned(), self.uses));
+        self.writes += 1;
+        self.servers.insert(key, (server.to_owned(), self.writes));
         if self.servers.len() > MAX_RECENT_SERVERS {
-            let oldest_retained = self.uses.saturating_sub(MAX_RECENT_SERVERS as u64 / 2);
-            self.servers.retain(|_, (_, used)| *used > oldest_retained);
+            let oldest_retained = self.writes.saturating_sub(MAX_RECENT_SERVERS as u64 / 2);
+            self.servers
+                .retain(|_, (_, written)| *written > oldest_retained);
         }
     }
 }
