--- a/clementinepick/src/entry_config.rs
+++ b/clementinepick/src/entry_config.rs
@@ -4,7 +4,7 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::config_replay::{Change, Publication, Verdict};
+use crate::config_replay::{ConfigChange, Publication, Verdict};
 use crate::entry::{Entry, EntryAction};
 use crate::event::{Event, EventKind};
 use crate::ids::{Offset, RecordId, RequestId, VmId};
@@ -28,18 +28,18 @@
     ) {
         for change in self.config.apply(offset, record) {
             match change {
-                Change::Published(publication) => self.on_publication(&publication, out),
-                Change::Decided { service, .. } => {
+                ConfigChange::Published(publication) => self.on_publication(&publication, out),
+                ConfigChange::DeciderClaimed { service, .. } => {
                     self.decider_claims.remove(&service);
-                    self.decider_paces
+                    self.decider_backoffs
                         .entry(service)
                         .or_default()
                         .on_change(now);
                 }
-                Change::DeciderOutrun { service, .. } => {
+                ConfigChange::DeciderClaimLost { service, .. } => {
                     self.decider_claims.remove(&service);
                 }
-                Change::Snapshot { .. } => self.config_snapshot_us = Some(now),
+                ConfigChange::Snapshot { .. } => self.config_snapshot_us = Some(now),
             }
         }
         if matches!(record.body, RecordBody::ConfigSnapshot { .. })
@@ -52,7 +52,7 @@
 
     /// Says once that records are missing and no snapshot covers them.
     pub(crate) fn report_config_gap(&mut self, out: &mut Vec<EntryAction>) {
-        let is_gap = self.config_journal.at_end() && !self.config.is_complete();
+        let is_gap = self.config_journal.is_at_end() && !self.config.is_complete();
         if !std::mem::replace(&mut self.has_config_gap, is_gap) && is_gap {
             let event = Event::new(EventKind::RetentionPassed).with("stream", "config");
             out.push(EntryAction::Event(event));
@@ -89,7 +89,7 @@
         let key = (service.clone(), in_force.published.revision);
         for vm in told {
             if let Some(peer) = self.peers.get_mut(&vm) {
-                peer.note_sent(key.clone());
+                peer.record_sent_document(key.clone());
             }
         }
     }
@@ -122,7 +122,7 @@
             let message = Message::Documents(vec![published.clone()]);
             let to = to.clone();
             out.push(EntryAction::Send { to, message });
-            peer.note_sent(key);
+            peer.record_sent_document(key);
         }
     }
 
@@ -145,12 +145,12 @@
     ///
     /// Without it the last publication of a service that seldom changes would pass its retention,
     /// and the next entry to start would not know the service.
-    pub(crate) fn carry_config_forward(&mut self, now: TimeUs) {
+    pub(crate) fn write_due_config_snapshot(&mut self, now: TimeUs) {
         let journal = &self.config_journal;
         let can_write = self.is_caught_up()
             && !self.leaving
             && !journal.is_down()
-            && journal.at_end()
+            && journal.is_at_end()
             && journal.unconfirmed() == 0;
         if !can_write || now < self.next_snapshot_us(now) {
             return;
--- a/clementinepick/src/entry_members.rs
+++ b/clementinepick/src/entry_members.rs
@@ -70,15 +70,17 @@
         let Some(peer) = self.peers.get_mut(to) else {
             return;
         };
-        let missing = self.config.lacking(peer.peer.service.as_ref(), &revisions);
+        let missing = self
+            .config
+            .missing_documents(peer.peer.service.as_ref(), &revisions);
         peer.revisions = Some(revisions);
         // A single heartbeat without a document may have crossed it on the way. Only after the
         // second in a row is the document sent, or each entry would send every document to every
         // other.
-        let lagged_before = std::mem::replace(&mut peer.lags, !missing.is_empty());
+        let lagged_before = std::mem::replace(&mut peer.lacks_documents, !missing.is_empty());
         if lagged_before && !missing.is_empty() {
             for document in &missing {
-                peer.note_sent((document.service.clone(), document.revision));
+                peer.record_sent_document((document.service.clone(), document.revision));
             }
             let (to, message) = (to.clone(), Message::Documents(missing));
             out.push(EntryAction::Send { to, message });
@@ -88,8 +90,8 @@
     /// Updates the status of all peers periodically, since silence and stable links only show over
     /// time.
     pub(crate) fn evaluate_members(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
-        if now >= self.next_judge_us {
-            self.next_judge_us = now.after(STATUS_UPDATE_INTERVAL);
+        if now >= self.next_membership_check_us {
+            self.next_membership_check_us = now.after(STATUS_UPDATE_INTERVAL);
             let changes = self.membership.evaluate(now);
             self.on_status_changes(now, changes, out);
         }
--- a/clementinepick/src/entry_tick.rs
+++ b/clementinepick/src/entry_tick.rs
@@ -4,7 +4,7 @@
 use crate::entry::{Entry, EntryAction};
 use crate::error::{CallError, ErrorKind};
 use crate::ids::RequestId;
-use crate::step_record::tell_committed;
+use crate::step_record::send_committed;
 use crate::units::{SpanUs, TimeUs};
 
 /// How long after a call's deadline the entry still waits for the answer of the process that runs
@@ -25,21 +25,21 @@
         self.evaluate_members(now, out);
         // After this process was paused, other entries may have taken over its partitions: nothing
         // is decided before the log is read again.
-        if self.is_unsure && !self.journal.is_down() {
+        if self.is_ownership_unconfirmed && !self.journal.is_down() {
             return;
         }
-        self.end_take_overs(now, out);
+        self.finish_takeovers(now, out);
         self.sweep_calls(now, out);
         self.reserve_ahead(now);
-        self.ask_open_calls(now, out);
-        self.send_releases(now, out);
-        self.repeat_ends(now, out);
+        self.query_open_calls(now, out);
+        self.send_due_releases(now, out);
+        self.resend_end_requests(now, out);
         self.sweep_all_programs(now, out);
         self.release_kept_answers(now, out);
-        self.recover_partitions(now);
-        self.hand_over(now);
+        self.claim_orphaned_partitions(now);
+        self.hand_over_partitions(now);
         self.write_snapshots(now);
-        self.carry_config_forward(now);
+        self.write_due_config_snapshot(now);
         self.decide_orders(now, out);
         self.scale_appends();
         if self.is_finished() {
@@ -50,27 +50,27 @@
     /// Checks every program, less often than every tick: with thousands of programs, an entry would
     /// do nothing else. The timeouts checked here are seconds long.
     fn sweep_all_programs(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
-        if now < self.next_walk_us {
+        if now < self.next_program_sweep_us {
             return;
         }
-        self.next_walk_us = now.after(PROGRAM_SWEEP_INTERVAL_US);
-        self.sweep_programs(now, out);
-        self.forget_programs(now);
+        self.next_program_sweep_us = now.after(PROGRAM_SWEEP_INTERVAL_US);
+        self.end_expired_programs(now, out);
+        self.forget_ended_programs(now);
     }
 
     /// Divides the log's append rate among the live entries.
     fn scale_appends(&mut self) {
-        let others = self.live_entries();
+        let others = self.count_live_entries();
         self.journal.share_between(others + 1);
     }
 
     /// Releases answers that sidecars keep for callers that did not return in time.
     fn release_kept_answers(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
-        if now < self.kept_until_us {
+        if now < self.kept_answers_until_us {
             return;
         }
-        for (vm, kept) in std::mem::take(&mut self.kept).into_values() {
-            tell_committed(&vm, kept.attempt, out);
+        for (vm, kept) in std::mem::take(&mut self.kept_answers).into_values() {
+            send_committed(&vm, kept.attempt, out);
         }
     }
 
@@ -92,12 +92,12 @@
                 self.finish_pending(now, id, out);
             }
             Step::Own if is_late => self.refuse_late(now, id, ErrorKind::OwnerUnknown, out),
-            Step::Own => self.step_own(now, id, out),
+            Step::Own => self.step_owner(now, id, out),
             Step::Route { .. } if is_late => self.refuse_late(now, id, ErrorKind::NoBackend, out),
             Step::Route { .. } => self.step_route(now, id, out),
             Step::Order if is_late => {
                 let live = self.programs.get(&call.request.program);
-                let kind = if live.is_some_and(|live| live.opening) {
+                let kind = if live.is_some_and(|live| live.is_opening) {
                     ErrorKind::LogUnavailable
                 } else {
                     ErrorKind::DeadlineBeforeStart
@@ -107,12 +107,12 @@
             Step::Claim | Step::Slice if is_late => {
                 self.refuse_late(now, id, ErrorKind::LogUnavailable, out);
             }
-            Step::Lost { .. } if is_late => self.leave_open(now, id, out),
-            Step::Running { .. } if call.left_us.is_some() && !is_overdue => {
-                self.stop_unwanted(now, id, out);
+            Step::Lost { .. } if is_late => self.detach_at_deadline(now, id, out),
+            Step::Running { .. } if call.caller_left_us.is_some() && !is_overdue => {
+                self.cancel_abandoned(now, id, out);
             }
-            Step::Running { .. } if is_overdue && call.claim.is_some() => {
-                self.leave_open(now, id, out);
+            Step::Running { .. } if is_overdue && call.recorded_start.is_some() => {
+                self.detach_at_deadline(now, id, out);
             }
             Step::Running { .. } | Step::Forwarded(_) | Step::Follow(_) if is_overdue => {
                 self.fail_overdue(now, id, out);
@@ -137,11 +137,11 @@
             ErrorKind::OutcomeUnknown
         };
         if let Some(Step::Running { attempt, .. }) = self.calls.get(&id).map(|c| c.step.clone()) {
-            self.leave_backend(attempt, true);
-            self.settle_whole(id);
+            self.end_attempt(attempt, true);
+            self.settle_full_reservation(id);
         }
         let error = CallError::new(kind, "the deadline passed without an answer");
-        self.refuse(now, id, error, out);
+        self.fail_call(now, id, error, out);
     }
 
     fn refuse_late(
@@ -152,6 +152,6 @@
         out: &mut Vec<EntryAction>,
     ) {
         let error = CallError::new(kind, "the deadline passed before the call could start");
-        self.refuse(now, id, error, out);
+        self.fail_call(now, id, error, out);
     }
 }
--- a/clementinepick/src/handover.rs
+++ b/clementinepick/src/handover.rs
@@ -5,7 +5,7 @@
 use crate::entry::{Entry, EntryAction};
 use crate::error::{CallError, ErrorKind};
 use crate::ids::{PartitionId, RequestId};
-use crate::record::OwnedRecord;
+use crate::record::PartitionRecord;
 use crate::units::{SpanUs, TimeUs};
 
 /// How long an entry must be linked before idle partitions are handed to it.
@@ -13,9 +13,9 @@
 
 impl Entry {
     /// Starts and ends the hand-over of partitions.
-    pub(crate) fn hand_over(&mut self, now: TimeUs) {
+    pub(crate) fn hand_over_partitions(&mut self, now: TimeUs) {
         if self.leaving {
-            self.yielding = self.own_partitions().into_iter().collect();
+            self.yielding = self.owned_partitions().into_iter().collect();
         } else {
             self.offer_partition(now);
         }
@@ -35,11 +35,13 @@
     fn is_busy(&self, partition: PartitionId) -> bool {
         let calls = self.calls.values().filter(|c| c.partition == partition);
         let open = self.open_calls.values().any(|o| o.partition == partition);
-        let pending = self
-            .programs
-            .values()
-            .any(|live| live.partition == partition && (!live.tail.is_empty() || live.opening));
-        open || pending || calls.into_iter().any(crate::call_state::Call::is_under_way)
+        let pending = self.programs.values().any(|live| {
+            live.partition == partition && (!live.pending_turns.is_empty() || live.is_opening)
+        });
+        open || pending
+            || calls
+                .into_iter()
+                .any(crate::call_state::Call::blocks_handover)
     }
 
     /// Hands one idle partition at a time to the entry that should own it.
@@ -50,13 +52,13 @@
         if !self.yielding.is_empty() || self.journal.is_down() || !self.is_caught_up() {
             return;
         }
-        let offered = self.own_partitions().into_iter().find(|partition| {
+        let offered = self.owned_partitions().into_iter().find(|partition| {
             let heir = self.claimant(*partition);
             heir.is_some_and(|vm| self.joined_before(now, &vm))
                 && !self.calls.values().any(|c| c.partition == *partition)
                 && !self.is_busy(*partition)
                 && self
-                    .claim_pace
+                    .claim_backoffs
                     .get(partition)
                     .is_none_or(|pace| now.since(pace.last_change_us) >= JOINED_US)
         });
@@ -65,12 +67,12 @@
 
     fn joined_before(&self, now: TimeUs, vm: &crate::ids::VmId) -> bool {
         let peer = self.peers.get(vm);
-        peer.is_some_and(|peer| now.since(peer.up_us) >= JOINED_US)
+        peer.is_some_and(|peer| now.since(peer.link_up_us) >= JOINED_US)
     }
 
     fn write_yield(&mut self, now: TimeUs, partition: PartitionId) {
         self.return_slices(now, partition);
-        let Some(record) = self.write_owned(partition, OwnedRecord::Yielded) else {
+        let Some(record) = self.write_owned(partition, PartitionRecord::Yielded) else {
             return;
         };
         self.awaited.insert(record, Awaited::Yield(partition));
@@ -87,7 +89,7 @@
             let Some(state) = state.programs.get(program) else {
                 continue;
             };
-            if state.root.is_some() || state.ended.is_some() || live.slicing {
+            if state.root.is_some() || state.ended.is_some() || live.is_reserving_slice {
                 continue;
             }
             live.spending.set_time(now.since(live.since_us));
@@ -96,7 +98,7 @@
             returned.push((program.clone(), before, unused));
         }
         for (program, before, unused) in returned {
-            let entry = OwnedRecord::SliceReturned {
+            let entry = PartitionRecord::SliceReturned {
                 program,
                 before,
                 unused,
@@ -109,7 +111,7 @@
 
     /// Answers every call as it stands: of what was sent on nobody here will learn the outcome, and
     /// whoever owns its partition next learns it from the sidecar.
-    pub(crate) fn force(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
+    pub(crate) fn force_shutdown(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
         self.leaving = true;
         let ids: Vec<RequestId> = self.calls.keys().copied().collect();
         for id in ids {
@@ -130,10 +132,10 @@
                 }
             };
             if kind == ErrorKind::OutcomeUnknown {
-                call.claim = None;
+                call.recorded_start = None;
             }
             let error = CallError::new(kind, "this entry was forced to end");
-            self.refuse(now, id, error, out);
+            self.fail_call(now, id, error, out);
         }
     }
 
@@ -143,10 +145,10 @@
             && self.calls.is_empty()
             && self.fetches.is_empty()
             && self
-                .ending
+                .end_requests
                 .values()
                 .all(|ending| ending.next_us > self.last_handled_us)
             && self.journal.unconfirmed() == 0
-            && self.own_partitions().is_empty()
+            && self.owned_partitions().is_empty()
     }
 }
--- a/clementinepick/src/lib.rs
+++ b/clementinepick/src/lib.rs
@@ -8,15 +8,15 @@
 //!
 //! | step | module | rules in |
 //! |---|---|---|
-//! | read the request | [`parse`] | |
+//! | read the request | [`http_request`] | |
 //! | check it against the document in force | `step_validate` | [`config`], [`document`] |
-//! | find the owner of its program | `step_own` | [`own`], [`replay`] |
-//! | tell a repeat from a new call | `repeat` | |
-//! | wait for its turn in the program | `step_order` | [`order`] |
+//! | find the owner of its program | `step_owner` | [`rendezvous`], [`partition_replay`] |
+//! | tell a repeat from a new call | `step_dedup` | |
+//! | wait for its turn in the program | `step_sequence` | [`sequencer`] |
 //! | hold what it may spend | `step_budget` | [`budget`] |
 //! | choose a backend server | `step_route` | [`route`], [`retry`] |
-//! | put a call that may not run twice on record | `step_claim` | [`journal`], [`record`] |
-//! | wait before the backend server | `sidecar_calls` | [`gate`], [`predict`] |
+//! | put a call that may not run twice on record | `step_start` | [`journal`], [`record`] |
+//! | wait before the backend server | `sidecar_calls` | [`admission_queue`], [`predict`] |
 //! | pass the answer back | `answer` | |
 //! | put the turn on record | `step_record` | [`journal`], [`record`] |
 //!
@@ -32,6 +32,7 @@
 //! # Ok::<(), clementinepick::document::DocumentError>(())
 //! ```
 
+pub mod admission_queue;
 mod answer;
 mod answer_text;
 pub mod budget;
@@ -56,19 +57,18 @@
 pub mod event_stream;
 pub mod failure_rate;
 mod fetch;
-pub mod gate;
 mod handover;
 mod history;
+pub mod http_request;
 pub mod ids;
 mod ini_sections;
 mod invariants;
 pub mod journal;
 pub mod membership;
 pub mod message;
-pub mod order;
 pub mod outage_detector;
-pub mod own;
-pub mod parse;
+pub mod partition_replay;
+mod partition_state;
 pub mod peer_liveness;
 pub mod placement;
 pub mod placement_target;
@@ -78,16 +78,15 @@
 mod program_end;
 pub mod prompt;
 pub mod record;
-pub mod record_age;
+pub mod record_expiry;
 mod recovery;
 pub mod refusal;
-mod repeat;
-pub mod replay;
-mod replay_state;
+pub mod rendezvous;
 pub mod retry;
 pub mod route;
 pub mod rules;
 pub mod safeguards;
+pub mod sequencer;
 pub mod server_list;
 pub mod server_selection;
 pub mod sidecar;
@@ -100,11 +99,12 @@
 mod sidecar_types;
 mod snapshot;
 mod step_budget;
-mod step_claim;
-mod step_order;
-mod step_own;
+mod step_dedup;
+mod step_owner;
 mod step_record;
 mod step_route;
+mod step_sequence;
+mod step_start;
 mod step_validate;
 pub mod traffic_config;
 pub mod turn_chain;
--- a/clementinepick/src/snapshot.rs
+++ b/clementinepick/src/snapshot.rs
@@ -3,7 +3,7 @@
 use crate::call_state::Awaited;
 use crate::entry::Entry;
 use crate::ids::PartitionId;
-use crate::record::OwnedRecord;
+use crate::record::PartitionRecord;
 use crate::units::TimeUs;
 
 impl Entry {
@@ -11,7 +11,7 @@
     ///
     /// One at a time: a partition's state can be large, and calls share the log with it.
     pub(crate) fn write_snapshots(&mut self, now: TimeUs) {
-        if !self.is_caught_up() || self.journal.is_down() || !self.journal.at_end() {
+        if !self.is_caught_up() || self.journal.is_down() || !self.journal.is_at_end() {
             return;
         }
         let is_writing = |awaited: &Awaited| matches!(awaited, Awaited::Snapshot(_));
@@ -20,10 +20,10 @@
         }
         let start_us = self.started_us.unwrap_or(now);
         let due = self
-            .own_partitions()
+            .owned_partitions()
             .into_iter()
             .map(|partition| {
-                let last_us = self.snapshots_us.get(&partition).copied();
+                let last_us = self.last_snapshots_us.get(&partition).copied();
                 (last_us.unwrap_or(start_us), partition)
             })
             .filter(|(last_us, _)| now.since(*last_us) >= self.settings.snapshot_us)
@@ -37,13 +37,13 @@
         let Some(state) = self.partitions.get(partition) else {
             return;
         };
-        let entry = OwnedRecord::Snapshot {
+        let entry = PartitionRecord::Snapshot {
             up_to: self.journal.position(),
             state: Box::new(state.clone()),
         };
         if let Some(record) = self.write_owned(partition, entry) {
             self.awaited.insert(record, Awaited::Snapshot(partition));
-            self.snapshots_us.insert(partition, now);
+            self.last_snapshots_us.insert(partition, now);
         }
     }
 }
--- a/clementinepick/src/step_validate.rs
+++ b/clementinepick/src/step_validate.rs
@@ -2,17 +2,17 @@
 
 use std::collections::BTreeSet;
 
-use crate::answer::answer;
+use crate::answer::send_part;
 use crate::answer_text::AnswerText;
 use crate::call::{AnswerPart, Payload, Request};
 use crate::call_state::{Call, ReplyTo, Step};
-use crate::config::InForce;
+use crate::config::ActiveDocument;
 use crate::document::Document;
 use crate::entry::{Entry, EntryAction};
 use crate::error::{CallError, ErrorKind};
 use crate::ids::ClassName;
 use crate::message::Message;
-use crate::step_claim::digest;
+use crate::step_start::digest;
 use crate::units::{TimeUs, Tokens};
 
 impl Entry {
@@ -32,12 +32,12 @@
         let call = match self.validate(now, request, reply_to, hops) {
             Ok(call) => call,
             Err(refused) => {
-                answer(reply_to, id, AnswerPart::Failed(refused), out);
+                send_part(reply_to, id, AnswerPart::Failed(refused), out);
                 return;
             }
         };
         self.calls.insert(id, call);
-        self.step_own(now, id, out);
+        self.step_owner(now, id, out);
     }
 
     /// Handles a known request that arrives again over another path, after a link was lost.
@@ -61,7 +61,7 @@
             let message = Message::ForwardCancel { request: id };
             out.push(EntryAction::Send { to, message });
             call.step = Step::Own;
-            self.step_own(now, id, out);
+            self.step_owner(now, id, out);
             return;
         }
         if call.reply_to == ReplyTo::Caller {
@@ -70,17 +70,17 @@
         call.reply_to = reply_to.clone();
         // Parts sent over the lost link may not have arrived; the receiver ignores duplicates.
         if let Some(plain) = call.plain.clone() {
-            answer(reply_to, id, AnswerPart::Plain(plain), out);
+            send_part(reply_to, id, AnswerPart::Plain(plain), out);
         }
         if !call.answer.is_empty() {
             let part = AnswerPart::Text {
                 position: 0,
                 text: call.answer.to_string(),
             };
-            answer(reply_to, id, part, out);
+            send_part(reply_to, id, part, out);
         }
         if let Some(plain) = call.plain.clone() {
-            answer(reply_to, id, AnswerPart::Plain(plain), out);
+            send_part(reply_to, id, AnswerPart::Plain(plain), out);
         }
     }
 
@@ -101,7 +101,11 @@
         }
         let Some(in_force) = self.config.service(&request.service) else {
             let detail = format!("service `{}` has no document in force", request.service);
-            return Err(CallError::at(ErrorKind::UnknownService, "service", detail));
+            return Err(CallError::in_field(
+                ErrorKind::UnknownService,
+                "service",
+                detail,
+            ));
         };
         let idempotent = is_idempotent(&in_force.document, &request)?;
         let class = resolve_class(in_force, &request);
@@ -110,15 +114,15 @@
                 "the document of `{}` has no class `{class}`",
                 request.service
             );
-            let field = crate::parse::CLASS_HEADER;
-            return Err(CallError::at(ErrorKind::UnknownClass, field, detail));
+            let field = crate::http_request::CLASS_HEADER;
+            return Err(CallError::in_field(ErrorKind::UnknownClass, field, detail));
         };
         let left_us = request
             .deadline_left_us
             .map_or(rules.deadline_us, |left| left.min(rules.deadline_us));
         Ok(Call {
             digest: digest(&request.payload),
-            partition: self.home_of(&request.program, request.home()),
+            partition: self.partition_of(&request.program, request.root_program()),
             idempotent: idempotent && !request.non_idempotent,
             reply_to: reply_to.clone(),
             hops,
@@ -127,17 +131,17 @@
             class,
             in_force: in_force.clone(),
             seq: None,
-            full: None,
+            full_payload: None,
             held_tokens: None,
-            claim: None,
+            recorded_start: None,
             tried: BTreeSet::new(),
             prefill_tokens: Tokens(0),
             may_have_run: false,
-            from: 0,
+            resume_position: 0,
             answer: AnswerText::default(),
             plain: None,
             done: None,
-            left_us: None,
+            caller_left_us: None,
             request,
         })
     }
@@ -148,7 +152,11 @@
         Payload::Chat(chat) => {
             if !document.models.is_empty() && !document.models.contains(&chat.model) {
                 let detail = format!("model `{}` is not served by this service", chat.model);
-                return Err(CallError::at(ErrorKind::UnknownModel, "model", detail));
+                return Err(CallError::in_field(
+                    ErrorKind::UnknownModel,
+                    "model",
+                    detail,
+                ));
             }
             Ok(true)
         }
@@ -156,7 +164,7 @@
     }
 }
 
-fn resolve_class(in_force: &InForce, request: &Request) -> ClassName {
+fn resolve_class(in_force: &ActiveDocument, request: &Request) -> ClassName {
     let document = &in_force.document;
     let route_class = match &request.payload {
         Payload::Chat(_) => None,
--- a/clementinepickd/src/ledger_budgets.rs
+++ b/clementinepickd/src/ledger_budgets.rs
@@ -9,7 +9,7 @@
 use clementinepick::budget_ledger::{
     BudgetRecord, ProgramSlices, SliceDecision, SliceRecord, first_grant,
 };
-use clementinepick::record_age::KEPT_RETENTIONS;
+use clementinepick::record_expiry::RETENTION_FACTOR;
 use clementinepick::server_selection::PromptPart;
 use clementinepick::units::{SpanUs, Tokens};
 use platform::store::{KeyedRecord, MAX_KEY_BYTES};
@@ -155,9 +155,9 @@
     }
 
     /// Notes what a turn handed out.
-    pub(crate) fn note_turn(&self, handed_out: Tokens) {
-        let mean = self.mean_turn.get().unwrap_or(handed_out);
-        let next = mean.0 - mean.0 / MEAN_OVER + handed_out.0 / MEAN_OVER;
+    pub(crate) fn update_mean_turn(&self, consumed: Tokens) {
+        let mean = self.mean_turn.get().unwrap_or(consumed);
+        let next = mean.0 - mean.0 / MEAN_OVER + consumed.0 / MEAN_OVER;
         self.mean_turn.set(Some(Tokens(next)));
     }
 
@@ -197,7 +197,7 @@
     }
 
     /// Reserves a slice that no turn waits for; none where enough came meanwhile.
-    pub(crate) async fn reserve_ahead(
+    pub(crate) async fn prefetch_slice(
         &self,
         request: &BudgetRequest<'_>,
         deadline: Instant,
@@ -242,7 +242,7 @@
                 return Ok(grant);
             }
         }
-        Err(LedgerError::Away)
+        Err(LedgerError::Unavailable)
     }
 
     /// The next slice's record; without tokens where those held suffice and only the record that
@@ -368,10 +368,10 @@
     }
 
     /// Takes over what a turn that ends leaves of its maximum.
-    pub(crate) fn finish(&self, program: &str, turn: Tokens, handed_out: Tokens) {
+    pub(crate) fn finish(&self, program: &str, turn: Tokens, consumed: Tokens) {
         let mut programs = self.programs.borrow_mut();
         if let Some(state) = programs.get_mut(program) {
-            state.slices.finish(turn, handed_out);
+            state.slices.finish(turn, consumed);
         }
     }
 
@@ -385,7 +385,7 @@
 
     /// Sends tokens back to their lender, unless too many wait; then they are lost to the program,
     /// and never spent twice.
-    pub(crate) fn give_back(&self, back: TokenReturn) {
+    pub(crate) fn queue_return(&self, back: TokenReturn) {
         // The receiver is gone only when the process ends.
         let _ = self.returns.try_send(back);
     }
@@ -460,7 +460,7 @@
     /// it its standing slice again.
     pub(crate) fn forget_idle(&self, now: Instant) {
         let idle = |at: Option<Instant>| at.map(|at| now.saturating_duration_since(at));
-        let kept = u32::try_from(KEPT_RETENTIONS).unwrap_or(u32::MAX);
+        let kept = u32::try_from(RETENTION_FACTOR).unwrap_or(u32::MAX);
         self.programs.borrow_mut().retain(|_, state| {
             let limit = IDLE.max(state.retention.saturating_mul(kept));
             state.slices.outstanding > Tokens(0)
@@ -474,7 +474,7 @@
     }
 
     /// What this process holds of a program.
-    pub(crate) fn held_of(&self, program: &str) -> Option<ProgramSlices> {
+    pub(crate) fn held_slices(&self, program: &str) -> Option<ProgramSlices> {
         Some(self.programs.borrow().get(program)?.slices)
     }
 
--- a/clementinepickd/src/ledger_sweep.rs
+++ b/clementinepickd/src/ledger_sweep.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use clementinepick::budget_ledger::{BudgetRecord, expired_keys};
-use clementinepick::record_age::is_expired;
+use clementinepick::record_expiry::is_expired;
 use clementinepick::turn_chain::TurnRecord;
 use platform::store::{KeyedRecord, Topic};
 
@@ -44,7 +44,7 @@
     ) {
         let first = *self.looked_at.get_or_insert(now);
         let interval = interval(store, processes);
-        if now.saturating_duration_since(first) < interval || store.client.is_away() {
+        if now.saturating_duration_since(first) < interval || store.client.is_unavailable() {
             return;
         }
         self.looked_at = Some(now);
