--- a/clementinepick/src/budget.rs
+++ b/clementinepick/src/budget.rs
@@ -325,7 +325,7 @@
         assert_eq!(grant, Grant::Exhausted);
     }
 
-    // The append of a slice got no answer and was repeated, so that the log has it twice.
+    // The append of a slice got no response and was repeated, so that the log has it twice.
     #[test]
     fn a_slice_recorded_twice_counts_once() {
         let mut account = account();
--- a/clementinepick/src/entry_tick.rs
+++ b/clementinepick/src/entry_tick.rs
@@ -7,7 +7,7 @@
 use crate::step_record::send_committed;
 use crate::units::{SpanUs, TimeUs};
 
-/// How long after a call's deadline the entry still waits for the answer of the process that runs
+/// How long after a call's deadline the entry still waits for the response of the process that runs
 /// it.
 const ANSWER_GRACE_US: SpanUs = SpanUs::from_s(1);
 
@@ -64,7 +64,7 @@
         self.journal.share_between(others + 1);
     }
 
-    /// Releases answers that sidecars keep for callers that did not return in time.
+    /// Releases responses that sidecars keep for callers that did not return in time.
     fn release_kept_answers(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
         if now < self.kept_answers_until_us {
             return;
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Fails a call whose runner did not answer within the grace period after the deadline.
+    /// Fails a call whose runner did not respond within the grace period after the deadline.
     fn fail_overdue(&mut self, now: TimeUs, id: RequestId, out: &mut Vec<EntryAction>) {
         let idempotent = self.calls.get(&id).is_some_and(|call| call.idempotent);
         let kind = if idempotent {
@@ -140,7 +140,7 @@
             self.end_attempt(attempt, true);
             self.settle_full_reservation(id);
         }
-        let error = CallError::new(kind, "the deadline passed without an answer");
+        let error = CallError::new(kind, "the deadline passed without a response");
         self.fail_call(now, id, error, out);
     }
 
--- a/clementinepick/src/outage_detector.rs
+++ b/clementinepick/src/outage_detector.rs
@@ -18,7 +18,7 @@
 use crate::units::{SpanUs, TimeUs};
 
 /// How long reads must have failed to count as an outage. Entries expire only after several missed
-/// heartbeats, which takes longer, and single reads also fail when the store only loses an answer.
+/// heartbeats, which takes longer, and single reads also fail when the store only loses a response.
 const MIN_OUTAGE_US: SpanUs = SpanUs::from_ms(1_600);
 /// How long missing entries are kept after an outage: live servers register again within about two
 /// seconds.
--- a/clementinepick/src/peer_liveness.rs
+++ b/clementinepick/src/peer_liveness.rs
@@ -1,4 +1,4 @@
-//! Detects peers that have stopped answering, from the outcomes of regular calls.
+//! Detects peers that have stopped responding, from the outcomes of regular calls.
 //!
 //! ```
 //! use clementinepick::peer_liveness::PeerLiveness;
@@ -20,8 +20,8 @@
 
 /// How long no call is made to a peer after a failed one.
 const SILENCE_US: SpanUs = SpanUs::from_s(1);
-/// The time without an answer after which a peer is considered lost. A shorter one would needlessly
-/// replace processes that only pause.
+/// The time without a response after which a peer is considered lost. A shorter one would
+/// needlessly replace processes that only pause.
 const LOST_AFTER_US: SpanUs = SpanUs::from_s(2);
 /// How long no call is made to a lost peer; then a single failed call confirms that it is still
 /// lost.
@@ -29,7 +29,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Silence {
-    /// The first failed call since the last answer.
+    /// The first failed call since the last response.
     since: TimeUs,
     /// The latest failed call.
     last: TimeUs,
@@ -51,14 +51,14 @@
     }
 }
 
-/// Tracks the peers whose latest call got no answer.
+/// Tracks the peers whose latest call got no response.
 #[derive(Debug, Default)]
 pub struct PeerLiveness {
     silent: BTreeMap<SocketAddr, Silence>,
 }
 
 impl PeerLiveness {
-    /// Records that a call to a peer got no answer.
+    /// Records that a call to a peer got no response.
     pub fn record_failure(&mut self, now: TimeUs, peer: SocketAddr) {
         let first = Silence {
             since: now,
@@ -71,7 +71,7 @@
         silence.last = now;
     }
 
-    /// Records that a peer answered, or that another process has taken its address.
+    /// Records that a peer responded, or that another process has taken its address.
     pub fn record_response(&mut self, peer: SocketAddr) {
         self.silent.remove(&peer);
     }
--- a/clementinepick/src/platform.rs
+++ b/clementinepick/src/platform.rs
@@ -163,7 +163,7 @@
         usage: Usage,
         /// The reason of the end.
         finish: FinishReason,
-        /// The segments of prompt and answer that are now cached.
+        /// The segments of prompt and output that are now cached.
         cached: Vec<Segment>,
     },
     /// The generation failed.
--- a/clementinepick/src/step_validate.rs
+++ b/clementinepick/src/step_validate.rs
@@ -52,7 +52,7 @@
             return;
         };
         // The entry that this one forwarded the request to has sent it back. Replying to it would
-        // pass the answer round in a loop, so the forward is cancelled and the owner is looked up
+        // pass the response round in a loop, so the forward is cancelled and the owner is looked up
         // again.
         if let Step::Forwarded(to) = &call.step
             && *reply_to == ReplyTo::Entry(to.clone())
--- a/clementinepick/src/traffic_config.rs
+++ b/clementinepick/src/traffic_config.rs
@@ -11,7 +11,7 @@
     Idempotent,
     /// Must be executed at most once for each request of a caller.
     NonIdempotent,
-    /// Is answered with a stream of events.
+    /// The response is a stream of events.
     Streaming,
 }
 
@@ -28,9 +28,9 @@
     pub kind: RequestKind,
     /// The services that run its requests, with their weights; not empty.
     pub services: Vec<(String, u32)>,
-    /// The longest time from a request's arrival to the end of its answer.
+    /// The longest time from a request's arrival to the end of its response.
     pub timeout_us: SpanUs,
-    /// The target time to the answer, or to its first event.
+    /// The target time to the response, or to its first event.
     pub target_latency_us: SpanUs,
     /// The target for the longest gap between two events.
     pub gap_target_us: SpanUs,
--- a/clementinepick/tests/outage_detector.rs
+++ b/clementinepick/tests/outage_detector.rs
@@ -18,7 +18,7 @@
     assert!(!outage.is_in_grace_period(at_ms(180_000)));
 }
 
-/// The store loses single answers. No entry expires in so short a time, so missing servers have
+/// The store loses single responses. No entry expires in so short a time, so missing servers have
 /// left.
 #[test]
 fn single_failed_reads_are_no_outage() {
--- a/clementinepick/tests/peer_liveness.rs
+++ b/clementinepick/tests/peer_liveness.rs
@@ -16,7 +16,7 @@
 /// Calls to a slow peer fail now and then. Replacing it would needlessly halve the budgets that
 /// programs start with.
 #[test]
-fn a_peer_that_answers_between_failures_is_not_lost() {
+fn a_peer_that_responds_between_failures_is_not_lost() {
     let mut liveness = PeerLiveness::default();
     for second in 0..20 {
         liveness.record_failure(at_ms(second * 1_000), peer());
@@ -30,7 +30,7 @@
 /// A dead peer is lost after two seconds. Ten seconds after the last failed call it is called
 /// again, and one more failure confirms the loss.
 #[test]
-fn a_dead_peer_is_lost_until_it_answers() {
+fn a_dead_peer_is_lost_until_it_responds() {
     let mut liveness = PeerLiveness::default();
     liveness.record_failure(at_ms(0), peer());
     liveness.record_failure(at_ms(1_100), peer());
--- a/clementinepick/tests/traffic_config.rs
+++ b/clementinepick/tests/traffic_config.rs
@@ -1,4 +1,4 @@
-//! Tests the choice of routes and services, and the answers to refused requests.
+//! Tests the choice of routes and services, and the responses to refused requests.
 
 use clementinepick::refusal::{Refusal, ledger_retry_after};
 use clementinepick::traffic_config::{RequestKind, TrafficConfig, TrafficRoute};
@@ -67,9 +67,9 @@
         Refusal::NoServer,
         Refusal::NotSentInTime,
     ] {
-        let answer = refusal.response();
-        assert_eq!(answer.status, 503);
-        assert!(answer.retry_after_us.is_some(), "{refusal:?}");
+        let response = refusal.response();
+        assert_eq!(response.status, 503);
+        assert!(response.retry_after_us.is_some(), "{refusal:?}");
     }
 }
 
