--- a/clementinepick/src/answer.rs
+++ b/clementinepick/src/answer.rs
@@ -312,7 +312,7 @@
             && let Some(seq) = call.seq
         {
             let (key, partition) = (call.request.key(seq), call.partition);
-            self.record_outcome(&key, partition, attempt, outcome, Some((id, target)));
+            self.write_outcome(&key, partition, attempt, outcome, Some((id, target)));
         }
         if error.kind == ErrorKind::OutcomeUnknown {
             let event = Event::new(EventKind::OutcomeUnknown).with("request", id);
--- a/clementinepick/src/links.rs
+++ b/clementinepick/src/links.rs
@@ -138,7 +138,7 @@
         match role {
             VmRole::Sidecar => {
                 for partition in self.owned_partitions() {
-                    self.send_take_over(&vm, partition, out);
+                    self.send_takeover(&vm, partition, out);
                 }
                 self.ask_lost_calls(now, peer, out);
                 self.ask_open_calls(now, out);
--- a/clementinepick/src/recovery.rs
+++ b/clementinepick/src/recovery.rs
@@ -73,7 +73,7 @@
             } else {
                 let error = CallError::new(ErrorKind::OwnerUnknown, "the owner was lost");
                 let outcome = CallOutcome::NeverRan(error);
-                self.record_outcome(&call, partition, open.attempt, outcome, None);
+                self.write_outcome(&call, partition, open.attempt, outcome, None);
             }
         }
         self.ask_open_calls(now, out);
@@ -255,7 +255,7 @@
         }
         if !turn_written {
             let told = Some((RequestId(0), open.target.clone()));
-            self.record_outcome(call, open.partition, open.attempt, outcome.clone(), told);
+            self.write_outcome(call, open.partition, open.attempt, outcome.clone(), told);
         }
         for id in followers {
             // A repeat of a call that did not run is the call itself from here on.
--- a/clementinepick/src/step_owner.rs
+++ b/clementinepick/src/step_owner.rs
@@ -247,7 +247,7 @@
         self.keep_programs(now, partition);
         let sidecars: BTreeSet<VmId> = self.sidecars().cloned().collect();
         for vm in &sidecars {
-            self.send_take_over(vm, partition, out);
+            self.send_takeover(vm, partition, out);
         }
         if !is_new && !sidecars.is_empty() {
             let taking_over = Takeover {
@@ -282,7 +282,7 @@
         }
     }
 
-    pub(crate) fn send_take_over(
+    pub(crate) fn send_takeover(
         &self,
         vm: &VmId,
         partition: PartitionId,
--- a/clementinepick/src/step_record.rs
+++ b/clementinepick/src/step_record.rs
@@ -73,7 +73,7 @@
             },
         };
         let told = Some((answered.request, answered.target.clone()));
-        self.record_outcome(&key, partition, answered.attempt, outcome, told);
+        self.write_outcome(&key, partition, answered.attempt, outcome, told);
         true
     }
 
--- a/clementinepick/src/step_start.rs
+++ b/clementinepick/src/step_start.rs
@@ -108,11 +108,11 @@
             return;
         }
         let outcome = CallOutcome::NeverRan(error.clone());
-        self.record_outcome(&key, partition, claim.attempt, outcome, None);
+        self.write_outcome(&key, partition, claim.attempt, outcome, None);
     }
 
     /// Puts the outcome of a non-idempotent call on record.
-    pub(crate) fn record_outcome(
+    pub(crate) fn write_outcome(
         &mut self,
         call: &CallKey,
         partition: crate::ids::PartitionId,
