--- a/clementinepick/src/answer.rs
+++ b/clementinepick/src/answer.rs
@@ -1,4 +1,4 @@
-//! Takes the parts of an answer from sidecars and gives them to callers.
+//! Forwards answers from sidecars to callers, and retries or fails calls whose attempts failed.
 
 use crate::answer_text::AnswerText;
 use crate::call::{AnswerPart, PlainAnswer, Usage};
@@ -13,7 +13,7 @@
 use crate::step_record::send_committed;
 use crate::units::TimeUs;
 
-/// A part of an answer as a sidecar sends it.
+/// One part of an answer, as received from a sidecar.
 #[derive(Debug)]
 pub(crate) struct SidecarReply {
     pub(crate) attempt: AttemptId,
@@ -64,8 +64,8 @@
         };
         let known = call.answer.characters();
         if position > known {
-            // Text is missing in between; the sidecar has it all and sends it when the call is
-            // attached to again.
+            // Text in between was lost. The sidecar keeps the whole answer and resends it on
+            // attach.
             if let Step::Running { attempt, target } = &call.step {
                 self.attach(call.partition, *attempt, target, known, out);
             }
@@ -77,12 +77,12 @@
             }
         }
         if let Err(error) = self.deliver_text(id, position, text, out) {
-            self.break_off(now, id, error, out);
+            self.abort_running_call(now, id, error, out);
         }
     }
 
-    /// Ends a running call whose answer does not go on where its caller's text ended.
-    fn break_off(
+    /// Cancels and fails a running call whose answer does not continue the text its caller has.
+    fn abort_running_call(
         &mut self,
         now: TimeUs,
         id: RequestId,
@@ -102,11 +102,11 @@
         self.fail_call(now, id, error, out);
     }
 
-    /// Gives a caller the part of a text that it lacks.
+    /// Sends a caller the part of `text` that it does not have yet.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::BackendFailed`] when the text does not go on where the caller's text ended.
+    /// [`ErrorKind::BackendFailed`] if `text` does not continue the text that the caller has.
     pub(crate) fn deliver_text(
         &mut self,
         id: RequestId,
@@ -123,20 +123,20 @@
         if text.is_empty() {
             return Ok(());
         }
-        let fresh = fresh_text(&call.answer, position, &text)?;
-        if fresh.is_empty() {
+        let missing = missing_text(&call.answer, position, &text)?;
+        if missing.is_empty() {
             return Ok(());
         }
         let part = AnswerPart::Text {
             position: call.resume_position + call.answer.characters(),
-            text: fresh.clone(),
+            text: missing.clone(),
         };
-        call.answer.push_str(&fresh);
+        call.answer.push_str(&missing);
         send_part(&call.reply_to, id, part, out);
         Ok(())
     }
 
-    /// Gives a caller the answer of a plain service, unless it has it already.
+    /// Sends a caller the answer of a plain service, unless it has been sent before.
     pub(crate) fn deliver_plain(
         &mut self,
         id: RequestId,
@@ -190,8 +190,8 @@
         }
     }
 
-    /// An attempt has failed; `failure` holds the error, whether it was sent to the backend
-    /// server, and what it used.
+    /// Handles a failed attempt. `failure` is the error, whether the attempt was sent to the
+    /// backend server, and the tokens it used.
     pub(crate) fn on_failed(
         &mut self,
         now: TimeUs,
@@ -213,19 +213,23 @@
             call.may_have_run |= started;
         }
         self.end_attempt(attempt, started);
-        // A failed attempt has spent what the engine counted, or all that was held for it where
-        // nobody counted.
-        self.settle_failed(id, started, used);
+        // A failed attempt is charged what the engine counted, or its whole reservation if there is
+        // no count.
+        self.settle_failed_attempt(id, started, used);
         if !idempotent && started && self.settings.safeguards.retry_only_idempotent {
-            self.end_ran(now, id, (attempt, target), error, out);
+            self.fail_recorded_call(now, id, (attempt, target), error, out);
             return;
         }
         send_committed(&target, attempt, out);
-        let error = if started { error } else { as_not_run(error) };
+        let error = if started {
+            error
+        } else {
+            to_not_run_error(error)
+        };
         if is_claimed {
             self.revoke_start(id, &error);
         }
-        if self.is_worth_retrying(id, &error, started) && self.may_retry(id, &error) {
+        if self.is_retryable(id, &error, started) && self.take_retry(id, &error) {
             let event = Event::new(EventKind::CallRetried).with("request", id);
             out.push(EntryAction::Event(event.with("error", &error)));
             self.step_budget(now, id, out);
@@ -234,14 +238,14 @@
         self.fail_call(now, id, error, out);
     }
 
-    fn settle_failed(&mut self, id: RequestId, started: bool, used: Usage) {
-        let unknown = started && used == Usage::default();
+    fn settle_failed_attempt(&mut self, id: RequestId, started: bool, used: Usage) {
+        let is_uncounted = started && used == Usage::default();
         let prompt_tokens = self
             .calls
             .get(&id)
             .and_then(|call| call.prompt().map(crate::prompt::Prompt::length_tokens));
         let held_tokens = self.calls.get(&id).and_then(|call| call.held_tokens);
-        let used = match (started, unknown) {
+        let used = match (started, is_uncounted) {
             (false, _) => Usage::default(),
             (true, true) => Usage {
                 prompt_tokens: held_tokens.unwrap_or_default(),
@@ -255,12 +259,12 @@
         self.settle(id, used, u64::from(started));
     }
 
-    fn is_worth_retrying(&self, id: RequestId, error: &CallError, started: bool) -> bool {
+    fn is_retryable(&self, id: RequestId, error: &CallError, started: bool) -> bool {
         let Some(call) = self.calls.get(&id) else {
             return false;
         };
         let max_attempts = call.in_force.document.retry.max_attempts as usize;
-        let kind = matches!(
+        let is_retryable_kind = matches!(
             error.kind,
             ErrorKind::NoBackend
                 | ErrorKind::BackendFailed
@@ -270,12 +274,14 @@
         );
         let may_repeat =
             call.idempotent || !started || !self.settings.safeguards.retry_only_idempotent;
-        kind && may_repeat && call.answer.is_empty() && call.tried.len() < max_attempts
+        is_retryable_kind && may_repeat && call.answer.is_empty() && call.tried.len() < max_attempts
     }
 
-    /// Takes a retry out of the service's budget. A backend server that is leaving refuses what it
-    /// has not started; such calls move on whatever the budget, or a planned leave would fail them.
-    fn may_retry(&mut self, id: RequestId, error: &CallError) -> bool {
+    /// Takes a retry from the service's retry budget; returns false if none is left.
+    ///
+    /// Calls that a backend server refuses because it shuts down are exempt. Otherwise a planned
+    /// shutdown would fail them when the budget is empty.
+    fn take_retry(&mut self, id: RequestId, error: &CallError) -> bool {
         let Some(call) = self.calls.get(&id) else {
             return false;
         };
@@ -283,14 +289,14 @@
             return true;
         }
         let budget = self
-            .retries
+            .retry_budgets
             .entry(call.request.service.clone())
             .or_default();
         budget.take()
     }
 
-    /// A call that may not run twice was sent on and failed: its end goes on record.
-    fn end_ran(
+    /// Records the outcome of a non-idempotent call that failed after it was sent, and fails it.
+    fn fail_recorded_call(
         &mut self,
         now: TimeUs,
         id: RequestId,
@@ -299,7 +305,7 @@
         out: &mut Vec<EntryAction>,
     ) {
         let (attempt, target) = ran;
-        // That its backend server failed says nothing of what it had done by then.
+        // The backend server may have executed the call before it failed.
         let error = match error.kind {
             ErrorKind::DeadlineExceeded | ErrorKind::Cancelled | ErrorKind::OutcomeUnknown => error,
             _ => CallError::new(ErrorKind::OutcomeUnknown, error.detail),
@@ -324,7 +330,7 @@
         self.fail_call(now, id, error, out);
     }
 
-    /// Answers a call with an error and takes it out of its program's order.
+    /// Answers a call with an error and removes it from its program's sequence.
     pub(crate) fn fail_call(
         &mut self,
         now: TimeUs,
@@ -336,7 +342,7 @@
         let Some(call) = self.calls.get(&id) else {
             return;
         };
-        let error = truthful(call, error);
+        let error = correct_not_run(call, error);
         let is_not_run = error.kind.answer().not_run == NotRun::Yes;
         if is_not_run && call.recorded_start.is_some() {
             self.revoke_start(id, &error);
@@ -345,13 +351,14 @@
             return;
         };
         let (program, seq) = (call.request.program.clone(), call.seq);
-        // The place of a call that may be sent again stays open for it; without the caller's own
-        // number nobody would come back for that place, and later calls would wait in vain.
-        let stopped = error.kind == ErrorKind::Cancelled;
-        let repeat_safe = error.kind.answer().repeat_safe || stopped;
-        let may_return = is_not_run || (call.idempotent && repeat_safe);
-        let reopens = may_return && call.request.seq.is_some();
-        // A keyed call that did not run may come again, and then finds its program still there.
+        // The sequence number of a call that may be sent again is reopened, if the caller chose it.
+        // Otherwise no repeat would use it, and later calls would wait for it in vain.
+        let is_cancelled = error.kind == ErrorKind::Cancelled;
+        let repeat_safe = error.kind.answer().repeat_safe || is_cancelled;
+        let may_be_repeated = is_not_run || (call.idempotent && repeat_safe);
+        let may_reopen = may_be_repeated && call.request.seq.is_some();
+        // A call with an idempotency key that did not run may be repeated, and its program must
+        // still exist then.
         let may_come_again = is_not_run && call.request.idempotency_key.is_some();
         let single_call = call.request.single_call && !may_come_again;
         let last = AnswerPart::Failed(error.clone());
@@ -360,7 +367,7 @@
         if let Some(live) = self.programs.get_mut(&program) {
             live.sequencer.remove(id);
             match seq {
-                Some(seq) if reopens => live.sequencer.reopen(seq),
+                Some(seq) if may_reopen => live.sequencer.reopen(seq),
                 Some(seq) => live.sequencer.finish(seq),
                 None => {}
             }
@@ -372,7 +379,7 @@
         }
     }
 
-    /// Answers a call with an error; it had no place in its program's order.
+    /// Answers a call with an error; for calls that hold no place in their program's sequence.
     pub(crate) fn fail_unordered_call(
         &mut self,
         id: RequestId,
@@ -382,7 +389,7 @@
         let Some(call) = self.calls.remove(&id) else {
             return;
         };
-        let error = truthful(&call, error);
+        let error = correct_not_run(&call, error);
         let event = Event::new(EventKind::CallRefused)
             .with("request", id)
             .with("error", &error);
@@ -390,8 +397,8 @@
         send_part(&call.reply_to, id, AnswerPart::Failed(error), out);
     }
 
-    /// The caller is gone: what has not started is dropped. What runs and may be run again is
-    /// stopped, where its program may come back for the rest only after a while.
+    /// Handles the disconnect of a caller: fails the call if it has not been sent, and cancels a
+    /// running idempotent call once it can no longer be resumed.
     pub(crate) fn on_caller_gone(
         &mut self,
         now: TimeUs,
@@ -415,8 +422,10 @@
             }
             Step::Own | Step::Order | Step::Slice | Step::Route { .. } | Step::Claim => {
                 if !self.has_waiting_caller(id) {
-                    let error =
-                        CallError::new(ErrorKind::DeadlineBeforeStart, "the caller is gone");
+                    let error = CallError::new(
+                        ErrorKind::DeadlineBeforeStart,
+                        "the caller disconnected while the call was waiting",
+                    );
                     self.fail_call(now, id, error, out);
                 }
             }
@@ -428,8 +437,8 @@
         }
     }
 
-    /// Stops a running call that nobody has waited for over the time in which a cut stream may be
-    /// resumed; its engine's time and memory are needed for others.
+    /// Cancels a running idempotent call that has had no caller for `resume_wait_us`, to free its
+    /// engine's time and memory.
     pub(crate) fn cancel_abandoned(
         &mut self,
         now: TimeUs,
@@ -441,10 +450,10 @@
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        let over = call
+        let is_expired = call
             .caller_left_us
             .is_some_and(|left| call.request.single_call || now.since(left) >= wait_us);
-        if !over || !call.idempotent || has_waiting_caller {
+        if !is_expired || !call.idempotent || has_waiting_caller {
             return;
         }
         if let Step::Running { attempt, target } = &call.step {
@@ -456,7 +465,7 @@
         }
     }
 
-    /// The entry that passed a request on does not wait for it here any more.
+    /// Handles the withdrawal of a forwarded request by the entry that sent it.
     pub(crate) fn on_forward_cancel(
         &mut self,
         now: TimeUs,
@@ -469,13 +478,13 @@
         };
         if call.step == Step::Forwarded(from.clone()) {
             if call.reply_to == ReplyTo::Caller {
-                // Two entries that each hold the other for the owner give the request back to one
-                // another. Only this one has the caller: dropped here, it would be dropped for
-                // good, and the caller would hear nothing. The next tick looks for the owner again.
+                // Two entries that each take the other for the owner return the request to each
+                // other. Only this one has the caller, who would never get an answer if the request
+                // were dropped here. The next tick looks for the owner again.
                 call.step = Step::Own;
                 call.may_have_run = true;
             } else {
-                // It was passed on to where it came from, and goes on there.
+                // It was forwarded back to the entry that it came from, and continues there.
                 self.calls.remove(&id);
             }
         } else if call.reply_to == ReplyTo::Entry(from.clone()) {
@@ -483,7 +492,7 @@
         }
     }
 
-    /// A part of the answer to a request that was passed on.
+    /// Relays one part of the answer to a forwarded request.
     pub(crate) fn on_forward_reply(
         &mut self,
         from: &VmId,
@@ -494,7 +503,7 @@
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        // An owner that was replaced may still answer, from a state that is no longer in force.
+        // An owner that was replaced may still answer, from outdated state.
         if call.step != Step::Forwarded(from.clone()) {
             return;
         }
@@ -510,7 +519,7 @@
             AnswerPart::Plain(plain) => self.deliver_plain(id, &plain, out),
             last @ (AnswerPart::Done(_) | AnswerPart::Failed(_)) => {
                 let last = match last {
-                    AnswerPart::Failed(error) => AnswerPart::Failed(truthful(call, error)),
+                    AnswerPart::Failed(error) => AnswerPart::Failed(correct_not_run(call, error)),
                     other => other,
                 };
                 let reply_to = call.reply_to.clone();
@@ -521,11 +530,11 @@
     }
 }
 
-/// The part of `text` that the caller lacks.
+/// Returns the part of `text` that is not in `known` yet.
 ///
-/// After a take-over the call may have been run anew and come out otherwise. Half of one answer
-/// and half of another would look whole to the caller; so the answer is broken off instead.
-fn fresh_text(known: &AnswerText, position: u64, text: &str) -> Result<String, CallError> {
+/// After a takeover the call may have been rerun with a different result. Parts of two answers
+/// would look like one complete answer to the caller, so a mismatch is an error.
+fn missing_text(known: &AnswerText, position: u64, text: &str) -> Result<String, CallError> {
     let known_chars = known.characters();
     if position == known_chars {
         return Ok(text.to_owned());
@@ -535,18 +544,18 @@
     let differs =
         position > known_chars || !(text.starts_with(&overlap) || overlap.starts_with(text));
     if differs {
-        let detail = "the call was run anew after its owner was lost, and came out otherwise";
+        let detail = "the call was rerun after its owner was lost and gave a different answer";
         return Err(CallError::new(ErrorKind::BackendFailed, detail));
     }
     Ok(skip_chars(text, overlap_chars))
 }
 
-/// The error that is true of a call of which an earlier attempt may have run.
+/// Replaces an error that reports the call as not run, if an earlier attempt may have run.
 ///
-/// A call that was sent again after its owner was lost, or after a failed attempt, may be refused
-/// by whoever gets it last as not run; that would be true of the last attempt only. What may not
-/// run twice is refused by its record, except by one who has not looked there.
-fn truthful(call: &Call, error: CallError) -> CallError {
+/// After a lost owner or a failed attempt, a refusal as not run holds for the last attempt only.
+/// A refusal of a non-idempotent call that is based on its record remains valid; the kinds replaced
+/// here are issued before the record is consulted.
+fn correct_not_run(call: &Call, error: CallError) -> CallError {
     if !call.may_have_run || error.kind.answer().not_run != NotRun::Yes {
         return error;
     }
@@ -560,15 +569,15 @@
     CallError::new(kind, error.detail)
 }
 
-/// An error of a call that surely did not run, whatever its kind says of calls in general.
-fn as_not_run(error: CallError) -> CallError {
+/// Returns an error that reports the call as not run, for an attempt that was never started.
+fn to_not_run_error(error: CallError) -> CallError {
     if error.kind.answer().not_run == NotRun::Yes {
         return error;
     }
     CallError::new(ErrorKind::NoBackend, error.detail)
 }
 
-/// Gives one part of an answer to whoever passed the request on.
+/// Sends one part of an answer to the caller, or to the entry that forwarded the request.
 pub(crate) fn send_part(to: &ReplyTo, id: RequestId, part: AnswerPart, out: &mut Vec<EntryAction>) {
     match to {
         ReplyTo::Caller => out.push(EntryAction::Answer { request: id, part }),
--- a/clementinepick/src/answer_text.rs
+++ b/clementinepick/src/answer_text.rs
@@ -1,11 +1,11 @@
-//! The text of an answer as it grows, with its length in characters.
+//! Accumulates the text of an answer and keeps its length in characters.
 //!
-//! Each part of an answer asks for that length. Counting it anew each time takes a time that grows
-//! with the square of the answer, and for that time the process does nothing else.
+//! Every part of an answer needs that length. Recounting it each time would take time quadratic in
+//! the length of the answer, during which the process does nothing else.
 
 use std::ops::Deref;
 
-/// Text that only grows.
+/// Append-only text with a known length.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(crate) struct AnswerText {
     text: String,
@@ -13,12 +13,11 @@
 }
 
 impl AnswerText {
-    /// The count of characters.
+    /// Returns the length in characters, not bytes.
     pub(crate) const fn characters(&self) -> u64 {
         self.characters
     }
 
-    /// Adds text to the end.
     pub(crate) fn push_str(&mut self, text: &str) {
         self.characters += text.chars().count() as u64;
         self.text.push_str(text);
--- a/clementinepick/src/call.rs
+++ b/clementinepick/src/call.rs
@@ -1,4 +1,4 @@
-//! A caller's request after parsing, and the parts of its answer.
+//! Defines the parsed requests of callers and the parts of their answers.
 
 use std::collections::BTreeMap;
 
@@ -13,46 +13,46 @@
 use crate::prompt::{ChainHash, Prompt};
 use crate::units::{SpanUs, Tokens};
 
-/// One request of a caller.
+/// A parsed request of a caller.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Request {
-    /// Drawn at the entry where the request came in.
+    /// The random identifier assigned by the entry that received the request.
     pub id: RequestId,
-    /// The service that is called.
+    /// The called service.
     pub service: ServiceName,
-    /// The program; a request without one is a program of a single call.
+    /// The program; a request that names none gets a program of its own.
     pub program: ProgramId,
-    /// Whether the program was made for this one request and ends with it.
+    /// Whether the program was created for this request and ends with it.
     pub single_call: bool,
-    /// The call's place in the program; absent: the order of arrival at the owner.
+    /// The call's sequence number in the program; if absent, the owner assigns it on arrival.
     pub seq: Option<CallSeq>,
-    /// The program whose sub-agent this program is.
+    /// The parent program, if this program is a sub-agent.
     pub parent: Option<ProgramId>,
-    /// The program at the root of the sub-agents, whose account is spent from and beside which
-    /// this program is kept; absent: the parent.
+    /// The root program of a sub-agent, which provides its budget and its partition; if absent, the
+    /// parent.
     pub root: Option<ProgramId>,
-    /// Whether a chat call brings only the messages that the history on record lacks.
+    /// Whether a chat call carries only the messages that follow the recorded history.
     pub append: bool,
-    /// The chain of the history that the caller builds on, as its last answer gave it.
+    /// The chain hash of the history that the caller appends to, from its last answer.
     pub history_chain: Option<ChainHash>,
-    /// The class; absent: the route's or the document's default.
+    /// The class; if absent, the default of the route or of the document.
     pub class: Option<ClassName>,
-    /// The time left until the caller gives up.
+    /// The time left until the caller's deadline.
     pub deadline_left_us: Option<SpanUs>,
-    /// The token budget that the caller gives the program; the document may set less.
+    /// The token budget that the caller sets for the program; the document may limit it further.
     pub budget_tokens: Option<Tokens>,
     /// The caller's idempotency key.
     pub idempotency_key: Option<IdempotencyKey>,
-    /// The caller's word that the call may not run twice; the document may say so as well.
+    /// Whether the caller declares the call non-idempotent; the document may do so as well.
     pub non_idempotent: bool,
-    /// The tool the program will call after this turn, where the caller says so.
+    /// The tool that the program will call after this turn, if the caller announces it.
     pub next_tool: Option<ToolName>,
-    /// What is to be run.
+    /// The content of the call.
     pub payload: Payload,
 }
 
 impl Request {
-    /// The call's key, once its place is known.
+    /// Returns the key of the call at a sequence number.
     #[must_use]
     pub fn key(&self, seq: CallSeq) -> CallKey {
         CallKey {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The program by which the partition is chosen: a sub-agent lies with its root.
+    /// Returns the program that determines the partition: for a sub-agent, its root.
     #[must_use]
     pub fn root_program(&self) -> &ProgramId {
         self.root
@@ -71,22 +71,22 @@
     }
 }
 
-/// A caller asks for the answer of an earlier call, or for the rest of one.
+/// A caller's request for the answer of an earlier call, or for the rest of it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fetch {
-    /// Drawn at the entry where the request came in.
+    /// The random identifier assigned by the entry that received the request.
     pub id: RequestId,
     /// The program.
     pub program: ProgramId,
-    /// The root of its sub-agents, where it is one; absent: the program itself.
+    /// The root program, if the program is a sub-agent; if absent, the program itself.
     pub root: Option<ProgramId>,
-    /// The call's place in the program.
+    /// The call's sequence number in the program.
     pub seq: CallSeq,
-    /// The count of characters that the caller already has.
+    /// The number of characters that the caller already has.
     pub position: u64,
 }
 
-/// What a call runs.
+/// The content of a call.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Payload {
     /// A turn of a model engine.
@@ -100,15 +100,15 @@
 pub struct ChatMessage {
     /// `system`, `user`, `assistant` or `tool`.
     pub role: String,
-    /// The text; the text parts joined where the caller sent parts.
+    /// The text; if the caller sent several text parts, these joined.
     pub content: String,
-    /// All other fields, passed on as they are.
+    /// All other fields, forwarded unchanged.
     #[serde(flatten)]
     pub extra: BTreeMap<String, Value>,
 }
 
 impl ChatMessage {
-    /// A message of text only.
+    /// Creates a message without further fields.
     #[must_use]
     pub fn new(role: &str, content: &str) -> Self {
         Self {
@@ -122,28 +122,28 @@
 /// A turn of a model engine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ChatCall {
-    /// The model asked for.
+    /// The requested model.
     pub model: ModelName,
     /// The transcript.
     pub messages: Vec<ChatMessage>,
-    /// The shape of the transcript.
+    /// The segments of the transcript, by which cached prefixes are found.
     pub prompt: Prompt,
-    /// The most tokens to generate; absent: the class's limit.
+    /// The maximum number of tokens to generate; if absent, the limit of the class.
     pub max_output_tokens: Option<Tokens>,
-    /// Whether the caller wants the answer as a stream.
+    /// Whether the caller requests a streamed answer.
     pub stream: bool,
-    /// All other fields of the body, passed on to the engine.
+    /// All other fields of the body, forwarded to the engine.
     pub extra: BTreeMap<String, Value>,
 }
 
 /// A call of a plain service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlainCall {
-    /// The HTTP method, in capitals.
+    /// The HTTP method, in upper case.
     pub method: String,
-    /// The path below the service, with its query.
+    /// The path below the service, including the query.
     pub path: String,
-    /// The headers that are passed on, names in lower case.
+    /// The forwarded headers, with names in lower case.
     pub headers: Vec<(String, String)>,
     /// The body.
     pub body: Vec<u8>,
@@ -154,20 +154,20 @@
 pub struct PlainAnswer {
     /// The HTTP status.
     pub status: u16,
-    /// The headers that are passed back, names in lower case.
+    /// The returned headers, with names in lower case.
     pub headers: Vec<(String, String)>,
     /// The body.
     pub body: Vec<u8>,
 }
 
-/// What an engine counted for one turn.
+/// The token counts of one turn, as reported by the engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// The prompt's length.
+    /// The length of the prompt.
     pub prompt_tokens: Tokens,
-    /// The part of the prompt that came from the engine's cache.
+    /// The part of the prompt that was served from the engine's cache.
     pub cached_tokens: Tokens,
-    /// The tokens generated.
+    /// The generated tokens.
     pub output_tokens: Tokens,
 }
 
@@ -177,59 +177,59 @@
 pub enum FinishReason {
     /// The model ended its turn.
     Stop,
-    /// The limit of output tokens was reached.
+    /// The limit on output tokens was reached.
     Length,
 }
 
-/// Whether a turn is on record.
+/// Whether a turn is recorded in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TurnState {
     /// The turn is in the log.
     Committed,
-    /// The turn is in the memory of the owner and the sidecar, and commits when the log returns.
+    /// The turn is held in memory by the owner and the sidecar until the log accepts its record.
     Pending,
-    /// The call has no history to keep.
+    /// The call belongs to no history, and no turn is recorded.
     NotKept,
 }
 
-/// The end of a call that was answered.
+/// The final part of a successful answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallDone {
-    /// The call, so that the caller can ask for the answer again.
+    /// The key by which the caller can fetch the answer again.
     pub call: CallKey,
-    /// What the engine counted; zero for plain services.
+    /// The engine's token counts; zero for plain services.
     pub usage: Usage,
     /// Why the engine stopped; absent for plain services.
     pub finish: Option<FinishReason>,
-    /// Whether the turn is on record.
+    /// Whether the turn is recorded in the log.
     pub turn: TurnState,
-    /// The chain of the program's history up to and with this turn, for callers that append.
+    /// The chain hash of the program's history including this turn, for callers that append.
     pub chain: Option<ChainHash>,
 }
 
-/// One part of an answer, in the order in which the caller gets them.
+/// One part of an answer.
 ///
-/// Exactly one of [`AnswerPart::Done`] and [`AnswerPart::Failed`] comes, and comes last.
+/// The last part, and only the last, is [`AnswerPart::Done`] or [`AnswerPart::Failed`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AnswerPart {
     /// Text of a turn.
     Text {
-        /// The count of characters of the answer before this text.
+        /// The number of characters of the answer before this text.
         position: u64,
         /// The text.
         text: String,
     },
     /// The answer of a plain service.
     Plain(PlainAnswer),
-    /// The call is answered.
+    /// The call succeeded.
     Done(CallDone),
     /// The call failed.
     Failed(CallError),
 }
 
 impl AnswerPart {
-    /// Whether no part follows this one.
+    /// Returns whether this is the last part of the answer.
     #[must_use]
     pub const fn is_last(&self) -> bool {
         matches!(self, Self::Done(_) | Self::Failed(_))
--- a/clementinepick/src/call_state.rs
+++ b/clementinepick/src/call_state.rs
@@ -1,4 +1,4 @@
-//! What an entry keeps of a call on its way, of a live program and of a peer.
+//! Defines the state that an entry keeps for calls, programs, partition ownership and peers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,45 +17,46 @@
 use crate::sequencer::Sequencer;
 use crate::units::{TimeUs, Tokens};
 
-/// Where the parts of an answer go.
+/// The recipient of an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum ReplyTo {
     Caller,
     Entry(VmId),
-    /// The caller is gone; the answer is kept for it to fetch.
+    /// The caller has disconnected and may fetch the answer later.
     Nobody,
 }
 
-/// Whose answer a repeat waits for.
+/// The call whose answer a repeat waits for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Leader {
-    /// A call that goes its way here.
+    /// A call in progress at this entry.
     Request(RequestId),
-    /// An open call of an earlier owner.
+    /// An unresolved call of an earlier owner.
     Recorded(CallKey),
 }
 
+/// The processing step of a call; its `Debug` text is part of the state dump.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Step {
     /// Waits for the partition's owner.
     Own,
-    /// Passed on to the owner.
+    /// Forwarded to the owner.
     Forwarded(VmId),
     /// Waits for an earlier call of its program.
     Order,
-    /// Waits for the record of a slice.
+    /// Waits for the record of a budget slice.
     Slice,
-    /// Waits for the record of its start.
+    /// Waits for its start record.
     Claim,
-    /// Waits, for a short time, for a backend server.
+    /// Waits up to `backend_wait_us` for a backend server.
     Route { since_us: TimeUs },
-    /// Runs.
+    /// Runs at a backend server.
     Running { attempt: AttemptId, target: VmId },
-    /// May not run twice, and the link to its sidecar went down.
+    /// Non-idempotent and sent, and the link to its sidecar is down.
     Lost { attempt: AttemptId, target: VmId },
-    /// Ended, waits for the turn's record.
+    /// Answered; waits for the record of the turn or the outcome.
     Record { since_us: TimeUs },
-    /// Waits for the answer of the same call, asked for before.
+    /// A repeat that waits for the answer of the original call.
     Follow(Leader),
 }
 
@@ -81,28 +82,28 @@
     pub(crate) in_force: InForce,
     pub(crate) idempotent: bool,
     pub(crate) seq: Option<CallSeq>,
-    /// Where its program's transcript on record is longer than what the caller sent.
+    /// The payload preceded by the recorded history, if the caller sent only new messages.
     pub(crate) full_payload: Option<Payload>,
-    /// The tokens held in the account of the program.
+    /// The tokens reserved in the program's budget.
     pub(crate) held_tokens: Option<Tokens>,
     pub(crate) recorded_start: Option<RecordedStart>,
     pub(crate) tried: BTreeSet<VmId>,
-    /// The prompt tokens that its backend server probably has to prefill.
+    /// The prompt tokens that the backend server is expected to prefill.
     pub(crate) prefill_tokens: Tokens,
-    /// Whether an attempt of it may have been sent to a backend server, here or at a lost owner.
+    /// Whether an attempt may have been sent to a backend server, here or by a lost owner.
     pub(crate) may_have_run: bool,
-    /// The characters that the caller had before this request.
+    /// The number of characters that the caller had before this request.
     pub(crate) resume_position: u64,
-    /// The text that has come and was given to the caller.
+    /// The text that was received and sent to the caller.
     pub(crate) answer: AnswerText,
     pub(crate) plain: Option<PlainAnswer>,
     pub(crate) done: Option<CallDone>,
-    /// When the caller left, until the call was told to stop.
+    /// When the caller disconnected; reset when the call is cancelled.
     pub(crate) caller_left_us: Option<TimeUs>,
 }
 
 impl Call {
-    /// What is run: the caller's payload, with the history before it where the caller appends.
+    /// Returns the payload to run: the caller's, preceded by the history if the caller appends.
     pub(crate) fn payload(&self) -> &Payload {
         self.full_payload.as_ref().unwrap_or(&self.request.payload)
     }
@@ -131,13 +132,13 @@
         self.prompt().map_or(Tokens(0), Prompt::length_tokens) + self.max_output_tokens()
     }
 
-    /// Whether nothing of the call goes on record: it is a program of its own that may be run
-    /// again at will, so the log's append rate is not spent on it.
+    /// Returns whether the call writes no records. It is idempotent, has no key and is the only
+    /// call of its program, so records would use up the log's append rate for nothing.
     pub(crate) fn is_unrecorded(&self) -> bool {
         self.request.single_call && self.idempotent && self.request.idempotency_key.is_none()
     }
 
-    /// Whether the answer becomes a turn of a history.
+    /// Returns whether the answer is recorded as a turn of its program's history.
     pub(crate) fn records_turn(&self) -> bool {
         matches!(self.request.payload, Payload::Chat(_)) && !self.is_unrecorded()
     }
@@ -146,7 +147,7 @@
         matches!(self.step, Step::Running { .. } | Step::Lost { .. })
     }
 
-    /// Whether its partition can't be handed over before it has ended.
+    /// Returns whether the call must end before its partition can be handed over.
     pub(crate) fn blocks_handover(&self) -> bool {
         matches!(
             self.step,
@@ -155,7 +156,7 @@
     }
 }
 
-/// A turn that is answered and not yet read back from the log.
+/// An answered turn whose record has not been read back from the log.
 #[derive(Debug, Clone)]
 pub(crate) struct PendingTurn {
     pub(crate) record: RecordId,
@@ -172,7 +173,7 @@
     pub(crate) target: VmId,
 }
 
-/// What the owner keeps of a live program beside the log's word.
+/// The owner's in-memory state of a live program, in addition to the recorded state.
 #[expect(
     clippy::struct_excessive_bools,
     reason = "each is about a record of its own"
@@ -183,28 +184,28 @@
     pub(crate) sequencer: Sequencer,
     pub(crate) spending: Spending,
     pub(crate) last_backend: Option<VmId>,
-    /// Sidecars that may hold its cache.
+    /// The sidecars whose engines may hold cache of the program.
     pub(crate) holders: BTreeSet<VmId>,
-    /// The chains of the prompts that were sent there.
+    /// The chain hashes of the prompt segments that were sent to them.
     pub(crate) chains: BTreeSet<ChainHash>,
     pub(crate) since_us: TimeUs,
     pub(crate) last_used_us: TimeUs,
     pub(crate) is_opening: bool,
-    /// Whether the record of a slice is under way.
+    /// Whether the record of a budget slice has been written and not read back.
     pub(crate) is_reserving_slice: bool,
-    /// Turns that are not yet read back, in order.
+    /// The turns that have not been read back, in order.
     pub(crate) pending_turns: Vec<PendingTurn>,
-    /// Whether an earlier owner may have had turns that never came on record.
+    /// Whether an earlier owner may have answered turns that were never recorded.
     pub(crate) may_have_unrecorded_turns: bool,
-    /// Whether an earlier owner served it.
+    /// Whether an earlier owner served the program.
     pub(crate) is_inherited: bool,
-    /// The last call's digest, and how often it came in a row.
-    pub(crate) repeats: (ChainHash, u32),
-    /// Set when the budget is spent: the program ends when nothing of it runs.
+    /// The digest of the last call, and how often in a row it was received.
+    pub(crate) consecutive_calls: (ChainHash, u32),
+    /// Whether the budget is exhausted; the program ends once it is idle.
     pub(crate) is_budget_exhausted: bool,
 }
 
-/// What a record that was written here is awaited for.
+/// What to do when a record written by this entry is read back.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Awaited {
     Claim(PartitionId),
@@ -225,8 +226,8 @@
     Other(PartitionId),
 }
 
-/// An open non-idempotent call of an earlier owner, or one whose caller was told that its outcome
-/// is not known.
+/// A non-idempotent call with an unresolved outcome: one of an earlier owner, or one whose caller
+/// was told that the outcome is unknown.
 #[derive(Debug, Clone)]
 pub(crate) struct OpenCall {
     pub(crate) partition: PartitionId,
@@ -235,16 +236,16 @@
     pub(crate) incarnation: Incarnation,
     pub(crate) started_epoch: Epoch,
     pub(crate) since_us: TimeUs,
-    /// When the sidecar was asked last.
+    /// When the sidecar was last queried.
     pub(crate) asked_us: Option<TimeUs>,
     pub(crate) is_attached: bool,
     pub(crate) answer: AnswerText,
     pub(crate) plain: Option<PlainAnswer>,
-    /// The transcript that the call was given, where its sidecar has reported it.
+    /// The call with its transcript, if its sidecar has reported it.
     pub(crate) kept: Option<KeptCall>,
 }
 
-/// A program whose release has not been confirmed by all sidecars.
+/// An ended program whose release has not been confirmed by all sidecars.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Releasing {
     pub(crate) partition: PartitionId,
@@ -253,7 +254,7 @@
     pub(crate) next_us: TimeUs,
 }
 
-/// The end of a program that was asked for.
+/// A request to end a program, repeated until the end is on record.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct EndRequest {
     pub(crate) reason: EndReason,
@@ -261,7 +262,7 @@
     pub(crate) until_us: TimeUs,
 }
 
-/// A program that has ended and is still remembered.
+/// An ended program, remembered for `ended_retention_us`.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct EndedProgram {
     pub(crate) partition: PartitionId,
@@ -269,17 +270,17 @@
     pub(crate) at_us: TimeUs,
 }
 
-/// A partition that was taken over and whose sidecars have not all reported yet.
+/// A takeover of a partition for which sidecar reports are still missing.
 #[derive(Debug, Clone)]
 pub(crate) struct Takeover {
     pub(crate) waits_for: BTreeSet<VmId>,
     pub(crate) until_us: TimeUs,
 }
 
-/// How claims over one partition's owners are spaced.
+/// The backoff between claims of one partition.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct ClaimBackoff {
-    /// Take-overs seen shortly after each other.
+    /// The number of ownership changes in quick succession.
     pub(crate) changes: u32,
     pub(crate) last_change_us: TimeUs,
     pub(crate) not_before_us: TimeUs,
@@ -289,42 +290,42 @@
 pub(crate) struct PeerState {
     pub(crate) peer: Peer,
     pub(crate) link_up_us: TimeUs,
-    /// Whether it has read all that it must know.
+    /// Whether its last heartbeat reported that it is ready.
     pub(crate) is_ready: bool,
     pub(crate) heard_us: TimeUs,
     pub(crate) leaving: bool,
-    /// What its last heartbeat said; absent before the first.
+    /// The document revisions of its last heartbeat; absent before the first.
     pub(crate) revisions: Option<BTreeMap<ServiceName, Revision>>,
-    /// Whether that heartbeat lacked a document.
+    /// Whether a document was missing in that heartbeat; true before the first.
     pub(crate) lacks_documents: bool,
     /// The number of the first read of the configuration that began after its link came up.
     pub(crate) confirmed_by_read: u64,
-    /// The documents that were sent over its link.
+    /// The documents that were sent over the link.
     pub(crate) sent_documents: BTreeSet<(ServiceName, Revision)>,
 }
 
-/// The documents sent to a peer that are remembered; one that is forgotten is sent again.
-const MAX_SENT: usize = 256;
+/// The capacity of `sent_documents`; a document that was evicted from it is sent again.
+const MAX_SENT_DOCUMENTS: usize = 256;
 
 impl PeerState {
     pub(crate) fn record_sent_document(&mut self, key: (ServiceName, Revision)) {
         self.sent_documents.insert(key);
-        if self.sent_documents.len() > MAX_SENT {
+        if self.sent_documents.len() > MAX_SENT_DOCUMENTS {
             self.sent_documents.pop_first();
         }
     }
 
-    /// Whether a peer has a document, or will have it before what is sent next.
+    /// Returns whether the peer has a document, or gets it before any message sent from now on.
     pub(crate) fn has_document(&self, key: &(ServiceName, Revision)) -> bool {
-        let said = self.revisions.as_ref().and_then(|all| all.get(&key.0));
-        // A sidecar runs the call by this very revision; an owner judges it by its newest one.
+        let reported = self.revisions.as_ref().and_then(|all| all.get(&key.0));
+        // A sidecar needs exactly this revision to run a call; an owner uses its newest one.
         let has = match self.peer.role {
-            VmRole::Sidecar => said == Some(&key.1),
-            VmRole::Entry => said >= Some(&key.1),
+            VmRole::Sidecar => reported == Some(&key.1),
+            VmRole::Entry => reported >= Some(&key.1),
         };
         has || self.sent_documents.contains(key)
     }
 }
 
-/// Answers that sidecars keep of an earlier owner's idempotent calls, by the caller's request.
+/// The idempotent calls of earlier owners that sidecars have reported, by request.
 pub(crate) type KeptAnswers = BTreeMap<RequestId, (VmId, KeptCall)>;
--- a/clementinepick/src/entry.rs
+++ b/clementinepick/src/entry.rs
@@ -1,5 +1,5 @@
-//! The decisions of an entry: it takes callers' requests, owns partitions of the programs, and
-//! sends calls to sidecars.
+//! Implements the entry role: accepts requests, owns partitions of programs, and dispatches calls
+//! to sidecars.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -30,46 +30,46 @@
 use crate::safeguards::Safeguards;
 use crate::units::{SpanUs, TimeUs};
 
-/// How an entry is set up.
+/// The settings of an entry.
 #[derive(Debug, Clone)]
 pub struct EntrySettings {
-    /// Its VM.
+    /// The VM of the entry.
     pub vm: VmId,
-    /// The life of this process.
+    /// Identifies this run of the process.
     pub incarnation: Incarnation,
-    /// Its availability zone.
+    /// The availability zone of the entry.
     pub zone: ZoneName,
-    /// The count of partitions, the same at every entry.
+    /// The number of partitions; must be the same at every entry.
     pub partition_count: u16,
-    /// Seeds the identifiers that this entry draws.
+    /// The seed of the generator for identifiers and jitter.
     pub seed: u64,
-    /// The time between two heartbeats.
+    /// The interval between heartbeats.
     pub heartbeat_us: SpanUs,
-    /// The silence after which another entry counts as dead.
+    /// The silence after which a peer counts as dead and its link is closed.
     pub peer_timeout_us: SpanUs,
-    /// The silence after which another entry's partitions are taken over.
+    /// The silence after which the partitions of a disconnected entry are taken over.
     pub takeover_us: SpanUs,
-    /// How long after its start an entry waits before it claims what nobody owns.
+    /// The delay after the start before an entry claims partitions that never had an owner.
     pub startup_claim_delay_us: SpanUs,
-    /// How long a running call whose caller left goes on for the caller to resume it.
+    /// How long a running call continues after its caller disconnected, so that it can be resumed.
     pub resume_wait_us: SpanUs,
-    /// How long ended programs are remembered, for repeats and late questions.
+    /// How long ended programs are remembered, for repeated calls and fetches.
     pub ended_retention_us: SpanUs,
-    /// The time between two snapshots of a partition, and of the configuration; well below the
-    /// log's retention.
+    /// The interval between snapshots of a partition, and of the configuration; must be well below
+    /// the log's retention.
     pub snapshot_us: SpanUs,
-    /// How long the end of an answer waits for its record before it goes out as pending.
+    /// How long the end of an answer waits for its record before it is sent as pending.
     pub commit_wait_us: SpanUs,
-    /// How long a call waits for a backend server when none can take it.
+    /// How long a call waits for a backend server if none can take it.
     pub backend_wait_us: SpanUs,
-    /// How this entry uses the log.
+    /// How the entry reads and appends to the log.
     pub journal: JournalSettings,
-    /// The safeguards in force; all but in test runs.
+    /// The enabled safeguards; only tests disable any.
     pub safeguards: Safeguards,
 }
 
 impl EntrySettings {
-    /// Settings for the entry on `vm`, with the usual times.
+    /// Creates settings for the entry on `vm` with the default times.
     #[must_use]
     pub fn new(vm: VmId, incarnation: Incarnation, zone: ZoneName) -> Self {
         Self {
@@ -93,12 +93,12 @@
     }
 }
 
-/// What an entry reacts to.
+/// An input of an entry.
 #[derive(Debug, Clone, PartialEq)]
 pub enum EntryInput {
-    /// A caller's request, parsed.
+    /// A parsed request of a caller.
     Request(Box<Request>),
-    /// The caller is gone.
+    /// The caller of a request has disconnected.
     CallerGone(RequestId),
     /// A caller asks for the answer of an earlier call.
     Fetch(Box<Fetch>),
@@ -106,72 +106,72 @@
     EndProgram {
         /// The program.
         program: ProgramId,
-        /// Who ends it.
+        /// Why it ends.
         reason: EndReason,
     },
-    /// A link came up.
+    /// A link was established.
     LinkUp(Peer),
-    /// A link went down.
+    /// A link was lost.
     LinkDown(VmId),
-    /// A peer says something.
+    /// A peer has sent a message.
     Link {
         /// The peer.
         from: VmId,
-        /// What it says.
+        /// The message.
         message: Message,
     },
-    /// The log has answered a read; `None` when it failed.
+    /// A read of the log has ended.
     LogRead {
         /// The stream.
         stream: StreamName,
-        /// The answer.
+        /// The answer; `None` if the read failed.
         answer: Option<ReadAnswer>,
     },
-    /// The log has answered an append.
+    /// An append to the log has ended.
     LogAppended {
         /// The stream.
         stream: StreamName,
-        /// The batch.
+        /// The number of the batch.
         batch: u64,
-        /// What became of it.
+        /// The outcome.
         outcome: AppendOutcome,
     },
     /// The platform's list of VMs.
     Vms(Vec<Vm>),
-    /// Time has passed.
+    /// A clock tick.
     Tick,
-    /// Take no new work, finish what runs.
+    /// Shut down: accept no new calls and finish the running ones.
     Shutdown,
-    /// The process ends now: answer what is unfinished as it stands.
+    /// Shut down at once: answer unfinished calls without waiting for their outcome.
     Force,
 }
 
-/// What an entry does.
+/// An action that an entry requests from its driver.
 #[derive(Debug, Clone, PartialEq)]
 pub enum EntryAction {
-    /// Say something to a peer.
+    /// Send a message to a peer.
     Send {
         /// The peer.
         to: VmId,
-        /// What to say.
+        /// The message.
         message: Message,
     },
     /// Keep links to exactly these VMs.
     Connect(Vec<Vm>),
-    /// Close the link to this VM, which is silent; it is opened anew.
+    /// Close the link to this VM, which timed out; the link is reopened.
     Disconnect(VmId),
-    /// Give a caller a part of its answer.
+    /// Send a caller a part of its answer.
     Answer {
         /// The request.
         request: RequestId,
         /// The part.
         part: AnswerPart,
     },
-    /// Do something at the log.
+    /// Access the log.
     Log(JournalAction),
     /// Log an event.
     Event(Event),
-    /// Everything has finished: the process may exit.
+    /// The shutdown is complete and the process may exit.
     Finished,
 }
 
@@ -189,57 +189,56 @@
     pub(crate) membership: Membership,
     pub(crate) next_membership_check_us: TimeUs,
     pub(crate) engines: BTreeMap<VmId, EngineReport>,
-    /// The engines of a service that do not serve a model; emptied when any engine changes.
+    /// The engines of a service that do not serve a model; cleared when any engine changes.
     pub(crate) engines_without_model: BTreeMap<(ServiceName, ModelName), BTreeSet<VmId>>,
     pub(crate) next_orders_us: TimeUs,
-    /// The services on which this entry decides.
+    /// The placement of the services that this entry decides.
     pub(crate) placements: BTreeMap<ServiceName, Placement>,
-    /// Own claims to decide that were not yet read back.
+    /// Decider claims of this entry that have not been read back.
     pub(crate) decider_claims: BTreeMap<ServiceName, RecordId>,
     pub(crate) decider_backoffs: BTreeMap<ServiceName, DeciderBackoff>,
     /// When the last snapshot of the configuration was read or written here.
     pub(crate) config_snapshot_us: Option<TimeUs>,
-    /// Whether it was said that records of the configuration are missing.
+    /// Whether missing records of the configuration have been reported.
     pub(crate) has_config_gap: bool,
     pub(crate) router: Router,
-    pub(crate) retries: BTreeMap<ServiceName, RetryBudget>,
+    pub(crate) retry_budgets: BTreeMap<ServiceName, RetryBudget>,
     pub(crate) calls: BTreeMap<RequestId, Call>,
     pub(crate) attempts: BTreeMap<AttemptId, RequestId>,
     pub(crate) programs: BTreeMap<ProgramId, LiveProgram>,
     pub(crate) awaited: BTreeMap<RecordId, Awaited>,
     pub(crate) releasing: BTreeMap<ProgramId, Releasing>,
-    /// Non-idempotent calls on record whose outcome is being learned.
+    /// Recorded non-idempotent calls with an unresolved outcome.
     pub(crate) open_calls: BTreeMap<CallKey, OpenCall>,
     pub(crate) kept_answers: KeptAnswers,
     pub(crate) kept_answers_until_us: TimeUs,
-    /// Fetches that were passed on, with their owner and whom to answer.
+    /// Forwarded fetches, with the owner that was asked and the recipient of the answer.
     pub(crate) fetches: BTreeMap<RequestId, (VmId, ReplyTo)>,
-    /// Programs whose end was asked for here and is not yet on record, with when it is asked for
-    /// again and until when.
+    /// Requests made here to end programs whose end is not on record yet.
     pub(crate) end_requests: BTreeMap<ProgramId, EndRequest>,
-    /// Programs that have ended and are still remembered.
+    /// Ended programs, remembered for `ended_retention_us`.
     pub(crate) ended: BTreeMap<ProgramId, EndedProgram>,
-    /// When peers without a link were heard last.
+    /// When peers without a link were last heard from.
     pub(crate) last_heard_us: BTreeMap<VmId, TimeUs>,
     pub(crate) claim_backoffs: BTreeMap<PartitionId, ClaimBackoff>,
     pub(crate) taking_over: BTreeMap<PartitionId, Takeover>,
-    /// Partitions that are being handed over, and those whose record of it is written.
+    /// Partitions that are being handed over, and those whose hand-over record has been written.
     pub(crate) yielding: BTreeSet<PartitionId>,
     pub(crate) yield_written: BTreeSet<PartitionId>,
     pub(crate) last_snapshots_us: BTreeMap<PartitionId, TimeUs>,
     pub(crate) last_handled_us: TimeUs,
-    /// Whether this process was paused and has not read the log since.
+    /// Whether this process was suspended and has not read the log to its end since.
     pub(crate) is_ownership_unconfirmed: bool,
     pub(crate) confirmed_at_read: u64,
     pub(crate) next_heartbeat_us: TimeUs,
-    /// When all programs are looked at next.
+    /// When all programs are checked next.
     pub(crate) next_program_sweep_us: TimeUs,
     pub(crate) started_us: Option<TimeUs>,
     pub(crate) leaving: bool,
 }
 
 impl Entry {
-    /// An entry that has just started and has read nothing.
+    /// Creates an entry that has read nothing yet.
     #[must_use]
     pub fn new(settings: EntrySettings) -> Self {
         let zone = Some(settings.zone.clone());
@@ -268,7 +267,7 @@
                 zone,
                 ..Default::default()
             }),
-            retries: BTreeMap::new(),
+            retry_budgets: BTreeMap::new(),
             calls: BTreeMap::new(),
             attempts: BTreeMap::new(),
             programs: BTreeMap::new(),
@@ -297,10 +296,10 @@
         }
     }
 
-    /// Reacts to one input.
+    /// Handles one input and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: TimeUs, input: EntryInput, out: &mut Vec<EntryAction>) {
         self.started_us.get_or_insert(now);
-        self.note_pause(now);
+        self.detect_pause(now);
         match input {
             EntryInput::Request(request) => {
                 self.on_request(now, *request, &ReplyTo::Caller, 0, out);
@@ -334,12 +333,12 @@
         self.poll_log(now, out);
     }
 
-    /// Notices that this process stood still for long.
+    /// Detects that this process was suspended for at least `takeover_us`.
     ///
-    /// By now another may own its partitions. The log would show it at the next record; but until
-    /// then answers could be given and calls started from a state that is no longer in force. So
-    /// nothing new starts before a read that began after the pause.
-    fn note_pause(&mut self, now: TimeUs) {
+    /// Another entry may own its partitions by now, and until the next log record calls would be
+    /// started and answered from outdated state. So nothing new starts before the end of a read
+    /// that began after the pause.
+    fn detect_pause(&mut self, now: TimeUs) {
         let pause_us = now.since(self.last_handled_us);
         self.last_handled_us = now;
         if pause_us < self.settings.takeover_us || self.started_us == Some(now) {
@@ -360,7 +359,7 @@
         }
     }
 
-    /// Whether both streams have been read to their end once, and no record is missing.
+    /// Returns whether both streams have been read to their end once and no record is missing.
     #[must_use]
     pub fn is_caught_up(&self) -> bool {
         self.config.is_complete()
@@ -370,19 +369,19 @@
                 .all(|partition| self.partitions.is_whole(PartitionId(partition)))
     }
 
-    /// Whether the balancer should send callers here.
+    /// Returns whether the load balancer should send requests here.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.is_caught_up() && !self.leaving
     }
 
-    /// The revisions by which this process serves.
+    /// Returns the document revisions in force at this entry.
     #[must_use]
     pub fn revisions(&self) -> BTreeMap<ServiceName, Revision> {
         self.config.revisions()
     }
 
-    /// Who this process is, for the links.
+    /// Returns how this process identifies itself to its peers.
     #[must_use]
     pub fn peer(&self) -> Peer {
         Peer {
--- a/clementinepick/src/step_route.rs
+++ b/clementinepick/src/step_route.rs
@@ -1,4 +1,4 @@
-//! Chooses a backend server for a call and sends it there.
+//! Chooses a backend server for a call and dispatches the call to its sidecar.
 
 use std::collections::BTreeSet;
 
@@ -40,7 +40,7 @@
             tried: &excluded,
         };
         let Some(choice) = self.router.pick(now, &query) else {
-            self.no_backend(now, id, out);
+            self.wait_for_backend(now, id, out);
             return;
         };
         let Some(call) = self.calls.get_mut(&id) else {
@@ -56,12 +56,11 @@
         }
     }
 
-    /// No backend server can take the call: it waits a moment, and then its caller is told when to
-    /// come back.
+    /// Waits up to `backend_wait_us` for a backend server, and then fails the call.
     ///
-    /// A link that is being opened anew is up again within that moment. A longer wait would keep
-    /// callers, up to their deadline, from going elsewhere or from saying so to their users.
-    fn no_backend(&mut self, now: TimeUs, id: RequestId, out: &mut Vec<EntryAction>) {
+    /// A link that is being reopened is up again within that time. A longer wait would keep callers
+    /// from retrying elsewhere until their deadline.
+    fn wait_for_backend(&mut self, now: TimeUs, id: RequestId, out: &mut Vec<EntryAction>) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
@@ -106,7 +105,7 @@
         };
         if call.tried.is_empty() {
             let budget = self
-                .retries
+                .retry_budgets
                 .entry(call.request.service.clone())
                 .or_default();
             budget.on_call(call.in_force.document.retry.budget);
--- a/clementinepick/src/step_sequence.rs
+++ b/clementinepick/src/step_sequence.rs
@@ -1,4 +1,4 @@
-//! Holds a call until the earlier calls of its program have ended.
+//! Delays a call until the earlier calls of its program have ended.
 
 use crate::budget::Account;
 use crate::call_state::{Awaited, LiveProgram, Step};
@@ -12,7 +12,7 @@
 
 impl Entry {
     pub(crate) fn step_sequence(&mut self, now: TimeUs, id: RequestId, out: &mut Vec<EntryAction>) {
-        if let Err(refused) = self.check_program(id) {
+        if let Err(refused) = self.check_program_live(id) {
             self.fail_unordered_call(id, refused, out);
             return;
         }
@@ -22,9 +22,9 @@
         let (program, partition) = (call.request.program.clone(), call.partition);
         let (wanted, unrecorded) = (call.request.seq, call.is_unrecorded());
         let known = self.partitions.program(partition, &program).is_some();
-        let order_on = self.settings.safeguards.order;
+        let is_order_enforced = self.settings.safeguards.order;
         let live = self.live_program(now, partition, &program);
-        if !order_on {
+        if !is_order_enforced {
             live.sequencer.allow_concurrent();
         }
         let seq = match live.sequencer.push(now, id, wanted) {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// What the owner keeps of a program, made at its first call here.
+    /// Returns the in-memory state of a program, which is created at its first call here.
     pub(crate) fn live_program(
         &mut self,
         now: TimeUs,
@@ -62,7 +62,7 @@
                 partition,
                 sequencer: Sequencer::resuming_at(next, is_known),
                 since_us: now,
-                // An earlier owner may have had turns that never came on record.
+                // An earlier owner may have answered turns that were never recorded.
                 may_have_unrecorded_turns: is_known,
                 is_inherited: is_known,
                 ..LiveProgram::default()
@@ -71,14 +71,14 @@
         live
     }
 
-    /// Refuses calls of ended programs, and of sub-agents whose parent is not there.
-    fn check_program(&self, id: RequestId) -> Result<(), CallError> {
+    /// Rejects calls of ended programs, and of sub-agents without a live parent.
+    fn check_program_live(&self, id: RequestId) -> Result<(), CallError> {
         let Some(call) = self.calls.get(&id) else {
             return Ok(());
         };
         let request = &call.request;
         let recorded = self.partitions.program(call.partition, &request.program);
-        // The record of the end may be on its way yet.
+        // The record of the end may not have been read back yet.
         let ended = self.ended.get(&request.program).map(|ended| ended.reason);
         check_live(ended, "the program")?;
         if let Some(state) = recorded {
@@ -88,13 +88,14 @@
             return Ok(());
         };
         let Some(parent_state) = self.partitions.program(call.partition, parent) else {
-            let detail = format!("the parent program `{parent}` is not known beside its root");
+            let detail =
+                format!("the parent program `{parent}` is not known in the partition of its root");
             let field = crate::parse::PARENT_HEADER;
             return Err(CallError::at(ErrorKind::UnknownCall, field, detail));
         };
         let root = parent_state.root.as_ref().unwrap_or(parent);
         if request.root_program() != root {
-            let detail = format!("the root of `{parent}` is `{root}`");
+            let detail = format!("the root program of the parent `{parent}` is `{root}`");
             let field = crate::parse::ROOT_HEADER;
             return Err(CallError::at(ErrorKind::BadHeader, field, detail));
         }
@@ -118,7 +119,7 @@
             .parent
             .as_ref()
             .map(|_| call.request.root_program());
-        // A sub-agent spends from its root's account, so it gets no slice of its own.
+        // A sub-agent is charged to its root's account, so it gets no slice of its own.
         let slice = match root {
             Some(_) => crate::budget::Amount::default(),
             None => Account::first_slice(budget, call.work_tokens()),
@@ -143,7 +144,7 @@
         }
     }
 
-    /// The record that opens a program has come back.
+    /// Starts the calls of a program whose opening record has been read back.
     pub(crate) fn on_opened(
         &mut self,
         now: TimeUs,
@@ -151,15 +152,16 @@
         out: &mut Vec<EntryAction>,
     ) {
         let partition = self.programs.get(program).map(|live| live.partition);
-        let is_here = partition.is_some_and(|p| self.partitions.program(p, program).is_some());
-        if is_here {
+        let is_open_here = partition.is_some_and(|p| self.partitions.program(p, program).is_some());
+        if is_open_here {
             if let Some(live) = self.programs.get_mut(program) {
                 live.is_opening = false;
             }
             self.start_next(now, program, out);
             return;
         }
-        // The program was opened elsewhere first, as a sub-agent: its calls go to its root.
+        // The program was opened first as a sub-agent in another partition, so its calls go to the
+        // owner of its root.
         self.programs.remove(program);
         let ids: Vec<RequestId> = self
             .calls
@@ -183,7 +185,7 @@
             return;
         };
         let partition = live.partition;
-        // A call of the earlier owner may still run; its outcome comes first.
+        // A call of an earlier owner may still run; its outcome must be resolved first.
         let blocked = self.open_calls.keys().any(|call| call.program == *program);
         if blocked || live.is_opening || self.yielding.contains(&partition) {
             return;
@@ -191,36 +193,38 @@
         let Some((_, id)) = live.sequencer.start_next() else {
             return;
         };
-        if self.is_looping(id) {
+        if self.detect_loop(id) {
             self.stop_loop(now, id, out);
             return;
         }
         if let Err(refused) = self.check_history(id) {
-            note_mismatch(id, &refused, out);
+            report_history_mismatch(id, &refused, out);
             self.fail_call(now, id, refused, out);
             return;
         }
         self.step_budget(now, id, out);
     }
 
-    /// Counts identical calls in a row; an agent that sends the same call again and again makes no
-    /// progress, and would go on until its whole budget is spent.
-    fn is_looping(&mut self, id: RequestId) -> bool {
+    /// Counts identical calls in a row and returns whether they exceed `max_repeats`.
+    ///
+    /// An agent that keeps sending the same call makes no progress, and without a limit would go on
+    /// until its whole budget is spent.
+    fn detect_loop(&mut self, id: RequestId) -> bool {
         let Some(call) = self.calls.get(&id) else {
             return false;
         };
         let max_repeats = call.in_force.document.program.max_repeats;
-        let news = crate::step_start::digest_new_messages(&call.request.payload);
+        let digest = crate::step_start::digest_new_messages(&call.request.payload);
         let Some(live) = self.programs.get_mut(&call.request.program) else {
             return false;
         };
-        let (last, count) = live.repeats;
-        live.repeats = if last == news {
+        let (last, count) = live.consecutive_calls;
+        live.consecutive_calls = if last == digest {
             (last, count + 1)
         } else {
-            (news, 1)
+            (digest, 1)
         };
-        live.repeats.1 > max_repeats
+        live.consecutive_calls.1 > max_repeats
     }
 
     fn stop_loop(&mut self, now: TimeUs, id: RequestId, out: &mut Vec<EntryAction>) {
@@ -230,7 +234,7 @@
         let program = call.request.program.clone();
         let event = Event::new(EventKind::LoopStopped).with("program", &program);
         out.push(EntryAction::Event(event));
-        let detail = "the program sent the same call too often in a row";
+        let detail = "the program sent the same call more than `max_repeats` times in a row";
         let error = CallError::new(ErrorKind::LoopStopped, detail);
         self.fail_call(now, id, error, out);
         self.end_program(now, program, EndReason::Loop, out);
@@ -251,7 +255,7 @@
     }
 }
 
-fn note_mismatch(id: RequestId, refused: &CallError, out: &mut Vec<EntryAction>) {
+fn report_history_mismatch(id: RequestId, refused: &CallError, out: &mut Vec<EntryAction>) {
     if refused.kind == ErrorKind::HistoryMismatch {
         let event = Event::new(EventKind::HistoryMismatch).with("request", id);
         out.push(EntryAction::Event(event));
