--- a/clementinepick/src/entry_config.rs
+++ b/clementinepick/src/entry_config.rs
@@ -1,4 +1,4 @@
-//! The configuration at an entry: replayed, passed to sidecars, and carried forward.
+//! Replays the configuration stream at an entry, sends documents to peers and writes snapshots.
 
 use std::cmp::Reverse;
 
@@ -13,10 +13,10 @@
 use crate::record::{PublishedDocument, Record, RecordBody};
 use crate::units::{SpanUs, TimeUs};
 
-/// The entries that pass a new document to a sidecar at once.
-const FIRST_PASSERS: usize = 2;
-/// How much longer each next entry waits until it writes a snapshot in place of the others.
-const SNAPSHOT_TURN: SpanUs = SpanUs::from_s(5);
+/// The number of entries that send a new document to a sidecar at once.
+const DOCUMENT_SENDERS: usize = 2;
+/// The delay between one entry and the next in writing a snapshot that is due.
+const SNAPSHOT_STAGGER: SpanUs = SpanUs::from_s(5);
 
 impl Entry {
     pub(crate) fn replay_config(
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Says once that records are missing and no snapshot covers them.
+    /// Reports once that records are missing and no snapshot covers them.
     pub(crate) fn report_config_gap(&mut self, out: &mut Vec<EntryAction>) {
         let is_gap = self.config_journal.at_end() && !self.config.is_complete();
         if !std::mem::replace(&mut self.has_config_gap, is_gap) && is_gap {
@@ -74,28 +74,29 @@
         let Some(in_force) = self.config.service(service) else {
             return;
         };
-        // Sidecars learn at once rather than with the next heartbeats: by two entries each, so that
-        // the loss of one delays nobody and a change does not cost entries times sidecars.
+        // Sidecars get the document at once rather than after the next heartbeats. Two entries send
+        // it to each sidecar, so that the loss of one causes no delay and a publication does not
+        // cost entries times sidecars messages.
         let sidecars = self.peers.iter().filter(|(vm, peer)| {
-            peer.peer.service.as_ref() == Some(service) && self.passes_first(vm)
+            peer.peer.service.as_ref() == Some(service) && self.sends_documents_first(vm)
         });
-        let mut told = Vec::new();
+        let mut notified = Vec::new();
         for (vm, _) in sidecars {
-            told.push(vm.clone());
+            notified.push(vm.clone());
             let message = Message::Documents(vec![in_force.published.clone()]);
             let to = vm.clone();
             out.push(EntryAction::Send { to, message });
         }
         let key = (service.clone(), in_force.published.revision);
-        for vm in told {
+        for vm in notified {
             if let Some(peer) = self.peers.get_mut(&vm) {
                 peer.record_sent_document(key.clone());
             }
         }
     }
 
-    /// Whether this entry is among those that pass documents to a sidecar at once.
-    fn passes_first(&self, sidecar: &VmId) -> bool {
+    /// Returns whether this entry is one of those that send new documents to `sidecar` at once.
+    fn sends_documents_first(&self, sidecar: &VmId) -> bool {
         let weight = |entry: &VmId| {
             (
                 xxh3_64(format!("{entry} {sidecar}").as_bytes()),
@@ -105,13 +106,13 @@
         let own = weight(&self.settings.vm);
         let entries = self.peers.values().filter(|p| p.peer.role == VmRole::Entry);
         let ahead = entries.filter(|p| weight(&p.peer.vm) > own);
-        ahead.count() < FIRST_PASSERS
+        ahead.count() < DOCUMENT_SENDERS
     }
 
-    /// Sends a sidecar or an owner the document that a call runs by, unless it has it.
+    /// Sends a sidecar or an owner the document of a call, unless it has the document.
     ///
-    /// The call goes over the same link behind it. Without this, a call that comes in right after a
-    /// publication would be refused where the document has not come yet.
+    /// The call follows on the same link. Without this, a call right after a publication would be
+    /// refused where the document has not arrived yet.
     pub(crate) fn send_document(&mut self, to: &VmId, call: RequestId, out: &mut Vec<EntryAction>) {
         let (Some(peer), Some(call)) = (self.peers.get_mut(to), self.calls.get(&call)) else {
             return;
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Takes documents that another entry has in force.
+    /// Adopts documents that are in force at another entry.
     pub(crate) fn on_documents(
         &mut self,
         documents: Vec<PublishedDocument>,
@@ -141,10 +142,10 @@
         }
     }
 
-    /// Writes a snapshot of the configuration, when nobody else has for long enough.
+    /// Writes a snapshot of the configuration if one is due and no other entry has written it.
     ///
-    /// Without it the last publication of a service that seldom changes would pass its retention,
-    /// and the next entry to start would not know the service.
+    /// Without snapshots the last publication of a rarely changed service would expire from the
+    /// log, and the next entry to start would not know the service.
     pub(crate) fn write_due_config_snapshot(&mut self, now: TimeUs) {
         let journal = &self.config_journal;
         let can_write = self.is_caught_up()
@@ -162,16 +163,17 @@
         self.config_snapshot_us = Some(now);
     }
 
-    /// When this entry's turn comes. The age of a snapshot that was there at the start is not
-    /// known, so that it counts as due.
+    /// Returns when this entry should write the next snapshot.
+    ///
+    /// The age of a snapshot from before the start is unknown, so a snapshot counts as due then.
     fn next_snapshot_us(&self, now: TimeUs) -> TimeUs {
         let own = Reverse(&self.settings.vm);
         let entries = self.peers.values().filter(|p| p.peer.role == VmRole::Entry);
         let ahead = entries.filter(|p| Reverse(&p.peer.vm) > own).count();
-        let turn = SpanUs(SNAPSHOT_TURN.0 * (1 + ahead as u64));
+        let delay = SpanUs(SNAPSHOT_STAGGER.0 * (1 + ahead as u64));
         match self.config_snapshot_us {
-            Some(last_us) => last_us.after(self.settings.snapshot_us).after(turn),
-            None => self.started_us.unwrap_or(now).after(turn),
+            Some(last_us) => last_us.after(self.settings.snapshot_us).after(delay),
+            None => self.started_us.unwrap_or(now).after(delay),
         }
     }
 
--- a/clementinepick/src/entry_log.rs
+++ b/clementinepick/src/entry_log.rs
@@ -1,4 +1,4 @@
-//! What an entry writes to the log and reads from it.
+//! Writes an entry's records to the log and handles the records that it reads.
 
 use crate::call_state::Awaited;
 use crate::entry::{Entry, EntryAction};
@@ -30,8 +30,8 @@
         id
     }
 
-    /// Writes a record of a partition that this entry owns; `None` when it does not, or has
-    /// already written that it leaves.
+    /// Writes a record of a partition; returns `None` if this entry does not own it or has written
+    /// the record of its hand-over.
     pub(crate) fn write_owned(
         &mut self,
         partition: PartitionId,
@@ -63,18 +63,18 @@
             self.config.on_gap(answer.earliest);
         }
         let mut events = Vec::new();
-        let fresh = self.journal_of(stream).on_read(now, answer, &mut events);
+        let records = self.journal_of(stream).on_read(now, answer, &mut events);
         if stream == StreamName::Config {
-            // A snapshot that is read next closes the gap; only then is it known.
+            // A snapshot that is read next may close the gap, so a gap is reported only after that.
             events.retain(|event| event.kind != EventKind::RetentionPassed);
         }
         out.extend(events.into_iter().map(EntryAction::Event));
         if stream == StreamName::Journal
             && let Some(earliest) = self.journal.take_jump()
         {
-            self.start_late(now, earliest, out);
+            self.restart_replay(now, earliest, out);
         }
-        for (offset, record) in fresh {
+        for (offset, record) in records {
             match stream {
                 StreamName::Config => self.replay_config(now, offset, &record, out),
                 StreamName::Journal => {
@@ -94,14 +94,14 @@
         }
         if !was_ready && self.is_caught_up() {
             out.push(EntryAction::Event(Event::new(EventKind::ProcessReady)));
-            // The others pass calls on to this entry only when they know.
+            // Other entries forward calls to this entry only once they know that it is ready.
             self.send_heartbeats(now, out);
         }
     }
 
-    /// The oldest records that this entry needs are gone: it starts anew from the oldest that is
-    /// kept, and serves only when snapshots have filled what is missing.
-    fn start_late(&mut self, now: TimeUs, earliest: Offset, out: &mut Vec<EntryAction>) {
+    /// Restarts the replay at the oldest record in the log after records that this entry needs have
+    /// expired. The entry serves again once snapshots have replaced the missing records.
+    fn restart_replay(&mut self, now: TimeUs, earliest: Offset, out: &mut Vec<EntryAction>) {
         let owned = self.owned_partitions();
         self.partitions = Partitions::starting_at(earliest, self.settings.safeguards.clone());
         for partition in owned {
@@ -131,10 +131,10 @@
             (Applied::Claimed(partition), _) => self.on_claimed(now, *partition, out),
             (Applied::Outrun(partition), Some(_)) => self.retry_calls(now, *partition, out),
             (Applied::Owned(_), Some(awaited)) => self.on_own_record(now, record, awaited, out),
-            (Applied::Owned(partition), None) => self.on_other_record(now, *partition, record),
+            (Applied::Owned(partition), None) => self.on_unawaited_record(now, *partition, record),
             (Applied::Stale(partition), Some(_)) => {
-                // The claim that made the record stale was read before it, so its call is on its
-                // way to the new owner already.
+                // The claim that made the record stale was read before it, so its call has already
+                // been sent to the new owner.
                 let event = Event::new(EventKind::StaleRecord).with("partition", partition);
                 out.push(EntryAction::Event(event));
             }
@@ -179,8 +179,8 @@
         }
     }
 
-    /// A record of another owner, or one whose call is gone.
-    fn on_other_record(&mut self, now: TimeUs, partition: PartitionId, record: &Record) {
+    /// Handles a record of another owner, or one that nothing at this entry waits for.
+    fn on_unawaited_record(&mut self, now: TimeUs, partition: PartitionId, record: &Record) {
         let is_yield = matches!(
             record.body,
             RecordBody::Owned {
@@ -188,7 +188,7 @@
                 ..
             }
         );
-        // The successor claims at once: calls wait at the owner that leaves.
+        // The successor claims at once, since calls wait at the owner that hands over.
         if is_yield && self.target_owner(now, partition).as_ref() == Some(&self.settings.vm) {
             self.claim_partition(now, partition);
         }
--- a/clementinepick/src/entry_orders.rs
+++ b/clementinepick/src/entry_orders.rs
@@ -1,4 +1,4 @@
-//! Engine orders at an entry: one decider a service, by a claim in the log.
+//! Sends placement orders to engines, from one decider per service that a claim in the log elects.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,30 +17,32 @@
 use crate::record::RecordBody;
 use crate::units::{SpanUs, TimeUs};
 
-/// The heartbeats by which all sidecars know a new decider's number before it gives orders.
-const SETTLE_HEARTBEATS: u64 = 3;
+/// The heartbeat intervals that a new decider waits before its first order, so that all sidecars
+/// know its fencing number.
+const DECIDER_SETTLE_HEARTBEATS: u64 = 3;
 
-/// The time between two looks at what is to be ordered.
+/// The interval between placement decisions.
 const DECIDE_INTERVAL: SpanUs = SpanUs::from_ms(200);
-/// The models whose gaps are remembered; callers choose the names where a document lists none.
-const MAX_MODEL_GAPS: usize = 256;
+/// The capacity of `engines_without_model`, since callers choose the model names if a document
+/// lists none.
+const MAX_CACHED_MODELS: usize = 256;
 
-/// What an engine said last, by its sidecar.
+/// The last state and load of an engine that its sidecar reported.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct EngineReport {
     pub(crate) state: Option<EngineState>,
     pub(crate) load: BackendLoad,
 }
 
-/// The changes of a service's decider after which claims are no longer spaced further.
-const MAX_PACED_CHANGES: u32 = 6;
-/// The time without a change after which all is forgotten.
-const QUIET: SpanUs = SpanUs::from_s(600);
+/// The maximum number of times that the backoff between decider claims doubles.
+const MAX_BACKOFF_DOUBLINGS: u32 = 6;
+/// The time without a change of the decider after which the backoff is reset.
+const BACKOFF_RESET_INTERVAL: SpanUs = SpanUs::from_s(600);
 
-/// How claims to decide for one service are spaced.
+/// The backoff between claims to be the decider of one service.
 ///
-/// Two entries that can't see each other each take the other's decider for dead. Both reach the
-/// log, and without ever longer waits they would depose each other several times a second.
+/// Two entries without a link to each other each consider the other dead. Both reach the log, and
+/// without growing delays they would replace each other as decider several times a second.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct DeciderBackoff {
     changes: u32,
@@ -49,10 +51,10 @@
 
 impl DeciderBackoff {
     pub(crate) fn on_change(&mut self, now: TimeUs) {
-        let quiet = self
+        let is_quiet = self
             .last_us
-            .is_none_or(|last_us| now.since(last_us) >= QUIET);
-        self.changes = if quiet { 0 } else { self.changes + 1 };
+            .is_none_or(|last_us| now.since(last_us) >= BACKOFF_RESET_INTERVAL);
+        self.changes = if is_quiet { 0 } else { self.changes + 1 };
         self.last_us = Some(now);
     }
 
@@ -60,7 +62,7 @@
         let Some(last_us) = self.last_us else {
             return TimeUs(0);
         };
-        last_us.after(SpanUs(timeout.0 << self.changes.min(MAX_PACED_CHANGES)))
+        last_us.after(SpanUs(timeout.0 << self.changes.min(MAX_BACKOFF_DOUBLINGS)))
     }
 }
 
@@ -82,7 +84,7 @@
         }
     }
 
-    /// The engines of a service that surely do not serve a model.
+    /// Returns the engines of a service that are known not to serve a model.
     pub(crate) fn find_engines_without_model(
         &mut self,
         service: &ServiceName,
@@ -92,79 +94,85 @@
         if let Some(known) = self.engines_without_model.get(&key) {
             return known.clone();
         }
-        // An engine that names no models serves whatever it was started with.
-        let lacks = |state: &EngineState| {
+        // An engine that reports no models serves whatever it was started with.
+        let lacks_model = |state: &EngineState| {
             !state.models.is_empty()
                 && !state.models.contains_key(model)
                 && !state.adapters.contains_key(model)
         };
-        let of_service = self.engines.iter().filter(|(vm, word)| {
+        let of_service = self.engines.iter().filter(|(vm, report)| {
             let peer = self.peers.get(*vm);
             peer.is_some_and(|peer| peer.peer.service.as_ref() == Some(service))
-                && word.state.as_ref().is_some_and(lacks)
+                && report.state.as_ref().is_some_and(lacks_model)
         });
-        let gap: BTreeSet<VmId> = of_service.map(|(vm, _)| vm.clone()).collect();
-        if self.engines_without_model.len() >= MAX_MODEL_GAPS {
+        let lacking: BTreeSet<VmId> = of_service.map(|(vm, _)| vm.clone()).collect();
+        if self.engines_without_model.len() >= MAX_CACHED_MODELS {
             self.engines_without_model.clear();
         }
-        self.engines_without_model.insert(key, gap.clone());
-        gap
+        self.engines_without_model.insert(key, lacking.clone());
+        lacking
     }
 
-    /// Claims what nobody decides on, and gives the orders that are due where this entry decides.
+    /// Claims services that have no decider, and sends the due orders of those that this entry
+    /// decides.
     pub(crate) fn decide_orders(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
         if now < self.next_orders_us {
             return;
         }
         self.next_orders_us = now.after(DECIDE_INTERVAL);
-        // Without the log this entry can't know whether it was deposed.
+        // Without the log this entry can't know whether another decider has replaced it.
         if !self.is_caught_up() || self.leaving || self.config_journal.is_down() {
             self.placements.clear();
             return;
         }
-        let placed: Vec<(ServiceName, InForce)> = self
+        let placed_services: Vec<(ServiceName, InForce)> = self
             .config
             .services()
-            .filter(|(_, in_force)| is_placed(in_force))
+            .filter(|(_, in_force)| needs_placement(in_force))
             .map(|(service, in_force)| (service.clone(), in_force.clone()))
             .collect();
         self.placements
-            .retain(|service, _| placed.iter().any(|(name, _)| name == service));
-        for (service, in_force) in placed {
+            .retain(|service, _| placed_services.iter().any(|(name, _)| name == service));
+        for (service, in_force) in placed_services {
             match self.config.decider(&service).cloned() {
-                Some(decider) if self.is_own(&decider) => {
-                    self.give_orders(now, &service, &in_force, &decider, out);
+                Some(decider) if self.is_self(&decider) => {
+                    self.send_due_orders(now, &service, &in_force, &decider, out);
                 }
                 decider => {
                     self.placements.remove(&service);
-                    self.claim_decision(now, &service, decider.as_ref());
+                    self.claim_decider_role(now, &service, decider.as_ref());
                 }
             }
         }
     }
 
-    fn is_own(&self, decider: &Decider) -> bool {
+    fn is_self(&self, decider: &Decider) -> bool {
         decider.vm == self.settings.vm && decider.incarnation == self.settings.incarnation
     }
 
-    fn claim_decision(&mut self, now: TimeUs, service: &ServiceName, decider: Option<&Decider>) {
-        if decider.is_some_and(|decider| self.is_deciding(now, decider))
+    fn claim_decider_role(
+        &mut self,
+        now: TimeUs,
+        service: &ServiceName,
+        decider: Option<&Decider>,
+    ) {
+        if decider.is_some_and(|decider| self.is_decider_alive(now, decider))
             || self.decider_claims.contains_key(service)
         {
             return;
         }
-        let pace = self
+        let backoff = self
             .decider_backoffs
             .get(service)
             .copied()
             .unwrap_or_default();
-        if now < pace.not_before(self.settings.peer_timeout_us) {
+        if now < backoff.not_before(self.settings.peer_timeout_us) {
             return;
         }
-        // The same choice as for partitions, spread over the entries by the service's name.
-        let slot =
+        // Chosen like the owner of a partition, and spread over the entries by the service's name.
+        let partition =
             PartitionId(u16::try_from(xxh3_64(service.as_str().as_bytes()) >> 48).unwrap_or(0));
-        if self.claimant(slot).as_ref() != Some(&self.settings.vm) {
+        if self.claimant(partition).as_ref() != Some(&self.settings.vm) {
             return;
         }
         let record = self.write_config(RecordBody::DeciderClaim {
@@ -174,8 +182,8 @@
         self.decider_claims.insert(service.clone(), record);
     }
 
-    /// Whether another decider lives, as far as this entry can tell.
-    fn is_deciding(&self, now: TimeUs, decider: &Decider) -> bool {
+    /// Returns whether the decider is another entry that is alive as far as this entry can tell.
+    fn is_decider_alive(&self, now: TimeUs, decider: &Decider) -> bool {
         if decider.vm == self.settings.vm {
             return false;
         }
@@ -187,7 +195,7 @@
         now.since(since_us) < self.settings.peer_timeout_us
     }
 
-    fn give_orders(
+    fn send_due_orders(
         &mut self,
         now: TimeUs,
         service: &ServiceName,
@@ -196,7 +204,7 @@
         out: &mut Vec<EntryAction>,
     ) {
         let engines = self.engines_of(service);
-        let settle = SpanUs(self.settings.heartbeat_us.0 * SETTLE_HEARTBEATS);
+        let settle = SpanUs(self.settings.heartbeat_us.0 * DECIDER_SETTLE_HEARTBEATS);
         let settle = settle.max(in_force.document.placement.load_interval_us);
         let placement = self
             .placements
@@ -223,10 +231,10 @@
     }
 
     fn engines_of(&self, service: &ServiceName) -> BTreeMap<VmId, Engine> {
-        let of_service = self.engines.iter().filter_map(|(vm, word)| {
+        let of_service = self.engines.iter().filter_map(|(vm, report)| {
             let peer = self.peers.get(vm)?;
-            let state = word.state.clone()?;
-            (peer.peer.service.as_ref() == Some(service)).then_some((vm, peer, state, word.load))
+            let state = report.state.clone()?;
+            (peer.peer.service.as_ref() == Some(service)).then_some((vm, peer, state, report.load))
         });
         of_service
             .map(|(vm, peer, state, load)| {
@@ -243,7 +251,7 @@
             .collect()
     }
 
-    /// Whether the configuration was read to its end by a read that began no earlier than `read`.
+    /// Returns whether the configuration was read to its end by read number `read` or a later one.
     fn has_read_since(&self, read: u64) -> bool {
         let journal = &self.config_journal;
         journal.reads_done() >= read && journal.at_end() && !journal.is_down()
@@ -276,7 +284,7 @@
         }
     }
 
-    /// The services on which this entry decides, for operators.
+    /// Returns the placement of the services that this entry decides, for the state dump.
     pub(crate) fn dump_placements(&self) -> Value {
         let placements = self.placements.iter();
         placements
@@ -288,7 +296,7 @@
     }
 }
 
-fn is_placed(in_force: &InForce) -> bool {
+fn needs_placement(in_force: &InForce) -> bool {
     let document = &in_force.document;
     let roles = document.placement.prefill_engines + document.placement.decode_engines;
     document.kind == ServiceKind::Engine && (!document.placed_models.is_empty() || roles > 0)
--- a/clementinepick/src/refusal.rs
+++ b/clementinepick/src/refusal.rs
@@ -1,70 +1,71 @@
-//! Why a request is answered by the gateway itself, and with what.
+//! Defines the reasons for which a gateway refuses or fails a request, and the HTTP responses.
 
 use crate::units::SpanUs;
 
-/// Every answer that the gateway gives of its own.
+/// The reason for a response that the gateway generates itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Refusal {
-    /// The request is not proper HTTP or lacks a header.
+    /// The request is not valid HTTP or lacks a required header.
     Malformed,
-    /// The head is larger than the configuration allows.
+    /// The request head exceeds the configured limit.
     HeadTooLarge,
-    /// The body is larger than the configuration allows.
+    /// The request body exceeds the configured limit.
     BodyTooLarge,
-    /// The request was not complete in time.
+    /// The request was not received completely in time.
     ReceiveTimeout,
-    /// Too many bytes of other requests are held.
+    /// The buffers for request bytes are full.
     Overloaded,
-    /// No configuration is known yet.
+    /// No configuration has been loaded yet.
     NoConfig,
-    /// No route takes the request.
+    /// No route matches the request.
     NoRoute,
-    /// The program's budget is spent.
+    /// The program's budget is exhausted.
     BudgetSpent,
     /// The turn to continue from does not exist.
     UnknownTurn,
-    /// The log that holds budgets and turns can't be reached, and the request was not sent on.
+    /// The log that stores budgets and turns is unavailable, and the request was not sent.
     LedgerUnavailable,
-    /// No backend server takes requests.
+    /// No backend server accepts requests.
     NoServer,
     /// Backend servers refused the request without running it.
     ServersRefused,
-    /// The time ran out before the request was sent on.
+    /// The deadline passed before the request was sent.
     NotSentInTime,
-    /// The time ran out while a backend server may have run the request.
+    /// The deadline passed while a backend server may have run the request.
     NoAnswerInTime,
-    /// A backend server broke off and may have run the request.
+    /// The connection to a backend server that may have run the request was lost.
     ServerLost,
 }
 
-/// The answer to a refused request.
+/// The HTTP response to a refused or failed request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RefusalResponse {
-    /// The HTTP status; 402, 408, 429 and 503 promise that the request has not run.
+    /// The HTTP status; 402, 408, 429 and 503 guarantee that the request has not run.
     pub status: u16,
-    /// The name in the body, in logs and in metrics.
+    /// The error code in the body, logs and metrics.
     pub code: &'static str,
-    /// When the caller should come back.
+    /// The delay after which the caller should retry.
     pub retry_after_us: Option<SpanUs>,
 }
 
-/// When to come back after a server refused for lack of room: about the time of one turn.
-const ROOM_RETRY_US: SpanUs = SpanUs::from_ms(300);
-/// The least and the longest time after which to come back where the log is away.
-const LEDGER_RETRY_US: SpanUs = SpanUs::from_ms(700);
+/// The retry delay under overload, about the duration of one turn.
+const OVERLOAD_RETRY_US: SpanUs = SpanUs::from_ms(300);
+/// The minimum and maximum retry delay while the log is unavailable.
+const MIN_LEDGER_RETRY_US: SpanUs = SpanUs::from_ms(700);
 const MAX_LEDGER_RETRY_US: SpanUs = SpanUs::from_ms(4_000);
-/// When to come back to a process that has just started or has no server: a start takes as long.
+/// The retry delay without a configuration or a server, about the duration of a start.
 const START_RETRY_US: SpanUs = SpanUs::from_ms(500);
 
-/// When to come back where the log has been away for `away_us`: an outage that has lasted for some
-/// time will probably last as long again, and a caller has only a few tries.
+/// Returns the retry delay for a log that has been unavailable for `outage_us`.
+///
+/// An outage will probably last as long again as it has lasted, and a caller has only a few tries.
 #[must_use]
-pub fn ledger_retry_after(away_us: SpanUs) -> SpanUs {
-    away_us.clamp(LEDGER_RETRY_US, MAX_LEDGER_RETRY_US)
+pub fn ledger_retry_after(outage_us: SpanUs) -> SpanUs {
+    outage_us.clamp(MIN_LEDGER_RETRY_US, MAX_LEDGER_RETRY_US)
 }
 
 impl Refusal {
-    /// The answer that callers get.
+    /// Returns the HTTP response.
     #[must_use]
     pub const fn response(self) -> RefusalResponse {
         let (status, code, retry_after_us) = match self {
@@ -72,15 +73,15 @@
             Self::HeadTooLarge => (431, "head_too_large", None),
             Self::BodyTooLarge => (413, "body_too_large", None),
             Self::ReceiveTimeout => (408, "receive_timeout", None),
-            Self::Overloaded => (503, "overloaded", Some(ROOM_RETRY_US)),
+            Self::Overloaded => (503, "overloaded", Some(OVERLOAD_RETRY_US)),
             Self::NoConfig => (503, "no_config", Some(START_RETRY_US)),
             Self::NoRoute => (404, "no_route", None),
             Self::BudgetSpent => (402, "budget_spent", None),
             Self::UnknownTurn => (404, "unknown_turn", None),
-            Self::LedgerUnavailable => (503, "ledger_away", Some(LEDGER_RETRY_US)),
+            Self::LedgerUnavailable => (503, "ledger_away", Some(MIN_LEDGER_RETRY_US)),
             Self::NoServer => (503, "no_server", Some(START_RETRY_US)),
-            Self::ServersRefused => (503, "servers_refused", Some(ROOM_RETRY_US)),
-            Self::NotSentInTime => (503, "not_sent_in_time", Some(ROOM_RETRY_US)),
+            Self::ServersRefused => (503, "servers_refused", Some(OVERLOAD_RETRY_US)),
+            Self::NotSentInTime => (503, "not_sent_in_time", Some(OVERLOAD_RETRY_US)),
             Self::NoAnswerInTime => (504, "no_answer_in_time", None),
             Self::ServerLost => (502, "server_lost", None),
         };
--- a/clementinepick/src/rendezvous.rs
+++ b/clementinepick/src/rendezvous.rs
@@ -1,12 +1,12 @@
-//! Which entry should own a partition: highest random weight over the live entries.
+//! Suggests the owner of a partition by rendezvous hashing over the live entries.
 //!
-//! This only suggests. A claim record in the log decides, see [`crate::replay`].
+//! The suggestion is not binding: a claim record in the log decides, see [`crate::replay`].
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::ids::{PartitionId, VmId};
 
-/// The entry that should claim `partition`, among those that live.
+/// Returns the entry among `live` that should claim `partition`.
 pub fn suggested_owner<'a>(
     partition: PartitionId,
     live: impl Iterator<Item = &'a VmId>,
@@ -28,8 +28,8 @@
             .map(|n| format!("e{n}").parse().expect("a name"))
             .collect();
         for partition in (0..64).map(PartitionId) {
-            let before = suggested_owner(partition, vms.iter()).expect("one lives");
-            let after = suggested_owner(partition, vms[1..].iter()).expect("one lives");
+            let before = suggested_owner(partition, vms.iter()).expect("a live entry");
+            let after = suggested_owner(partition, vms[1..].iter()).expect("a live entry");
             assert!(before == after || *before == vms[0]);
         }
     }
--- a/clementinepick/src/route.rs
+++ b/clementinepick/src/route.rs
@@ -1,8 +1,8 @@
-//! Chooses the backend server for a call: the expected wait plus the prefill of what is not cached.
+//! Chooses the backend server for a call by the expected wait plus the prefill of uncached tokens.
 //!
-//! A choice looks at a handful of candidates and never at all backend servers: the one of the last
-//! turn, those that hold most of the prompt, two that the shared prefix always leads to, and the
-//! ones with the least load. So its cost does not grow with the count of backend servers.
+//! A choice compares only a few candidates: the backend server of the last turn, those that cache
+//! most of the prompt, two that the shared prefix hashes to, and the least loaded ones. So its cost
+//! does not grow with the number of backend servers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,15 +14,15 @@
 use crate::prompt::{ChainHash, Prompt, Segment};
 use crate::units::{SpanUs, TimeUs, Tokens};
 
-/// How choices are made.
+/// The settings of a router.
 #[derive(Debug, Clone)]
 pub struct RouteSettings {
-    /// The availability zone of this entry, preferred among equals.
+    /// The availability zone of this entry, preferred among equally good candidates.
     pub zone: Option<ZoneName>,
-    /// What one running call counts for, in tokens of work.
+    /// The weight of one running call, in tokens of work.
     pub tokens_per_running: Tokens,
-    /// What a prompt token that is not cached counts for, in tokens of waiting work. Above one,
-    /// since its prefill holds up the whole batch and fills memory a second time.
+    /// The weight of an uncached prompt token, in tokens of waiting work. It is above one because
+    /// the prefill delays the whole batch and caches the prompt a second time.
     pub prefill_weight: u64,
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// What a choice is made for.
+/// The call for which a backend server is chosen.
 #[derive(Debug, Clone)]
 pub struct RouteQuery<'a> {
     /// The service.
@@ -45,66 +45,66 @@
     pub prompt: Option<&'a Prompt>,
     /// The backend server of the program's last turn.
     pub last: Option<&'a VmId>,
-    /// Backend servers that were tried already.
+    /// The backend servers that must not be chosen, such as those already tried.
     pub tried: &'a BTreeSet<VmId>,
 }
 
-/// A choice.
+/// A chosen backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Choice {
     /// The backend server.
     pub vm: VmId,
-    /// The part of the prompt that is probably not cached there.
+    /// The part of the prompt that is expected not to be cached there.
     pub uncached_tokens: Tokens,
-    /// The backend servers that were looked at.
+    /// The number of backend servers that were compared.
     pub candidate_count: u32,
 }
 
-/// A backend server's place in its pool.
+/// The number of a backend server in its pool.
 type Slot = u32;
 
-/// What is known of one backend server.
+/// The state of one backend server.
 #[derive(Debug, Clone)]
 struct Backend {
     vm: VmId,
     zone: ZoneName,
     leaving: bool,
     load: BackendLoad,
-    /// Own calls there that have not ended; the load report lags behind them.
+    /// The calls of this entry there that have not ended; load reports lag behind them.
     in_flight: u32,
     in_flight_tokens: Tokens,
-    /// Own calls sent less own calls ended since the report.
+    /// The calls of this entry sent since the last report, minus those ended.
     since_report: i64,
     since_report_tokens: i64,
-    /// The known segments, with the count of gaps when they were last confirmed.
+    /// The known segments, with the value of `gaps` when they were last confirmed.
     cached: BTreeMap<ChainHash, u64>,
     gaps: u64,
     next_cache_event: u64,
     failures_in_a_row: u32,
-    /// When the first report came since it became suspect.
+    /// When the first report arrived after the backend server became suspect.
     suspect_us: Option<TimeUs>,
 }
 
-/// Failures in a row after which a backend server is suspect and gets nothing.
-const SUSPECT_AFTER: u32 = 3;
-/// How long a suspect one reports before it gets one call for trial.
-const TRIAL_AFTER: SpanUs = SpanUs::from_s(5);
-/// Backend servers with the deepest known prefix that are looked at.
-const HOLDERS: usize = 4;
-/// Backend servers with the least load that are looked at.
-const LEAST_LOADED: usize = 2;
-/// Backend servers that a shared prefix always leads to.
-const FIXED_CHOICES: u64 = 2;
-/// Segments at a prompt's end that are looked up one by one.
-const WALK: usize = 64;
+/// The number of consecutive failures after which a backend server is suspect and gets no calls.
+const SUSPECT_FAILURES: u32 = 3;
+/// How long a suspect backend server must keep reporting before it gets one probe call.
+const PROBE_DELAY: SpanUs = SpanUs::from_s(5);
+/// The maximum number of candidates with the longest known prefix, and of ring positions searched.
+const MAX_PREFIX_CANDIDATES: usize = 4;
+/// The maximum number of candidates with the least load.
+const MAX_LEAST_LOADED_CANDIDATES: usize = 2;
+/// The number of candidates that a shared prefix hashes to.
+const RING_CANDIDATES: u64 = 2;
+/// The maximum number of segments looked up from a prompt's end.
+const MAX_SEGMENT_LOOKUPS: usize = 64;
 
 impl Backend {
     const fn is_suspect(&self) -> bool {
-        self.failures_in_a_row >= SUSPECT_AFTER
+        self.failures_in_a_row >= SUSPECT_FAILURES
     }
 
-    /// The work ahead of a new call, in tokens: the lagging report, corrected by the own calls since
-    /// and never below what this entry alone has there.
+    /// Returns the work ahead of a new call, in tokens: the last report, corrected by this entry's
+    /// calls since then, but at least the work that this entry has there.
     fn load_tokens(&self, per_running: Tokens) -> u64 {
         let reported = u64::from(self.load.engine.running + self.load.engine.waiting);
         let calls = reported
@@ -118,9 +118,11 @@
         calls * per_running.0 + waiting.max(self.in_flight_tokens.0)
     }
 
-    /// What of the prompt is not known to be cached. After a gap what was known may have been
-    /// dropped unseen, and counts for half: as cached it would draw calls to a server that has to
-    /// prefill them all, as gone it would scatter every program at each gap.
+    /// Returns the part of a prompt that is not known to be cached.
+    ///
+    /// After a gap in the cache events, known segments may have been evicted and count for half.
+    /// Counted in full, they would attract calls that need a whole prefill; not counted, each gap
+    /// would spread every program over other backend servers.
     fn uncached_tokens(&self, segments: &[Segment]) -> Tokens {
         let whole: Tokens = segments.iter().map(|segment| segment.length_tokens).sum();
         let deepest = segments
@@ -144,19 +146,19 @@
     by_vm: BTreeMap<VmId, Slot>,
     next: Slot,
     suspects: usize,
-    /// Those that stay, least loaded first.
+    /// The backend servers that are not leaving, least loaded first.
     by_load: BTreeSet<(u64, Slot)>,
-    /// Where a shared prefix leads: each backend server has one place on a ring.
+    /// The hash ring for shared prefixes, with one position per backend server.
     ring: BTreeMap<u64, Slot>,
     holders: BTreeMap<ChainHash, BTreeSet<Slot>>,
 }
 
 impl Pool {
-    /// Whether a backend server may get a call.
+    /// Returns whether a backend server may get a call.
     ///
-    /// When half of them fail, the cause is hardly theirs: a common fault or too much load. To leave
-    /// them all out would bring the rest down as well, so then suspicion counts for nothing.
-    fn is_free(&self, backend: &Backend, query: &RouteQuery<'_>) -> bool {
+    /// If half of the pool is suspect, the cause is probably a common fault or overload. Excluding
+    /// them would overload the rest as well, so suspicion is ignored then.
+    fn is_eligible(&self, backend: &Backend, query: &RouteQuery<'_>) -> bool {
         let is_trusted = !backend.is_suspect() || self.suspects * 2 >= self.slots.len();
         !backend.leaving && is_trusted && !query.tried.contains(&backend.vm)
     }
@@ -171,7 +173,7 @@
 }
 
 impl Router {
-    /// A router that knows no backend server yet.
+    /// Creates a router without backend servers.
     #[must_use]
     pub fn new(settings: RouteSettings) -> Self {
         Self {
@@ -180,7 +182,7 @@
         }
     }
 
-    /// A backend server can be reached.
+    /// Adds a backend server that has become reachable.
     pub fn add(&mut self, vm: VmId, service: ServiceName, zone: ZoneName) {
         self.remove(&vm);
         let pool = self.pools.entry(service.clone()).or_default();
@@ -201,14 +203,14 @@
             failures_in_a_row: 0,
             suspect_us: None,
         };
-        pool.ring.insert(place(&vm), slot);
+        pool.ring.insert(ring_position(&vm), slot);
         pool.by_vm.insert(vm.clone(), slot);
         pool.slots.insert(slot, backend);
         pool.by_load.insert((0, slot));
         self.service_of.insert(vm, service);
     }
 
-    /// A backend server can't be reached any more.
+    /// Removes a backend server that is no longer reachable.
     pub fn remove(&mut self, vm: &VmId) {
         let per_running = self.settings.tokens_per_running;
         let Some(pool) = self
@@ -226,28 +228,28 @@
         };
         pool.by_load
             .remove(&(backend.load_tokens(per_running), slot));
-        pool.ring.remove(&place(vm));
+        pool.ring.remove(&ring_position(vm));
         pool.suspects -= usize::from(backend.is_suspect());
         for chain in backend.cached.keys() {
-            forget_holder(&mut pool.holders, *chain, slot);
+            remove_holder(&mut pool.holders, *chain, slot);
         }
     }
 
-    /// Says whether a backend server leaves; one that does gets nothing new.
+    /// Sets whether a backend server is leaving; a leaving one gets no new calls.
     pub fn set_leaving(&mut self, vm: &VmId, leaving: bool) {
-        self.change(vm, |backend| backend.leaving = leaving);
+        self.update_backend(vm, |backend| backend.leaving = leaving);
     }
 
-    /// A load report has come.
+    /// Applies a load report.
     ///
-    /// A suspect backend server that goes on reporting gets one call for trial after a while.
-    /// Without it nothing would ever show that it works again.
+    /// A suspect backend server that keeps reporting gets one probe call after `PROBE_DELAY`.
+    /// Without the probe its recovery would never be noticed.
     pub fn on_load(&mut self, now: TimeUs, vm: &VmId, load: BackendLoad) {
-        self.change(vm, |backend| {
+        self.update_backend(vm, |backend| {
             if backend.is_suspect() {
                 let since_us = *backend.suspect_us.get_or_insert(now);
-                if now.since(since_us) >= TRIAL_AFTER {
-                    backend.failures_in_a_row = SUSPECT_AFTER - 1;
+                if now.since(since_us) >= PROBE_DELAY {
+                    backend.failures_in_a_row = SUSPECT_FAILURES - 1;
                     backend.suspect_us = None;
                 }
             }
@@ -257,7 +259,7 @@
         });
     }
 
-    /// Cache events have come; says whether some are missing.
+    /// Applies cache events and returns whether events before them were lost.
     pub fn on_cache(&mut self, vm: &VmId, first: u64, events: &[CacheEvent]) -> bool {
         let Some((pool, slot)) = self.pool_of(vm) else {
             return false;
@@ -268,13 +270,13 @@
         let gap = first != backend.next_cache_event;
         if gap {
             backend.gaps += 1;
-            // What was doubtful before this gap already is given up, or it would pile up for ever.
+            // Segments that were unconfirmed before this gap are dropped, or they would accumulate.
             let gaps = backend.gaps;
             let old = backend.cached.iter().filter(|(_, seen)| **seen + 1 < gaps);
             let old: Vec<ChainHash> = old.map(|(chain, _)| *chain).collect();
             for chain in old {
                 backend.cached.remove(&chain);
-                forget_holder(&mut pool.holders, chain, slot);
+                remove_holder(&mut pool.holders, chain, slot);
             }
         }
         backend.next_cache_event = first + events.len() as u64;
@@ -286,14 +288,14 @@
                 }
                 CacheEvent::Dropped(chain) => {
                     backend.cached.remove(chain);
-                    forget_holder(&mut pool.holders, *chain, slot);
+                    remove_holder(&mut pool.holders, *chain, slot);
                 }
             }
         }
         gap
     }
 
-    /// A turn has ended: its prompt lies in the cache, though the events that say so come later.
+    /// Marks the prompt of an ended turn as cached before the cache events report it.
     pub fn on_prompt_cached(&mut self, vm: &VmId, prompt: &Prompt) {
         let Some((pool, slot)) = self.pool_of(vm) else {
             return;
@@ -307,22 +309,22 @@
         }
     }
 
-    /// The backend server that should run a call.
+    /// Chooses the backend server for a call; `None` if none may get it.
     #[must_use]
     pub fn pick(&self, _now: TimeUs, query: &RouteQuery<'_>) -> Option<Choice> {
         let pool = self.pools.get(query.service)?;
         let segments = query.prompt.map_or(&[][..], |prompt| &prompt.segments);
-        let candidates = candidates(pool, query, segments);
-        let fit: Vec<&Backend> = candidates
+        let candidates = find_candidates(pool, query, segments);
+        let eligible: Vec<&Backend> = candidates
             .iter()
             .filter_map(|slot| pool.slots.get(slot))
-            .filter(|backend| pool.is_free(backend, query))
+            .filter(|backend| pool.is_eligible(backend, query))
             .collect();
         let candidate_count = u32::try_from(candidates.len()).unwrap_or(u32::MAX);
-        let best = fit
+        let best = eligible
             .into_iter()
             .min_by_key(|backend| self.cost(backend, query, segments));
-        let best = best.or_else(|| last_resort(pool, query))?;
+        let best = best.or_else(|| least_failing(pool, query))?;
         Some(Choice {
             vm: best.vm.clone(),
             uncached_tokens: best.uncached_tokens(segments),
@@ -346,19 +348,19 @@
         (load + prefill, query.last != Some(&backend.vm), elsewhere)
     }
 
-    /// A call was sent to a backend server.
+    /// Accounts for a call that was sent to a backend server.
     pub fn on_sent(&mut self, vm: &VmId, work: Tokens) {
-        self.change(vm, |backend| {
+        self.update_backend(vm, |backend| {
             backend.in_flight += 1;
             backend.in_flight_tokens += work;
             backend.since_report += 1;
-            backend.since_report_tokens += signed(work);
+            backend.since_report_tokens += to_signed(work);
         });
     }
 
-    /// A call has left a backend server.
+    /// Accounts for a call that has ended at a backend server.
     pub fn on_ended(&mut self, vm: &VmId, work: Tokens, failed: bool) {
-        self.change(vm, |backend| {
+        self.update_backend(vm, |backend| {
             backend.in_flight = backend.in_flight.saturating_sub(1);
             backend.in_flight_tokens = backend.in_flight_tokens.saturating_sub(work);
             backend.since_report -= 1;
@@ -376,8 +378,8 @@
         Some((pool, slot))
     }
 
-    /// Changes what is known of a backend server and keeps the order by load in step.
-    fn change(&mut self, vm: &VmId, change: impl FnOnce(&mut Backend)) {
+    /// Updates the state of a backend server and its position in the order by load.
+    fn update_backend(&mut self, vm: &VmId, change: impl FnOnce(&mut Backend)) {
         let per_running = self.settings.tokens_per_running;
         let Some((pool, slot)) = self.pool_of(vm) else {
             return;
@@ -397,40 +399,40 @@
     }
 }
 
-/// The backend servers that are worth a look.
-fn candidates(pool: &Pool, query: &RouteQuery<'_>, segments: &[Segment]) -> BTreeSet<Slot> {
+/// Returns the backend servers to compare for a call.
+fn find_candidates(pool: &Pool, query: &RouteQuery<'_>, segments: &[Segment]) -> BTreeSet<Slot> {
     let mut found: BTreeSet<Slot> = query
         .last
         .and_then(|vm| pool.by_vm.get(vm))
         .copied()
         .into_iter()
         .collect();
-    let is_free = |slot: &Slot| {
+    let is_eligible = |slot: &Slot| {
         pool.slots
             .get(slot)
-            .is_some_and(|backend| pool.is_free(backend, query))
+            .is_some_and(|backend| pool.is_eligible(backend, query))
     };
     let deepest = segments
         .iter()
         .rev()
-        .take(WALK)
+        .take(MAX_SEGMENT_LOOKUPS)
         .find_map(|s| pool.holders.get(&s.chain));
     found.extend(
         deepest
             .into_iter()
             .flatten()
-            .filter(|slot| is_free(slot))
-            .take(HOLDERS),
+            .filter(|slot| is_eligible(slot))
+            .take(MAX_PREFIX_CANDIDATES),
     );
     if let Some(shared) = segments.first() {
-        for choice in 0..FIXED_CHOICES {
+        for choice in 0..RING_CANDIDATES {
             let from = xxh3_64_with_seed(&shared.chain.0.to_le_bytes(), choice);
             let around = pool.ring.range(from..).chain(pool.ring.range(..from));
             found.extend(
                 around
                     .map(|(_, slot)| *slot)
-                    .take(HOLDERS)
-                    .find(|slot| is_free(slot)),
+                    .take(MAX_PREFIX_CANDIDATES)
+                    .find(|slot| is_eligible(slot)),
             );
         }
     }
@@ -438,13 +440,13 @@
         .by_load
         .iter()
         .map(|(_, slot)| *slot)
-        .filter(|slot| is_free(slot));
-    found.extend(least.take(LEAST_LOADED));
+        .filter(|slot| is_eligible(slot));
+    found.extend(least.take(MAX_LEAST_LOADED_CANDIDATES));
     found
 }
 
-/// When all that may be chosen are suspect: better one of them than none.
-fn last_resort<'a>(pool: &'a Pool, query: &RouteQuery<'_>) -> Option<&'a Backend> {
+/// Returns the backend server with the fewest failures, for when all are suspect.
+fn least_failing<'a>(pool: &'a Pool, query: &RouteQuery<'_>) -> Option<&'a Backend> {
     let left = pool
         .slots
         .values()
@@ -452,7 +454,7 @@
     left.min_by_key(|backend| backend.failures_in_a_row)
 }
 
-fn forget_holder(holders: &mut BTreeMap<ChainHash, BTreeSet<Slot>>, chain: ChainHash, slot: Slot) {
+fn remove_holder(holders: &mut BTreeMap<ChainHash, BTreeSet<Slot>>, chain: ChainHash, slot: Slot) {
     if let Some(slots) = holders.get_mut(&chain) {
         slots.remove(&slot);
         if slots.is_empty() {
@@ -461,11 +463,11 @@
     }
 }
 
-fn place(vm: &VmId) -> u64 {
+fn ring_position(vm: &VmId) -> u64 {
     xxh3_64_with_seed(vm.as_str().as_bytes(), 0)
 }
 
-fn signed(tokens: Tokens) -> i64 {
+fn to_signed(tokens: Tokens) -> i64 {
     i64::try_from(tokens.0).unwrap_or(i64::MAX)
 }
 
@@ -498,7 +500,7 @@
     }
 
     #[test]
-    fn a_cached_prefix_draws_its_calls_until_gaps_make_it_doubtful() {
+    fn a_cached_prefix_attracts_calls_until_two_gaps_in_the_events() {
         let (mut router, service) = router();
         let segment = Segment {
             chain: ChainHash(5),
@@ -513,7 +515,7 @@
             pick(&router, &service, Some(&prompt)).as_deref(),
             Some("b1")
         );
-        // One gap makes it doubtful, and it still draws; a second one without a word gives it up.
+        // After one gap the prefix still counts for half; after a second one it is dropped.
         assert!(router.on_cache(&b1, 7, &[]));
         assert_eq!(
             pick(&router, &service, Some(&prompt)).as_deref(),
@@ -526,30 +528,30 @@
         );
     }
 
-    // Three calls in a row fail at one server: it gets nothing more. It goes on reporting, so after
-    // a while one call tries it, and once that ends well it is trusted again.
+    // A backend server that fails three calls in a row gets no more. It keeps reporting, so it must
+    // get a probe call later, or its recovery would never be noticed.
     #[test]
-    fn a_suspect_backend_server_is_left_out_and_tried_again() {
+    fn a_suspect_backend_server_gets_no_calls_until_a_probe() {
         let (mut router, service) = router();
         let third = "b2".parse().expect("a name");
         router.add(third, service.clone(), "z".parse().expect("a name"));
         let b0 = "b0".parse().expect("a name");
-        for _ in 0..SUSPECT_AFTER {
+        for _ in 0..SUSPECT_FAILURES {
             assert_eq!(pick(&router, &service, None).as_deref(), Some("b0"));
             router.on_sent(&b0, Tokens(0));
             router.on_ended(&b0, Tokens(0), true);
         }
         assert_eq!(pick(&router, &service, None).as_deref(), Some("b1"));
         router.on_load(TimeUs(0), &b0, BackendLoad::default());
-        router.on_load(TimeUs(0).after(TRIAL_AFTER), &b0, BackendLoad::default());
+        router.on_load(TimeUs(0).after(PROBE_DELAY), &b0, BackendLoad::default());
         assert_eq!(pick(&router, &service, None).as_deref(), Some("b0"));
     }
 
     #[test]
-    fn when_half_of_them_fail_none_is_left_out() {
+    fn suspects_stay_eligible_if_they_are_half_of_the_pool() {
         let (mut router, service) = router();
         let b0: VmId = "b0".parse().expect("a name");
-        for _ in 0..SUSPECT_AFTER {
+        for _ in 0..SUSPECT_FAILURES {
             router.on_sent(&b0, Tokens(0));
             router.on_ended(&b0, Tokens(0), true);
         }
@@ -559,7 +561,7 @@
     }
 
     #[test]
-    fn a_leaving_backend_server_gets_nothing() {
+    fn a_leaving_backend_server_gets_no_calls() {
         let (mut router, service) = router();
         for vm in ["b0", "b1"] {
             router.set_leaving(&vm.parse().expect("a name"), true);
--- a/clementinepick/src/sequencer.rs
+++ b/clementinepick/src/sequencer.rs
@@ -1,4 +1,4 @@
-//! Keeps the calls of one program in the order in which the program issued them.
+//! Runs the calls of one program one at a time, in the order in which the program issued them.
 
 use std::collections::BTreeMap;
 
@@ -13,19 +13,19 @@
     since_us: TimeUs,
 }
 
-/// The calls of one program, in order; one runs at a time.
+/// Orders the calls of one program and lets one run at a time.
 #[derive(Debug, Clone, Default)]
 pub struct Sequencer {
     next: CallSeq,
-    /// Whether calls may have run past `next` that left no record with an earlier owner.
+    /// Whether an earlier owner may have run calls from `next` on that left no record.
     is_lower_bound: bool,
     running: Option<CallSeq>,
     waiting: BTreeMap<CallSeq, Waiting>,
 }
 
 impl Sequencer {
-    /// A sequencer that goes on after the calls on record; `is_lower_bound` where an earlier owner
-    /// may have run idempotent calls past them.
+    /// Creates a sequencer that continues after the calls on record; `is_lower_bound` if an earlier
+    /// owner may have run idempotent calls past them.
     #[must_use]
     pub fn resuming_at(next: CallSeq, is_lower_bound: bool) -> Self {
         Self {
@@ -35,33 +35,34 @@
         }
     }
 
-    /// The place of the next call.
+    /// Returns the sequence number of the next call to start.
     #[must_use]
     pub const fn next(&self) -> CallSeq {
         self.next
     }
 
-    /// A call of an earlier owner runs on here.
+    /// Marks a call of an earlier owner as running.
     pub fn resume(&mut self, seq: CallSeq) {
         self.running = Some(seq);
         self.next = self.next.max(seq.next());
     }
 
-    /// A call of an earlier owner has ended.
+    /// Skips a call that ended at an earlier owner.
     pub fn skip(&mut self, seq: CallSeq) {
         self.next = self.next.max(seq.next());
     }
 
-    /// Lets calls run beside each other; only for test runs without the safeguard.
+    /// Lets calls run concurrently; only for test runs without the safeguard.
     pub(crate) fn allow_concurrent(&mut self) {
         self.running = None;
     }
 
-    /// Gives a call its place; absent `seq` means after all that have come.
+    /// Adds a waiting call and returns its sequence number, by default the one after all calls so
+    /// far.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::OutOfOrder`] when the place has passed or is taken.
+    /// [`ErrorKind::OutOfOrder`] if the sequence number has passed or is taken.
     pub fn push(
         &mut self,
         now: TimeUs,
@@ -75,11 +76,14 @@
             .map_or(self.next, |last| last.next());
         let seq = seq.unwrap_or(last.max(self.next));
         if seq < self.next {
-            let detail = format!("call {seq} has come already; the next is {}", self.next);
+            let detail = format!(
+                "sequence number {seq} has passed; the next is {}",
+                self.next
+            );
             return Err(CallError::new(ErrorKind::OutOfOrder, detail));
         }
         if self.waiting.contains_key(&seq) {
-            let detail = format!("call {seq} waits already");
+            let detail = format!("another call is waiting under sequence number {seq}");
             return Err(CallError::new(ErrorKind::OutOfOrder, detail));
         }
         self.waiting.insert(
@@ -92,7 +96,7 @@
         Ok(seq)
     }
 
-    /// The call that may go on now; it runs until [`Sequencer::finish`].
+    /// Starts the next call if it has arrived and none runs; it runs until [`Sequencer::finish`].
     pub fn start_next(&mut self) -> Option<(CallSeq, RequestId)> {
         if self.running.is_some() {
             return None;
@@ -104,17 +108,17 @@
         Some((seq, waiting.request))
     }
 
-    /// The running call has ended.
+    /// Ends the running call.
     pub fn finish(&mut self, seq: CallSeq) {
         if self.running == Some(seq) {
             self.running = None;
         }
     }
 
-    /// The running call was refused before it ran: its place is open again.
+    /// Reopens the sequence number of the running call, which was refused before it ran.
     ///
-    /// Without this a caller that repeats a refused call under its number would be told that the
-    /// number has passed.
+    /// Otherwise a caller that repeats the refused call under its sequence number would be told
+    /// that the number has passed.
     pub fn reopen(&mut self, seq: CallSeq) {
         if self.running == Some(seq) {
             self.running = None;
@@ -122,9 +126,9 @@
         }
     }
 
-    /// A call of an earlier owner turned out never to have run: its place is open again.
+    /// Reopens the sequence number of a call of an earlier owner that never ran.
     ///
-    /// Where nobody comes back for it, the calls behind it go on after the wait for a gap.
+    /// If the call is not repeated, the calls behind it continue after the gap timeout.
     pub fn reopen_recorded(&mut self, seq: CallSeq) {
         if self.running.is_none() && self.next == seq.next() {
             self.next = seq;
@@ -132,23 +136,23 @@
         }
     }
 
-    /// Takes back a call that still waits.
+    /// Removes a waiting call.
     pub fn remove(&mut self, request: RequestId) {
         self.waiting.retain(|_, waiting| waiting.request != request);
     }
 
-    /// Takes out the calls that have waited `gap` for an earlier one that did not come.
+    /// Removes and returns the calls that have waited at least `gap_us` for an earlier one.
     ///
-    /// After a take-over the earlier one may have run without a record. Then the first call that
-    /// waits is let go on instead; one that comes for an earlier place later is out of order.
+    /// After a takeover the earlier call may have run without a record. Then the first waiting call
+    /// may start instead, and a call that arrives later for an earlier number is out of sequencer.
     pub fn take_overdue(&mut self, now: TimeUs, gap_us: SpanUs) -> Vec<RequestId> {
         if self.running.is_some() || self.waiting.contains_key(&self.next) {
             return Vec::new();
         }
-        let late = |waiting: &Waiting| now.since(waiting.since_us) >= gap_us;
+        let is_late = |waiting: &Waiting| now.since(waiting.since_us) >= gap_us;
         if self.is_lower_bound {
             if let Some((seq, waiting)) = self.waiting.first_key_value()
-                && late(waiting)
+                && is_late(waiting)
             {
                 self.next = *seq;
                 self.is_lower_bound = false;
@@ -158,14 +162,14 @@
         let overdue: Vec<_> = self
             .waiting
             .values()
-            .filter(|w| late(w))
+            .filter(|w| is_late(w))
             .map(|w| w.request)
             .collect();
-        self.waiting.retain(|_, waiting| !late(waiting));
+        self.waiting.retain(|_, waiting| !is_late(waiting));
         overdue
     }
 
-    /// Whether nothing runs or waits.
+    /// Returns whether no call runs or waits.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.running.is_none() && self.waiting.is_empty()
@@ -178,50 +182,59 @@
 
     #[test]
     fn a_later_call_waits_for_the_earlier_one() {
-        let mut order = Sequencer::default();
+        let mut sequencer = Sequencer::default();
         assert_eq!(
-            order.push(TimeUs(0), RequestId(11), Some(CallSeq(1))),
+            sequencer.push(TimeUs(0), RequestId(11), Some(CallSeq(1))),
             Ok(CallSeq(1))
         );
-        assert_eq!(order.start_next(), None);
+        assert_eq!(sequencer.start_next(), None);
         assert_eq!(
-            order.push(TimeUs(0), RequestId(10), Some(CallSeq(0))),
+            sequencer.push(TimeUs(0), RequestId(10), Some(CallSeq(0))),
             Ok(CallSeq(0))
         );
-        assert_eq!(order.start_next(), Some((CallSeq(0), RequestId(10))));
-        assert_eq!(order.start_next(), None);
-        order.finish(CallSeq(0));
-        assert_eq!(order.start_next(), Some((CallSeq(1), RequestId(11))));
+        assert_eq!(sequencer.start_next(), Some((CallSeq(0), RequestId(10))));
+        assert_eq!(sequencer.start_next(), None);
+        sequencer.finish(CallSeq(0));
+        assert_eq!(sequencer.start_next(), Some((CallSeq(1), RequestId(11))));
     }
 
     #[test]
-    fn calls_without_a_number_keep_their_order_of_arrival() {
-        let mut order = Sequencer::default();
-        assert_eq!(order.push(TimeUs(0), RequestId(1), None), Ok(CallSeq(0)));
-        assert_eq!(order.push(TimeUs(0), RequestId(2), None), Ok(CallSeq(1)));
+    fn calls_without_a_sequence_number_keep_their_order_of_arrival() {
+        let mut sequencer = Sequencer::default();
+        assert_eq!(
+            sequencer.push(TimeUs(0), RequestId(1), None),
+            Ok(CallSeq(0))
+        );
+        assert_eq!(
+            sequencer.push(TimeUs(0), RequestId(2), None),
+            Ok(CallSeq(1))
+        );
     }
 
     #[test]
-    fn a_gap_is_waited_for_only_so_long() {
-        let mut order = Sequencer::default();
-        order
+    fn calls_behind_a_gap_are_overdue_after_the_timeout() {
+        let mut sequencer = Sequencer::default();
+        sequencer
             .push(TimeUs(0), RequestId(1), Some(CallSeq(3)))
             .expect("open");
-        assert!(order.take_overdue(TimeUs(9), SpanUs(10)).is_empty());
-        assert_eq!(order.take_overdue(TimeUs(10), SpanUs(10)), [RequestId(1)]);
-        assert!(order.is_idle());
+        assert!(sequencer.take_overdue(TimeUs(9), SpanUs(10)).is_empty());
+        assert_eq!(
+            sequencer.take_overdue(TimeUs(10), SpanUs(10)),
+            [RequestId(1)]
+        );
+        assert!(sequencer.is_idle());
     }
 
     #[test]
-    fn a_refused_call_may_come_again_under_its_number() {
-        let mut order = Sequencer::default();
-        order
+    fn a_refused_call_may_be_repeated_under_its_sequence_number() {
+        let mut sequencer = Sequencer::default();
+        sequencer
             .push(TimeUs(0), RequestId(1), Some(CallSeq(0)))
             .expect("open");
-        order.start_next().expect("its turn");
-        order.reopen(CallSeq(0));
+        sequencer.start_next().expect("the next call");
+        sequencer.reopen(CallSeq(0));
         assert_eq!(
-            order.push(TimeUs(0), RequestId(2), Some(CallSeq(0))),
+            sequencer.push(TimeUs(0), RequestId(2), Some(CallSeq(0))),
             Ok(CallSeq(0))
         );
     }
--- a/clementinepick/src/step_budget.rs
+++ b/clementinepick/src/step_budget.rs
@@ -1,4 +1,4 @@
-//! Holds a call until the account of its program covers it.
+//! Reserves the budget of a call, and delays the call while its program's account lacks a slice.
 
 use crate::budget::{Amount, Grant};
 use crate::call::Usage;
@@ -10,7 +10,7 @@
 use crate::units::{TimeUs, Tokens};
 
 impl Entry {
-    /// The program whose account a program spends from.
+    /// Returns the program whose account a program is charged to.
     pub(crate) fn account_holder(&self, partition: PartitionId, program: &ProgramId) -> ProgramId {
         let state = self.partitions.program(partition, program);
         let root = state.and_then(|state| state.root.clone());
@@ -26,14 +26,14 @@
             let rules = &call.in_force.document.program;
             let limit = call.request.budget_tokens.unwrap_or(rules.budget_tokens);
             if tokens > limit.min(rules.budget_tokens) {
-                self.fail_call(now, id, exhausted(), out);
+                self.fail_call(now, id, budget_exhausted(), out);
             } else {
                 self.step_route(now, id, out);
             }
             return;
         }
         let root = self.account_holder(partition, &call.request.program);
-        match self.hold(now, partition, &root, tokens) {
+        match self.reserve_tokens(now, partition, &root, tokens) {
             Some(Grant::Held) => {
                 if let Some(call) = self.calls.get_mut(&id) {
                     call.held_tokens = Some(tokens);
@@ -47,26 +47,26 @@
                 self.reserve_slice(partition, &root, slice);
             }
             Some(Grant::Exhausted) => {
-                self.fail_call(now, id, exhausted(), out);
+                self.fail_call(now, id, budget_exhausted(), out);
                 if let Some(live) = self.programs.get_mut(&root) {
                     live.is_budget_exhausted = true;
                 }
             }
             None => {
-                let detail = "the account of the program is not known here";
+                let detail = "this entry does not know the account of the program";
                 self.fail_call(now, id, CallError::new(ErrorKind::NotReady, detail), out);
             }
         }
     }
 
-    fn hold(
+    fn reserve_tokens(
         &mut self,
         now: TimeUs,
         partition: PartitionId,
         root: &ProgramId,
         tokens: Tokens,
     ) -> Option<Grant> {
-        // A sub-agent's call may be the first of its tree that comes here.
+        // A sub-agent's call may be the first call of its program tree at this owner.
         self.live_program(now, partition, root);
         let live = self.programs.get_mut(root)?;
         live.spending.set_time(now.since(live.since_us));
@@ -83,7 +83,7 @@
         Some(unrecorded.hold(&mut live.spending, tokens))
     }
 
-    /// Puts a slice on record; one a program is under way at a time.
+    /// Writes the record of a slice, unless another one of the program is still awaited.
     fn reserve_slice(&mut self, partition: PartitionId, root: &ProgramId, slice: Amount) {
         let Some(live) = self.programs.get_mut(root) else {
             return;
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Sets the next slice of busy programs aside before they need it.
+    /// Reserves the next slice of busy programs before they need it.
     pub(crate) fn reserve_ahead(&mut self, now: TimeUs) {
         let wanted: Vec<(PartitionId, ProgramId, Amount)> = self
             .programs
@@ -127,7 +127,7 @@
         }
     }
 
-    /// A slice has come on record: the calls of the tree that wait for it go on.
+    /// Resumes the calls of a program tree that wait for a slice once its record is read back.
     pub(crate) fn on_slice(&mut self, now: TimeUs, root: &ProgramId, out: &mut Vec<EntryAction>) {
         let Some(live) = self.programs.get_mut(root) else {
             return;
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Gives back what a call held and books what it used.
+    /// Releases the reservation of a call and charges what the call used.
     pub(crate) fn settle(&mut self, id: RequestId, usage: Usage, calls: u64) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -162,7 +162,7 @@
         }
     }
 
-    /// What the programs of an account were served so far, by this owner and earlier ones.
+    /// Returns the tokens charged to a program's account so far, by this owner and earlier ones.
     pub(crate) fn attained_tokens(&self, partition: PartitionId, program: &ProgramId) -> Tokens {
         let root = self.account_holder(partition, program);
         let state = self.partitions.program(partition, &root);
@@ -175,7 +175,7 @@
     }
 }
 
-fn exhausted() -> CallError {
+fn budget_exhausted() -> CallError {
     let detail = "the program's budget does not cover this call";
     CallError::new(ErrorKind::BudgetExhausted, detail)
 }
--- a/clementinepick/src/step_dedup.rs
+++ b/clementinepick/src/step_dedup.rs
@@ -1,4 +1,4 @@
-//! Tells a repeat of a call from a new one, and gives it the first one's answer or the truth.
+//! Detects repeats of a call and answers them with the outcome of the original call.
 
 use crate::answer::send_part;
 use crate::call::{AnswerPart, CallDone, Payload, Request, TurnState, Usage};
@@ -12,36 +12,36 @@
 use crate::replay::{ProgramState, RecordedCall};
 use crate::units::TimeUs;
 
-/// What a call turned out to repeat.
+/// The known call or request that a new call matches.
 #[derive(Debug, Clone, PartialEq)]
-enum Repeat {
-    /// A call under way.
-    Of(Leader),
-    /// A call that has its outcome.
+enum DedupMatch {
+    /// A call in progress.
+    InProgress(Leader),
+    /// A call with a recorded outcome.
     Ended(CallSeq, CallOutcome),
-    /// A turn on record or on its way there.
+    /// A recorded or pending turn, with the text of its answer.
     Turn(CallDone, String),
-    /// The key belongs to another request.
+    /// Another request with the same idempotency key.
     KeyReused,
 }
 
-/// How a known call compares with a new one.
+/// The result of comparing a known call with a new one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Match {
     Same,
-    OtherBody,
-    No,
+    DifferentBody,
+    Different,
 }
 
-/// What identifies a known call.
-struct Known<'a> {
+/// The fields that identify a known call.
+struct KnownCall<'a> {
     request: RequestId,
     digest: ChainHash,
     key: Option<&'a IdempotencyKey>,
     seq: CallSeq,
 }
 
-fn compare(call: &Call, known: &Known<'_>) -> Match {
+fn compare(call: &Call, known: &KnownCall<'_>) -> Match {
     let new = &call.request;
     if known.request == new.id {
         return Match::Same;
@@ -51,43 +51,43 @@
         return if same_body {
             Match::Same
         } else {
-            Match::OtherBody
+            Match::DifferentBody
         };
     }
-    // Without a key the place in the program tells a repeat; another body there is another call,
-    // which is out of order.
-    let keyless = new.idempotency_key.is_none() || known.key.is_none();
-    if keyless && new.seq == Some(known.seq) && same_body {
+    // Without a key the sequence number identifies a repeat. Another body under the same number is
+    // another call, which is out of order.
+    let lacks_key = new.idempotency_key.is_none() || known.key.is_none();
+    if lacks_key && new.seq == Some(known.seq) && same_body {
         return Match::Same;
     }
-    Match::No
+    Match::Different
 }
 
 impl Entry {
-    /// Goes on with a call whose partition is owned here.
+    /// Answers a repeat, and passes a new call on to the next step.
     pub(crate) fn step_dedup(&mut self, now: TimeUs, id: RequestId, out: &mut Vec<EntryAction>) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
-        let repeat = if self.settings.safeguards.dedup {
-            self.find_repeat(id, call)
+        let found = if self.settings.safeguards.dedup {
+            self.find_original(id, call)
         } else {
             None
         };
-        match repeat {
+        match found {
             None => {
-                if !self.adopt(now, id, out) {
+                if !self.attach_to_kept_attempt(now, id, out) {
                     self.step_sequence(now, id, out);
                 }
             }
-            Some(Repeat::Of(leader)) => self.follow(id, leader, out),
-            Some(Repeat::Ended(seq, outcome)) => {
+            Some(DedupMatch::InProgress(leader)) => self.follow(id, leader, out),
+            Some(DedupMatch::Ended(seq, outcome)) => {
                 let key = call.request.key(seq);
                 self.answer_outcome(id, &key, outcome, out);
             }
-            Some(Repeat::Turn(done, text)) => self.answer_turn(id, done, &text, out),
-            Some(Repeat::KeyReused) => {
-                let detail = "this idempotency key was used with another request";
+            Some(DedupMatch::Turn(done, text)) => self.answer_turn(id, done, &text, out),
+            Some(DedupMatch::KeyReused) => {
+                let detail = "the idempotency key was already used with another request";
                 let field = crate::parse::KEY_HEADER;
                 let error = CallError::at(ErrorKind::KeyReused, field, detail);
                 self.fail_unordered_call(id, error, out);
@@ -95,13 +95,13 @@
         }
     }
 
-    fn find_repeat(&self, id: RequestId, call: &Call) -> Option<Repeat> {
+    fn find_original(&self, id: RequestId, call: &Call) -> Option<DedupMatch> {
         self.find_live(id, call)
             .or_else(|| self.find_pending(call))
             .or_else(|| self.find_recorded(call))
     }
 
-    fn find_live(&self, id: RequestId, call: &Call) -> Option<Repeat> {
+    fn find_live(&self, id: RequestId, call: &Call) -> Option<DedupMatch> {
         let others = self.calls.iter().filter(|(other, known)| {
             **other != id
                 && known.request.program == call.request.program
@@ -111,7 +111,7 @@
             let Some(seq) = known.seq else { continue };
             let matched = compare(
                 call,
-                &Known {
+                &KnownCall {
                     request: *other,
                     digest: known.digest,
                     key: known.request.idempotency_key.as_ref(),
@@ -119,18 +119,18 @@
                 },
             );
             match matched {
-                Match::Same => return Some(Repeat::Of(Leader::Request(*other))),
-                Match::OtherBody => return Some(Repeat::KeyReused),
-                Match::No => {}
+                Match::Same => return Some(DedupMatch::InProgress(Leader::Request(*other))),
+                Match::DifferentBody => return Some(DedupMatch::KeyReused),
+                Match::Different => {}
             }
         }
         None
     }
 
-    fn find_pending(&self, call: &Call) -> Option<Repeat> {
+    fn find_pending(&self, call: &Call) -> Option<DedupMatch> {
         let live = self.programs.get(&call.request.program)?;
         for turn in &live.pending_turns {
-            let known = Known {
+            let known = KnownCall {
                 request: turn.request,
                 digest: turn.digest,
                 key: turn.key.as_ref(),
@@ -142,44 +142,45 @@
                         finish: turn.finish,
                         ..call_done(&turn.call, turn.usage, TurnState::Pending, Some(turn.after))
                     };
-                    return Some(Repeat::Turn(done, turn.answer.clone()));
+                    return Some(DedupMatch::Turn(done, turn.answer.clone()));
                 }
-                Match::OtherBody => return Some(Repeat::KeyReused),
-                Match::No => {}
+                Match::DifferentBody => return Some(DedupMatch::KeyReused),
+                Match::Different => {}
             }
         }
         None
     }
 
-    fn find_recorded(&self, call: &Call) -> Option<Repeat> {
+    fn find_recorded(&self, call: &Call) -> Option<DedupMatch> {
         let state = self
             .partitions
             .program(call.partition, &call.request.program)?;
-        // The turn has more of the answer than the outcome of its call, so it is looked at first.
-        if let Some(repeat) = find_turn(state, call) {
-            return Some(repeat);
+        // A turn holds more of the answer than the outcome of its call, so turns are searched
+        // first.
+        if let Some(found) = find_turn(state, call) {
+            return Some(found);
         }
         for (seq, recorded) in &state.calls {
             if matches!(recorded.outcome, Some(CallOutcome::NeverRan(_))) {
                 continue;
             }
             match compare(call, &known_call(*seq, recorded)) {
-                Match::Same => return Some(Self::recorded_repeat(&call.request, *seq, recorded)),
-                Match::OtherBody => return Some(Repeat::KeyReused),
-                Match::No => {}
+                Match::Same => return Some(Self::match_recorded(&call.request, *seq, recorded)),
+                Match::DifferentBody => return Some(DedupMatch::KeyReused),
+                Match::Different => {}
             }
         }
         None
     }
 
-    fn recorded_repeat(request: &Request, seq: CallSeq, recorded: &RecordedCall) -> Repeat {
+    fn match_recorded(request: &Request, seq: CallSeq, recorded: &RecordedCall) -> DedupMatch {
         match &recorded.outcome {
-            Some(outcome) => Repeat::Ended(seq, outcome.clone()),
-            None => Repeat::Of(Leader::Recorded(request.key(seq))),
+            Some(outcome) => DedupMatch::Ended(seq, outcome.clone()),
+            None => DedupMatch::InProgress(Leader::Recorded(request.key(seq))),
         }
     }
 
-    /// Makes a call wait for another's answer; it gets what has come so far at once.
+    /// Makes a call wait for the answer of another one and sends it the part received so far.
     pub(crate) fn follow(&mut self, id: RequestId, leader: Leader, out: &mut Vec<EntryAction>) {
         let (text, plain) = match &leader {
             Leader::Request(leader) => {
@@ -204,8 +205,14 @@
         }
     }
 
-    /// Takes over a running or ended attempt of an earlier owner, instead of running it again.
-    fn adopt(&mut self, now: TimeUs, id: RequestId, out: &mut Vec<EntryAction>) -> bool {
+    /// Attaches a call to an attempt of an earlier owner instead of running it again; returns false
+    /// if there is none.
+    fn attach_to_kept_attempt(
+        &mut self,
+        now: TimeUs,
+        id: RequestId,
+        out: &mut Vec<EntryAction>,
+    ) -> bool {
         let Some((target, kept)) = self.kept_answers.remove(&id) else {
             return false;
         };
@@ -249,7 +256,7 @@
         true
     }
 
-    /// Answers with the outcome of a call that has ended.
+    /// Answers a repeat with the outcome of the original call.
     pub(crate) fn answer_outcome(
         &mut self,
         id: RequestId,
@@ -276,14 +283,14 @@
                 self.fail_unordered_call(id, error, out);
             }
             CallOutcome::Unknown => {
-                let detail = "the call was sent on and its outcome can't be learned";
+                let detail = "the call was sent to a backend server and its outcome is unknown";
                 let error = CallError::new(ErrorKind::OutcomeUnknown, detail);
                 self.fail_unordered_call(id, error, out);
             }
         }
     }
 
-    /// Answers with a turn that has ended.
+    /// Answers a repeat with the turn of the original call.
     pub(crate) fn answer_turn(
         &mut self,
         id: RequestId,
@@ -301,8 +308,8 @@
     }
 }
 
-fn known_call(seq: CallSeq, recorded: &RecordedCall) -> Known<'_> {
-    Known {
+fn known_call(seq: CallSeq, recorded: &RecordedCall) -> KnownCall<'_> {
+    KnownCall {
         request: recorded.request,
         digest: recorded.digest,
         key: recorded.key.as_ref(),
@@ -310,9 +317,9 @@
     }
 }
 
-fn find_turn(state: &ProgramState, call: &Call) -> Option<Repeat> {
+fn find_turn(state: &ProgramState, call: &Call) -> Option<DedupMatch> {
     for (seq, turn) in &state.turns {
-        let known = Known {
+        let known = KnownCall {
             request: turn.request,
             digest: turn.digest,
             key: turn.key.as_ref(),
@@ -326,10 +333,10 @@
                     ..call_done(&key, turn.usage, TurnState::Committed, Some(turn.chain))
                 };
                 let text = state.history.get(turn.answer_at)?.content.clone();
-                return Some(Repeat::Turn(done, text));
+                return Some(DedupMatch::Turn(done, text));
             }
-            Match::OtherBody => return Some(Repeat::KeyReused),
-            Match::No => {}
+            Match::DifferentBody => return Some(DedupMatch::KeyReused),
+            Match::Different => {}
         }
     }
     None
--- a/clementinepick/src/step_owner.rs
+++ b/clementinepick/src/step_owner.rs
@@ -1,4 +1,4 @@
-//! Finds the owner of a request's partition, claims what nobody owns, passes on what another owns.
+//! Finds the owner of a request's partition, and forwards the request or claims the partition.
 
 use std::collections::BTreeSet;
 
@@ -15,17 +15,17 @@
 use crate::replay::Owner;
 use crate::units::{SpanUs, TimeUs};
 
-/// The most times that a request is passed on between entries.
+/// The maximum number of times that a request is forwarded between entries.
 const MAX_HOPS: u8 = 3;
-/// How long calls of a partition just taken over wait for the sidecars' reports.
-const REPORT_WAIT_US: SpanUs = SpanUs::from_ms(300);
-/// Take-overs of one partition within this time of each other double the wait for the next.
-const PACE_MEMORY_US: SpanUs = SpanUs::from_s(60);
-/// The most doublings of that wait.
-const MAX_PACE_DOUBLINGS: u32 = 5;
+/// The time that calls of a partition wait for the sidecars' reports after a takeover.
+const SIDECAR_REPORT_TIMEOUT_US: SpanUs = SpanUs::from_ms(300);
+/// The time without an ownership change after which the claim backoff of a partition is reset.
+const BACKOFF_RESET_US: SpanUs = SpanUs::from_s(60);
+/// The maximum number of times that the claim backoff doubles.
+const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 
 impl Entry {
-    /// The partition of a program, which for a sub-agent is that of its root.
+    /// Returns the partition of a program, which for a sub-agent is that of its root.
     pub(crate) fn partition_of(&self, program: &ProgramId, root: &ProgramId) -> PartitionId {
         let count = self.settings.partition_count;
         self.partitions
@@ -33,12 +33,12 @@
             .unwrap_or_else(|| root.partition(count))
     }
 
-    /// The epoch under which this entry owns a partition, while it does.
+    /// Returns the epoch of a partition that this entry owns.
     pub(crate) fn own_epoch(&self, partition: PartitionId) -> Option<Epoch> {
         let state = self.partitions.get(partition)?;
         let owner = state.owner.as_ref()?;
-        let own = owner.vm == self.settings.vm && owner.incarnation == self.settings.incarnation;
-        (own && !state.yielded).then_some(owner.epoch)
+        let is_own = owner.vm == self.settings.vm && owner.incarnation == self.settings.incarnation;
+        (is_own && !state.yielded).then_some(owner.epoch)
     }
 
     fn is_live_entry(&self, vm: &VmId) -> bool {
@@ -47,7 +47,7 @@
             .is_some_and(|p| p.peer.role == VmRole::Entry && p.is_ready && !p.leaving)
     }
 
-    /// The count of the other entries that live.
+    /// Returns the number of other live entries.
     pub(crate) fn count_live_entries(&self) -> usize {
         self.peers
             .keys()
@@ -55,9 +55,9 @@
             .count()
     }
 
-    /// Whether calls of a partition must wait: this entry hands it over, waits for the sidecars'
-    /// reports, or was paused and has not yet read whether it still owns it.
-    fn is_held_up(&self, partition: PartitionId) -> bool {
+    /// Returns whether calls of a partition must wait: it is being handed over, sidecar reports are
+    /// missing after a takeover, or this entry was suspended and has not confirmed its ownership.
+    fn is_blocked(&self, partition: PartitionId) -> bool {
         self.yielding.contains(&partition)
             || self.taking_over.contains_key(&partition)
             || (self.is_ownership_unconfirmed && !self.journal.is_down())
@@ -73,7 +73,7 @@
             call.partition = partition;
         }
         if self.own_epoch(partition).is_some() {
-            if !self.is_held_up(partition) {
+            if !self.is_blocked(partition) {
                 self.step_dedup(now, id, out);
             }
             return;
@@ -85,22 +85,25 @@
         }
     }
 
-    /// The entry that owns a partition or should claim it; none while that is not clear.
+    /// Returns the entry that owns a partition or should claim it; `None` while the owner has no
+    /// link and has not timed out.
     pub(crate) fn target_owner(&self, now: TimeUs, partition: PartitionId) -> Option<VmId> {
         let state = self.partitions.get(partition);
         let owner = state.and_then(|state| state.owner.as_ref());
         let yielded = state.is_some_and(|state| state.yielded);
         match owner {
-            Some(owner) if !yielded && !self.is_silent(now, owner) => {
+            Some(owner) if !yielded && !self.is_owner_gone(now, owner) => {
                 self.peers.contains_key(&owner.vm).then(|| owner.vm.clone())
             }
             Some(_) | None => self.claimant(partition),
         }
     }
 
-    /// Whether an owner is really gone: its process was replaced, or nothing came from it for the
-    /// time-out. A link that only flaps is no reason to take its partitions away.
-    pub(crate) fn is_silent(&self, now: TimeUs, owner: &Owner) -> bool {
+    /// Returns whether an owner is gone: its process was replaced, or it was silent for
+    /// `takeover_us`.
+    ///
+    /// A lost link alone does not count, so that a flapping link moves no partitions.
+    pub(crate) fn is_owner_gone(&self, now: TimeUs, owner: &Owner) -> bool {
         if owner.vm == self.settings.vm {
             return owner.incarnation != self.settings.incarnation;
         }
@@ -112,7 +115,7 @@
         now.since(since_us) >= self.settings.takeover_us
     }
 
-    /// The entry that should claim a partition whose owner is gone.
+    /// Returns the entry that should claim a partition whose owner is gone.
     pub(crate) fn claimant(&self, partition: PartitionId) -> Option<VmId> {
         let others = self
             .peers
@@ -128,12 +131,12 @@
         if self.awaited.values().any(|awaited| *awaited == claiming) {
             return;
         }
-        let pace = self
+        let backoff = self
             .claim_backoffs
             .get(&partition)
             .copied()
             .unwrap_or_default();
-        if now < pace.not_before_us {
+        if now < backoff.not_before_us {
             return;
         }
         let over = self.partitions.owner(partition).map(|owner| owner.epoch);
@@ -141,7 +144,8 @@
         self.awaited.insert(id, claiming);
     }
 
-    /// Claims, without waiting for a call, the partitions of silent owners that fall to this entry.
+    /// Claims the partitions without a live owner that this entry should own, before any call needs
+    /// them.
     pub(crate) fn claim_orphaned_partitions(&mut self, now: TimeUs) {
         if self.leaving || !self.is_caught_up() || self.journal.is_down() {
             return;
@@ -153,7 +157,7 @@
                 state
                     .owner
                     .as_ref()
-                    .is_some_and(|owner| state.yielded || self.is_silent(now, owner))
+                    .is_some_and(|owner| state.yielded || self.is_owner_gone(now, owner))
             })
             .map(|(partition, _)| partition)
             .chain(self.unowned_partitions(now))
@@ -164,15 +168,16 @@
         }
     }
 
-    /// Partitions that nobody ever claimed, once this entry has had time to meet the others.
+    /// Returns the partitions that were never claimed, once `startup_claim_delay_us` has passed.
     ///
-    /// Each partition needs an owner even without programs: only owners carry snapshots forward,
-    /// and a reader that starts late can serve only when it has one of each partition.
+    /// Each partition needs an owner even without programs. Only owners write snapshots, and an
+    /// entry that starts after records have expired can serve only with a snapshot of each
+    /// partition.
     fn unowned_partitions(&self, now: TimeUs) -> Vec<PartitionId> {
-        let met = self
+        let is_delay_over = self
             .started_us
             .is_some_and(|at| now.since(at) >= self.settings.startup_claim_delay_us);
-        if !met {
+        if !is_delay_over {
             return Vec::new();
         }
         let all = (0..self.settings.partition_count).map(PartitionId);
@@ -180,23 +185,23 @@
             .collect()
     }
 
-    /// Spaces the claims on a partition that changes hands again and again.
+    /// Extends the backoff for claims of a partition whose owner has changed.
     ///
-    /// Two entries whose link is cut but that both reach the log would each take the other for
-    /// dead and claim in turn without end. Each change doubles the wait before the next, with
-    /// jitter, so that calls get through between the changes.
-    fn pace_claims(&mut self, now: TimeUs, partition: PartitionId) {
-        let pace = self.claim_backoffs.entry(partition).or_default();
-        let recent = now.since(pace.last_change_us) < PACE_MEMORY_US;
-        let changes = if recent { pace.changes + 1 } else { 1 };
-        let doublings = (changes - 1).min(MAX_PACE_DOUBLINGS);
+    /// Two entries that reach the log but not each other each consider the other dead, and would
+    /// claim in turn without end. Each change doubles the delay before the next, with jitter, so
+    /// that calls are served between the changes.
+    fn extend_claim_backoff(&mut self, now: TimeUs, partition: PartitionId) {
+        let backoff = self.claim_backoffs.entry(partition).or_default();
+        let is_recent = now.since(backoff.last_change_us) < BACKOFF_RESET_US;
+        let changes = if is_recent { backoff.changes + 1 } else { 1 };
+        let doublings = (changes - 1).min(MAX_BACKOFF_DOUBLINGS);
         let wait_us = if changes == 1 {
             0
         } else {
             self.settings.takeover_us.0 << doublings
         };
         let jitter_us = self.rng.next_u64() % (wait_us / 4 + 1);
-        *pace = ClaimBackoff {
+        *backoff = ClaimBackoff {
             changes,
             last_change_us: now,
             not_before_us: now.after(SpanUs(wait_us + jitter_us)),
@@ -218,19 +223,19 @@
         out.push(EntryAction::Send { to, message });
     }
 
-    /// A claim has come into force.
+    /// Handles a claim that has taken effect.
     pub(crate) fn on_claimed(
         &mut self,
         now: TimeUs,
         partition: PartitionId,
         out: &mut Vec<EntryAction>,
     ) {
-        self.pace_claims(now, partition);
+        self.extend_claim_backoff(now, partition);
         self.yielding.remove(&partition);
         if self.own_epoch(partition).is_some() {
             let event = Event::new(EventKind::PartitionOwned).with("partition", partition);
             out.push(EntryAction::Event(event));
-            self.start_take_over(now, partition, out);
+            self.start_takeover(now, partition, out);
             self.recover_open_calls(now, partition, out);
             self.release_recorded(now, partition, out);
         } else {
@@ -239,12 +244,12 @@
         self.retry_calls(now, partition, out);
     }
 
-    fn start_take_over(&mut self, now: TimeUs, partition: PartitionId, out: &mut Vec<EntryAction>) {
+    fn start_takeover(&mut self, now: TimeUs, partition: PartitionId, out: &mut Vec<EntryAction>) {
         let is_new = self
             .partitions
             .get(partition)
             .is_none_or(|state| state.programs.is_empty());
-        self.keep_programs(now, partition);
+        self.restore_programs(now, partition);
         let sidecars: BTreeSet<VmId> = self.sidecars().cloned().collect();
         for vm in &sidecars {
             self.send_takeover(vm, partition, out);
@@ -252,14 +257,15 @@
         if !is_new && !sidecars.is_empty() {
             let taking_over = Takeover {
                 waits_for: sidecars,
-                until_us: now.after(REPORT_WAIT_US),
+                until_us: now.after(SIDECAR_REPORT_TIMEOUT_US),
             };
             self.taking_over.insert(partition, taking_over);
         }
     }
 
-    /// Keeps the programs of a partition just taken over, so that idle ones end here too.
-    fn keep_programs(&mut self, now: TimeUs, partition: PartitionId) {
+    /// Creates the in-memory state of the programs of a partition after a takeover, so that idle
+    /// ones expire here too.
+    fn restore_programs(&mut self, now: TimeUs, partition: PartitionId) {
         let Some(state) = self.partitions.get(partition) else {
             return;
         };
@@ -300,10 +306,10 @@
         named.filter(|p| self.own_epoch(*p).is_some()).collect()
     }
 
-    /// Another entry owns the partition from now on: its calls here go there.
+    /// Drops the state of a partition that another entry owns now, and sends its calls there.
     ///
-    /// What ran is not lost: the new owner finds the calls at their sidecars and attaches to them,
-    /// and this entry only passes the answers on.
+    /// Running calls are not lost: the new owner finds them at their sidecars and attaches to them,
+    /// and this entry relays the answers.
     pub(crate) fn drop_partition(
         &mut self,
         now: TimeUs,
@@ -335,7 +341,7 @@
         }
     }
 
-    /// Sets a call back to where its owner is not known.
+    /// Resets a call to the step in which its owner is determined.
     pub(crate) fn reset_call(&mut self, id: RequestId) {
         let Some(call) = self.calls.get(&id) else {
             return;
@@ -370,20 +376,20 @@
             .filter(|(_, call)| call.partition == partition)
             .filter(|(_, call)| match call.step {
                 Step::Own => true,
-                // Passed on to an owner that this entry has replaced, who would send it back.
+                // Forwarded to an owner that this entry has replaced, which would send it back.
                 Step::Forwarded(_) => owns,
                 _ => false,
             })
             .map(|(id, _)| *id)
             .collect();
         for id in waiting {
-            self.take_back(id, out);
+            self.withdraw_forward(id, out);
             self.step_owner(now, id, out);
         }
     }
 
-    /// Tells the entry that a request was passed on to that it goes on here.
-    fn take_back(&mut self, id: RequestId, out: &mut Vec<EntryAction>) {
+    /// Withdraws a forwarded request, which continues at this entry.
+    fn withdraw_forward(&mut self, id: RequestId, out: &mut Vec<EntryAction>) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
@@ -395,10 +401,11 @@
         }
     }
 
-    /// Passes calls on anew whose owner is gone.
+    /// Forwards the calls of a lost owner again.
     ///
-    /// Also one that may not run twice: what its owner did is on record or was not done, so the
-    /// new owner finds the record by the request and fences the call instead of running it.
+    /// This is safe for non-idempotent calls too: the lost owner recorded each call before sending
+    /// it, so the new owner finds the record by the request and fences the call instead of running
+    /// it.
     pub(crate) fn on_owner_lost(&mut self, now: TimeUs, vm: &VmId, out: &mut Vec<EntryAction>) {
         let ids: Vec<RequestId> = self
             .calls
--- a/clementinepick/src/step_record.rs
+++ b/clementinepick/src/step_record.rs
@@ -1,4 +1,4 @@
-//! Puts an answered call on record and ends it.
+//! Records the answer of a call and completes the call.
 
 use crate::answer::send_part;
 use crate::call::{AnswerPart, CallDone, Payload, TurnState, Usage};
@@ -11,8 +11,8 @@
 use crate::replay::extend_chain;
 use crate::units::TimeUs;
 
-/// An answered call whose turn is to be put on record.
-pub(crate) struct Answered {
+/// An answered call that is about to be recorded.
+pub(crate) struct AnsweredCall {
     pub(crate) request: RequestId,
     pub(crate) attempt: AttemptId,
     pub(crate) target: VmId,
@@ -42,7 +42,7 @@
             call.step = Step::Record { since_us: now };
             call.done = Some(done);
         }
-        let answered = Answered {
+        let answered = AnsweredCall {
             request: id,
             attempt,
             target,
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Writes the record of an answer; false when the call leaves none.
-    fn write_answer(&mut self, answered: &Answered) -> bool {
+    /// Writes the record of an answer; returns false if the call needs none.
+    fn write_answer(&mut self, answered: &AnsweredCall) -> bool {
         let Some(call) = self.calls.get(&answered.request) else {
             return false;
         };
@@ -72,12 +72,12 @@
                 usage: done.as_ref().map_or_else(Usage::default, |done| done.usage),
             },
         };
-        let told = Some((answered.request, answered.target.clone()));
-        self.write_outcome(&key, partition, answered.attempt, outcome, told);
+        let completes = Some((answered.request, answered.target.clone()));
+        self.write_outcome(&key, partition, answered.attempt, outcome, completes);
         true
     }
 
-    fn write_turn(&mut self, answered: &Answered) -> bool {
+    fn write_turn(&mut self, answered: &AnsweredCall) -> bool {
         let id = answered.request;
         let Some(history) = self.history_of(id) else {
             return false;
@@ -114,7 +114,7 @@
         self.append_turn(partition, history.chain, turn)
     }
 
-    /// Writes the record of a turn and keeps the turn until the record has come back.
+    /// Writes the record of a turn and keeps the turn until the record is read back.
     pub(crate) fn append_turn(
         &mut self,
         partition: crate::ids::PartitionId,
@@ -148,7 +148,7 @@
         true
     }
 
-    /// The record of a turn has come back.
+    /// Completes a call whose turn record has been read back.
     pub(crate) fn on_turn_recorded(
         &mut self,
         now: TimeUs,
@@ -170,7 +170,7 @@
         self.finish(now, id, TurnState::Committed, out);
     }
 
-    /// Ends an answered call.
+    /// Sends the end of the answer and starts the next call of the program.
     pub(crate) fn finish(
         &mut self,
         now: TimeUs,
@@ -203,7 +203,7 @@
         }
     }
 
-    /// The chain of the history with the turn of a call, for a caller that appends.
+    /// Returns the chain hash of the history including a call's turn, for a caller that appends.
     fn turn_chain(&self, id: RequestId) -> Option<crate::prompt::ChainHash> {
         let call = self.calls.get(&id).filter(|call| call.records_turn())?;
         let live = self.programs.get(&call.request.program)?;
@@ -216,7 +216,7 @@
         state.turns.get(&call.seq?).map(|turn| turn.chain)
     }
 
-    /// Gives the callers that wait for the same call its end.
+    /// Sends the end of an answer to the callers that repeated the call.
     pub(crate) fn answer_followers(
         &mut self,
         leader: RequestId,
@@ -230,8 +230,9 @@
         }
     }
 
-    /// A turn's record takes long: its caller gets the end of the answer, marked as pending. The
-    /// record stays on its way, and the turn counts for the calls that follow.
+    /// Completes a call whose turn record is late, and marks the turn as pending.
+    ///
+    /// The record is still awaited, and the turn is part of the history of the calls that follow.
     pub(crate) fn finish_pending(
         &mut self,
         now: TimeUs,
@@ -243,17 +244,17 @@
         self.finish(now, id, TurnState::Pending, out);
     }
 
-    /// Whether anybody still waits for the answer.
+    /// Returns whether the caller or a repeat still waits for the answer.
     pub(crate) fn has_waiting_caller(&self, id: RequestId) -> bool {
-        let waits = self
+        let caller_waits = self
             .calls
             .get(&id)
             .is_some_and(|call| call.reply_to != ReplyTo::Nobody);
-        waits || !self.followers_of(id).is_empty()
+        caller_waits || !self.followers_of(id).is_empty()
     }
 }
 
-/// Tells a sidecar that it need not keep an answer any more.
+/// Tells a sidecar that it can discard an answer.
 pub(crate) fn send_committed(target: &VmId, attempt: AttemptId, out: &mut Vec<EntryAction>) {
     out.push(EntryAction::Send {
         to: target.clone(),
--- a/clementinepick/src/step_start.rs
+++ b/clementinepick/src/step_start.rs
@@ -1,4 +1,4 @@
-//! Puts the start of a non-idempotent call on record before it is sent.
+//! Records the start of a non-idempotent call in the log before the call is sent.
 
 use crate::call::Payload;
 use crate::call_state::{Awaited, RecordedStart, Step};
@@ -10,10 +10,10 @@
 use crate::units::TimeUs;
 
 impl Entry {
-    /// Writes the record of a call's start.
+    /// Writes the start record of a call.
     ///
-    /// Should this entry die after the call was sent, its successor finds the record and asks the
-    /// sidecar what became of the call, where it would otherwise run it a second time.
+    /// If this entry dies after the call was sent, its successor finds the record and queries the
+    /// sidecar for the outcome. Without the record it would run the call a second time.
     pub(crate) fn step_start(
         &mut self,
         now: TimeUs,
@@ -57,12 +57,12 @@
         }
     }
 
-    /// The record of a call's start has come back: the call may be sent.
+    /// Sends a call whose start record has been read back.
     pub(crate) fn on_started(&mut self, now: TimeUs, id: RequestId, out: &mut Vec<EntryAction>) {
         let Some(call) = self.calls.get(&id).filter(|call| call.step == Step::Claim) else {
             return;
         };
-        let (Some(claim), Some(seq)) = (call.recorded_start.clone(), call.seq) else {
+        let (Some(start), Some(seq)) = (call.recorded_start.clone(), call.seq) else {
             return;
         };
         let key = call.request.key(seq);
@@ -70,55 +70,64 @@
             .partitions
             .program(call.partition, &key.program)
             .and_then(|state| state.calls.get(&seq));
-        let is_ours = recorded.is_some_and(|r| r.attempt == claim.attempt && r.outcome.is_none());
-        if !is_ours {
-            // Another attempt of the call stands on record at this place, and decides.
-            let error = CallError::new(ErrorKind::OutOfOrder, format!("call {key} is on record"));
+        let is_own_attempt =
+            recorded.is_some_and(|r| r.attempt == start.attempt && r.outcome.is_none());
+        if !is_own_attempt {
+            // Another attempt is on record under this sequence number and takes precedence.
+            let error = CallError::new(
+                ErrorKind::OutOfOrder,
+                format!("another attempt of call {key} is already on record"),
+            );
             self.fail_call(now, id, error, out);
             return;
         }
-        let peer = self.peers.get(&claim.target);
-        if peer.is_some_and(|p| p.peer.incarnation == claim.incarnation && !p.leaving) {
-            self.dispatch(now, id, &claim.target, claim.attempt, out);
+        let peer = self.peers.get(&start.target);
+        if peer.is_some_and(|p| p.peer.incarnation == start.incarnation && !p.leaving) {
+            self.dispatch(now, id, &start.target, start.attempt, out);
             return;
         }
-        let error = CallError::new(ErrorKind::NoBackend, "the backend server went away");
+        let error = CallError::new(
+            ErrorKind::NoBackend,
+            "the backend server left before the call was sent",
+        );
         self.revoke_start(id, &error);
         if let Some(call) = self.calls.get_mut(&id) {
-            call.tried.insert(claim.target);
+            call.tried.insert(start.target);
         }
         self.step_route(now, id, out);
     }
 
-    /// Puts on record that a claimed call did not run and never will.
+    /// Revokes the start record of a call that did not run and never will.
     ///
-    /// A start that has not left for the log yet is taken back. One whose append may still take
-    /// effect is followed by its end in the same stream; and it is never sent from here again, so
-    /// what the caller is told at once stays true.
+    /// A record that has not been sent to the log yet is retracted. One whose append may still take
+    /// effect is followed by the record of its end in the same stream. The attempt is never sent
+    /// from here again, so the caller can be told at once that the call did not run.
     pub(crate) fn revoke_start(&mut self, id: RequestId, error: &CallError) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        let (Some(claim), Some(seq)) = (call.recorded_start.take(), call.seq) else {
+        let (Some(start), Some(seq)) = (call.recorded_start.take(), call.seq) else {
             return;
         };
         let (key, partition) = (call.request.key(seq), call.partition);
-        self.awaited.remove(&claim.record);
-        if self.journal.retract(claim.record) {
+        self.awaited.remove(&start.record);
+        if self.journal.retract(start.record) {
             return;
         }
         let outcome = CallOutcome::NeverRan(error.clone());
-        self.write_outcome(&key, partition, claim.attempt, outcome, None);
+        self.write_outcome(&key, partition, start.attempt, outcome, None);
     }
 
-    /// Puts the outcome of a non-idempotent call on record.
+    /// Writes the record of the outcome of a non-idempotent call.
+    ///
+    /// `completes` is the request to complete and the sidecar to notify once it is read back.
     pub(crate) fn write_outcome(
         &mut self,
         call: &CallKey,
         partition: crate::ids::PartitionId,
         attempt: AttemptId,
         outcome: CallOutcome,
-        told: Option<(RequestId, VmId)>,
+        completes: Option<(RequestId, VmId)>,
     ) {
         let entry = OwnedRecord::CallEnded {
             call: call.clone(),
@@ -128,7 +137,7 @@
         let Some(record) = self.write_owned(partition, entry) else {
             return;
         };
-        let awaited = match told {
+        let awaited = match completes {
             Some((request, target)) => Awaited::Ended {
                 request,
                 target,
@@ -140,7 +149,7 @@
     }
 }
 
-/// The digest of a payload, to tell a repeat from another request.
+/// Returns the digest of a payload, which distinguishes a repeat from another request.
 pub(crate) fn digest(payload: &Payload) -> ChainHash {
     match payload {
         Payload::Chat(chat) => chat
@@ -155,12 +164,13 @@
     }
 }
 
-/// The digest of what a call brings that the one before it did not.
+/// Returns the digest of the messages after the last answer in a transcript; for a plain call, of
+/// the whole payload.
 pub(crate) fn digest_new_messages(payload: &Payload) -> ChainHash {
     let Payload::Chat(chat) = payload else {
         return digest(payload);
     };
     let answered = chat.messages.iter().rposition(|m| m.role == "assistant");
-    let news = &chat.messages[answered.map_or(0, |at| at + 1)..];
-    crate::replay::extend_chain(ChainHash::default(), news)
+    let new_messages = &chat.messages[answered.map_or(0, |at| at + 1)..];
+    crate::replay::extend_chain(ChainHash::default(), new_messages)
 }
