--- a/clementinepick/tests/at_most_once.rs
+++ b/clementinepick/tests/at_most_once.rs
@@ -1,4 +1,4 @@
-//! Calls that may not run twice, while owners, sidecars, links and the log fail.
+//! Tests that non-idempotent calls run at most once while owners, sidecars, links and the log fail.
 
 mod common;
 
@@ -14,11 +14,11 @@
     keyed(KEY, post(name, "/hold", "seat 7"))
 }
 
-fn started(entry: &OwnedRecord) -> bool {
+fn is_call_started(entry: &OwnedRecord) -> bool {
     matches!(entry, OwnedRecord::CallStarted { .. })
 }
 
-fn ended(entry: &OwnedRecord) -> bool {
+fn is_call_ended(entry: &OwnedRecord) -> bool {
     matches!(entry, OwnedRecord::CallEnded { .. })
 }
 
@@ -27,7 +27,7 @@
     String::from_utf8(plain.body).expect("text")
 }
 
-/// A world with a program whose owner is `e1`, and a first call done.
+/// Creates a world with a program that `e1` owns, after a first call.
 fn with_owner() -> (World, String) {
     let mut world = World::new(3, 1, 1);
     let name = world.program_of("e1", "p");
@@ -38,8 +38,8 @@
     (world, name)
 }
 
-// The caller sees its answer, a little late. The owner dies with the request in hand and nothing
-// on record; the entry that passed it on sends it to the next owner, which runs it, once.
+// The owner dies with a request that is not on record. The forwarding entry must send the request
+// to the next owner, which runs it once.
 #[test]
 fn owner_killed_before_the_call_is_on_record() {
     let (mut world, name) = with_owner();
@@ -51,25 +51,24 @@
     let answer = world.wait(id);
     assert_eq!(answer.code(), "done", "{:?}", answer.failed);
     assert_eq!(world.runs(), ["/hold seat 7"]);
-    assert_eq!(world.count(started), 1);
+    assert_eq!(world.count(is_call_started), 1);
 }
 
-// The caller sees its answer. The owner dies after the start is in the log and before it sends the
-// call on; the next owner asks the sidecar, which never saw the call and fences it. So the call
-// may run anew, and does, once.
+// The owner dies after it recorded the start and before it sent the call. The sidecar never saw the
+// call and fences it, so that the next owner can run it once.
 #[test]
 fn owner_killed_between_the_record_and_the_dispatch() {
     let (mut world, name) = with_owner();
     world.lose = |message| matches!(message, Message::Dispatch(_));
     let id = world.call("e0", hold(&name));
-    world.run_until(1_000, "the start", |w| w.count(started) == 1);
+    world.run_until(1_000, "the start", |w| w.count(is_call_started) == 1);
     world.run_ms(20);
     world.kill("e1");
     world.lose = |_| false;
     let answer = world.wait(id);
     assert_eq!(answer.code(), "done", "{:?}", answer.failed);
     assert_eq!(world.runs(), ["/hold seat 7"]);
-    assert_eq!(world.count(started), 2);
+    assert_eq!(world.count(is_call_started), 2);
     assert_eq!(
         world.count(|e| matches!(
             e,
@@ -82,8 +81,8 @@
     );
 }
 
-// The caller sees the answer of the one run. The owner dies while the call runs; the next owner
-// finds the start on record, asks the sidecar, attaches to the run and passes its answer on.
+// The owner dies while the call runs. The next owner must find the start record, attach to the run
+// at the sidecar and relay its answer instead of running the call again.
 #[test]
 fn owner_killed_while_the_call_runs() {
     let (mut world, name) = with_owner();
@@ -97,8 +96,8 @@
     assert_eq!(world.runs(), ["/hold seat 7"]);
 }
 
-// The caller sees the answer of the one run. The owner dies after the backend server answered and
-// before the outcome is in the log; the sidecar still has the answer and the next owner fetches it.
+// The owner dies after the backend server answered and before the outcome is in the log. The next
+// owner must fetch the answer from the sidecar instead of running the call again.
 #[test]
 fn owner_killed_after_the_answer_and_before_its_record() {
     let (mut world, name) = with_owner();
@@ -113,12 +112,11 @@
     let answer = world.wait(id);
     assert_eq!(answer.code(), "done", "{:?}", answer.failed);
     assert_eq!(world.runs(), ["/hold seat 7"]);
-    assert_eq!(world.count(ended), 1);
+    assert_eq!(world.count(is_call_ended), 1);
 }
 
-// The caller is told that the outcome is not known, and a repeat is told the same; the call is
-// never run again. The sidecar's process dies while the call runs, and with it all that anyone
-// could know of the call.
+// The sidecar's process dies while the call runs, so the outcome can't be determined. The caller
+// and a repeat must get `outcome_unknown`, and the call must not run again.
 #[test]
 fn sidecar_restarted_with_the_call_open() {
     let (mut world, name) = with_owner();
@@ -134,8 +132,8 @@
     assert_eq!(world.runs(), ["/hold seat 7"]);
 }
 
-// The caller sees its answer. The link between owner and sidecar breaks while the call runs and
-// comes back; the owner asks what became of the call and attaches, where a new try would double it.
+// The link between owner and sidecar is lost while the call runs and comes back. The owner must
+// attach to the run, since a retry would run the call twice.
 #[test]
 fn link_to_the_sidecar_lost_while_the_call_runs() {
     let (mut world, name) = with_owner();
@@ -149,8 +147,8 @@
     assert_eq!(world.runs(), ["/hold seat 7"]);
 }
 
-// The caller is told at its deadline that the outcome is not known; once the link is back a repeat
-// gets the answer of the one run. The link between owner and sidecar stays cut over the deadline.
+// The link between owner and sidecar stays cut past the deadline. The caller must get
+// `outcome_unknown`, and a repeat after the link is back the answer of the single run.
 #[test]
 fn link_to_the_sidecar_lost_over_the_deadline() {
     let (mut world, name) = with_owner();
@@ -167,10 +165,10 @@
     assert_eq!(world.runs(), ["/hold seat 7"]);
 }
 
-// Both callers see the same answer. The second request comes in at another entry while the first
-// call runs; it carries the same key and waits for the first one's answer.
+// A second request with the same key arrives at another entry while the first call runs. It must
+// wait for the answer of the first instead of running.
 #[test]
-fn a_repeat_at_another_entry_while_the_first_call_runs() {
+fn a_repeat_at_another_entry_gets_the_answer_of_the_running_call() {
     let (mut world, name) = with_owner();
     world.backend("b0").delay_us = None;
     let first = world.call("e0", hold(&name));
@@ -185,7 +183,7 @@
     assert_eq!(world.runs(), ["/hold seat 7"]);
 }
 
-// The caller sees `key_reused`: it sent another request under a key that is taken.
+// A different request under a key that is in use must be refused, not answered or run.
 #[test]
 fn another_body_under_a_known_key_is_refused() {
     let (mut world, name) = with_owner();
@@ -196,8 +194,8 @@
     assert_eq!(world.runs(), ["/hold seat 7"]);
 }
 
-// Both requests of a caller without a program see one answer: the key alone leads the second one
-// to the record of the first, at another entry and after its program has ended.
+// A caller without a program repeats a request at another entry after the program of the first one
+// has ended. The key alone must lead to the record of the first.
 #[test]
 fn a_repeat_without_a_program_finds_the_first_call() {
     let (mut world, _) = with_owner();
@@ -219,9 +217,9 @@
     assert_eq!(world.runs(), ["/hold seat 7"]);
 }
 
-// A caller without a program is refused as not run during an outage; its repeat runs afterwards.
+// A call without a program that was refused as not run during an outage must run when repeated.
 #[test]
-fn a_refused_call_without_a_program_may_come_again() {
+fn a_refused_call_without_a_program_may_be_repeated() {
     let (mut world, _) = with_owner();
     world.log.mode = LogMode::Down;
     let single = |id| clementinepick::call::Request {
@@ -238,11 +236,10 @@
     assert_eq!(world.runs(), ["/hold seat 7"]);
 }
 
-// The caller sees its answer from the second backend server. The first one is leaving and refuses
-// the call unsent, since its entries have not heard of it yet; that the call did not run goes on
-// record before it is tried elsewhere under a new start.
+// A leaving sidecar refuses the call before its entries know that it leaves. That the call did not
+// run must be recorded before it is sent to the second backend server under a new start record.
 #[test]
-fn a_call_refused_at_the_gate_is_tried_elsewhere() {
+fn a_call_refused_by_a_leaving_sidecar_is_sent_elsewhere() {
     let mut world = World::new(2, 1, 2);
     let name = world.program_of("e1", "p");
     let id = world.call("e0", post(&name, "/check", "free?"));
@@ -261,11 +258,11 @@
     assert_eq!(answer.code(), "done", "{:?}", answer.failed);
     assert_eq!(world.backend("b1").runs, ["/hold seat 7"]);
     assert_eq!(world.runs(), ["/hold seat 7"]);
-    assert_eq!(world.count(started), 3);
+    assert_eq!(world.count(is_call_started), 3);
 }
 
-// The caller is refused at its deadline, as not run, and told when to come back; the call never
-// runs, also when the log is back and the append that was on its way takes effect after all.
+// The log is down until the deadline, so the caller is told that the call did not run. The call
+// must not run later either, even if the outstanding append still takes effect.
 #[test]
 fn log_down_until_the_deadline() {
     for mode in [LogMode::Down, LogMode::AnswersLost, LogMode::AppendsLost] {
@@ -286,8 +283,8 @@
     }
 }
 
-// The caller sees its answer. Both the owner and, while it takes over, the next owner die; the
-// third one fences the call just the same.
+// The owner dies, and the next owner dies during its takeover. The third owner must fence the call
+// as well instead of running it again.
 #[test]
 fn a_second_owner_dies_during_the_recovery_from_the_first() {
     let (mut world, name) = with_owner();
@@ -295,10 +292,10 @@
     let id = world.call("e0", hold(&name));
     world.run_until(1_000, "the run", |w| !w.runs().is_empty());
     world.kill("e1");
-    world.run_until(5_000, "a take-over", |w| w.owner_of(&name).is_some());
+    world.run_until(5_000, "a takeover", |w| w.owner_of(&name).is_some());
     let second = world.owner_of(&name).expect("an owner");
     if second == "e0" {
-        // The entry of the caller is gone with it: the caller repeats at the last one.
+        // The caller's entry is the second owner and dies, so the caller repeats at the last entry.
         world.kill("e0");
         let repeat = world.call("e2", hold(&name));
         assert_eq!(world.wait(repeat).code(), "done");
@@ -309,8 +306,8 @@
     assert_eq!(world.runs(), ["/hold seat 7"]);
 }
 
-// The caller sees its answer. The sidecar dies while the next owner asks it what became of the
-// call that the first owner had sent: nobody can tell any more, and the call is not run again.
+// The sidecar dies while the next owner queries it for the outcome of a call of the first owner.
+// The caller must get `outcome_unknown`, and the call must not run again.
 #[test]
 fn the_sidecar_dies_during_the_recovery_of_its_owner() {
     let (mut world, name) = with_owner();
@@ -318,7 +315,7 @@
     let id = world.call("e0", hold(&name));
     world.run_until(1_000, "the run", |w| !w.runs().is_empty());
     world.kill("e1");
-    world.run_until(5_000, "a take-over", |w| w.owner_of(&name).is_some());
+    world.run_until(5_000, "a takeover", |w| w.owner_of(&name).is_some());
     world.kill("b0");
     world.start("b0");
     let answer = world.wait(id);
@@ -326,8 +323,8 @@
     assert_eq!(world.runs(), ["/hold seat 7"]);
 }
 
-// The caller sees one answer and the log one effect of each record, whichever append's answer is
-// lost: the opening of a program, a slice, a start, an end, a turn, a program's end, a claim.
+// The answer to one append is lost, for each kind of record in turn. The append is retried, and
+// each record must still take effect exactly once.
 #[test]
 fn the_answer_of_each_kind_of_append_is_lost() {
     for lost_from in 0..12 {
@@ -360,7 +357,7 @@
         let runs = world.runs();
         let holds = runs.iter().filter(|run| run.starts_with("/hold")).count();
         assert_eq!(holds, 1, "append {lost_from}");
-        assert_eq!(world.count(started), 1);
+        assert_eq!(world.count(is_call_started), 1);
         assert_eq!(
             world.count(|e| matches!(e, OwnedRecord::TurnAdded { .. })),
             2
@@ -372,11 +369,10 @@
     }
 }
 
-// The caller sees one answer. A sidecar that was cut off from the new owner still takes what the
-// paused old owner sends; what was on record before the claim is fenced, and what was not is
-// refused by the log's order.
+// The owner is suspended while another entry takes over. When it resumes it must not run the call a
+// second time: calls on record before the claim are fenced, and later records of its own are stale.
 #[test]
-fn an_owner_paused_over_a_take_over_runs_nothing_when_it_wakes() {
+fn an_owner_paused_over_a_take_over_runs_nothing_when_it_resumes() {
     let (mut world, name) = with_owner();
     world.pause("e1");
     let id = world.call("e0", hold(&name));
@@ -389,8 +385,8 @@
     assert!(world.is_alive(vm("e1").as_str()));
 }
 
-// The caller sees the whole answer. The owner answers while the link to the caller's entry is cut;
-// when the link is back the entry asks again, and gets also the part that was lost with the link.
+// The owner answers while the link to the caller's entry is cut. The entry must forward the request
+// again when the link is back, so that the caller gets the whole answer.
 #[test]
 fn an_answer_lost_between_entries_is_sent_again() {
     let (mut world, name) = with_owner();
--- a/clementinepick/tests/ownership.rs
+++ b/clementinepick/tests/ownership.rs
@@ -1,4 +1,4 @@
-//! Ownership of partitions: claims, take-overs, hand-overs.
+//! Tests the ownership of partitions: claims, takeovers and hand-overs.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use clementinepick::record::{OwnedRecord, RecordBody};
 use common::{LogMode, World, at, chat, post, program, vm};
 
-fn claims(world: &World) -> usize {
+fn count_claims(world: &World) -> usize {
     let records = world.records();
     let claims = records
         .iter()
@@ -16,7 +16,7 @@
     claims.count()
 }
 
-fn owned_by(world: &mut World, entry: &str) -> String {
+fn program_owned_by(world: &mut World, entry: &str) -> String {
     let name = world.program_of(entry, "p");
     let id = world.call("e0", chat(&name, &["hi"]));
     assert_eq!(world.wait(id).code(), "done");
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_call_is_answered_whichever_entry_it_comes_in_at() {
+fn a_call_is_answered_at_every_entry() {
     let mut world = World::new(3, 2, 1);
     let ids = ["e0", "e1", "e2"].map(|e| world.call(e, chat(&format!("p-{e}"), &["hi"])));
     for id in ids {
@@ -37,30 +37,29 @@
     assert_eq!(answer.plain.expect("a body").body, b"/hold run 1");
 }
 
-// Both callers see their answers. Two entries that can't see each other claim the partition of
-// their programs at once; the log has both claims, the first one holds, and the other entry's call
-// waits until it can reach the owner.
+// Two entries without a link claim the same partition at once. Only the first claim in the log may
+// take effect, and the call of the other entry must wait until it can reach the owner.
 #[test]
-fn two_entries_claim_at_once() {
+fn the_first_of_two_simultaneous_claims_holds() {
     let mut world = World::new(2, 1, 1);
     world.cut("e0", "e1");
     world.run_ms(50);
     let first = world.call("e0", at(0, post("p", "/hold", "one")));
     let second = world.call("e1", at(1, post("p", "/hold", "two")));
     world.run_ms(500);
-    assert_eq!(claims(&world), 2);
+    assert_eq!(count_claims(&world), 2);
     world.mend("e0", "e1");
     assert_eq!(world.wait(first).code(), "done");
     assert_eq!(world.wait(second).code(), "done");
     assert_eq!(world.runs(), ["/hold one", "/hold two"]);
 }
 
-// The callers see their answers, each its own. The owner is paused while its call runs and another
-// takes over; when it wakes, its records are void and its calls already belong to the other.
+// The owner is suspended while its call runs, and another entry takes over. When it resumes, its
+// records are stale, and it must not answer from its outdated state.
 #[test]
-fn an_owner_paused_over_a_take_over_answers_nothing_from_old_state() {
+fn an_owner_paused_over_a_take_over_answers_nothing_from_outdated_state() {
     let mut world = World::new(3, 1, 1);
-    let name = owned_by(&mut world, "e1");
+    let name = program_owned_by(&mut world, "e1");
     world.backend("g0").delay_us = Some(3_000_000);
     let id = world.call("e0", chat(&name, &["hi", "re: hi", "more"]));
     world.run_ms(100);
@@ -79,12 +78,12 @@
     assert_eq!(world.runs(), ["hi", "more", "last"]);
 }
 
-// The caller sees its stream go on without a break or a repeat. The owner dies in the middle; the
-// next one attaches to the run at its sidecar and the entry passes on only what the caller lacks.
+// The owner dies in the middle of a stream. The next owner must attach to the run at its sidecar,
+// and the caller must get the rest of the stream without missing or repeated text.
 #[test]
 fn a_stream_goes_on_over_its_owners_death() {
     let mut world = World::new(3, 2, 1);
-    let name = owned_by(&mut world, "e1");
+    let name = program_owned_by(&mut world, "e1");
     for backend in world.backends.values_mut() {
         backend.delay_us = Some(8_000_000);
     }
@@ -101,18 +100,18 @@
     assert_eq!(world.runs(), ["hi", "a long story"]);
 }
 
-// The next caller finds an owner at once. An owner dies while no call comes; the entry that falls
-// heir notices by itself, claims all its partitions in one append, and no other entry claims.
+// An owner dies while there are no calls. Its successor must claim the partition without waiting
+// for a call, and no other entry may claim it, so that the next call finds an owner at once.
 #[test]
 fn partitions_of_a_dead_owner_are_claimed_without_a_call() {
     let mut world = World::new(3, 1, 1);
-    let name = owned_by(&mut world, "e1");
-    let before = claims(&world);
+    let name = program_owned_by(&mut world, "e1");
+    let before = count_claims(&world);
     world.kill("e1");
     world.run_ms(3_000);
     let owner = world.owner_of(&name).expect("an owner");
     assert_ne!(owner, "e1");
-    assert_eq!(claims(&world), before + 1);
+    assert_eq!(count_claims(&world), before + 1);
     let id = world.call("e0", chat(&name, &["hi", "re: hi", "again"]));
     let asked_us = world.now_us;
     let answer = world.wait(id);
@@ -120,13 +119,13 @@
     assert!(answer.at_us - asked_us < 300_000);
 }
 
-// Nobody notices. A link between entries breaks and comes back within the time-out: no partition
-// changes hands.
+// A link between entries is lost and comes back within the timeout. No partition may change its
+// owner.
 #[test]
-fn a_flapping_link_moves_nothing() {
+fn a_flapping_link_moves_no_partition() {
     let mut world = World::new(3, 1, 1);
-    let name = owned_by(&mut world, "e1");
-    let before = claims(&world);
+    let name = program_owned_by(&mut world, "e1");
+    let before = count_claims(&world);
     for _ in 0..5 {
         world.cut("e0", "e1");
         world.cut("e2", "e1");
@@ -135,30 +134,30 @@
         world.mend("e2", "e1");
         world.run_ms(600);
     }
-    assert_eq!(claims(&world), before);
+    assert_eq!(count_claims(&world), before);
     assert_eq!(world.owner_of(&name).as_deref(), Some("e1"));
 }
 
-// Callers at both entries get answers between the changes. Two entries reach the log and not each
-// other, and each takes the other for dead; the claims do not follow each other without end.
+// Two entries reach the log but not each other, and each considers the other dead. Without a
+// backoff they would claim in turn without end.
 #[test]
-fn two_entries_that_cannot_see_each_other_do_not_claim_in_a_storm() {
+fn two_entries_that_cannot_see_each_other_limit_their_claims() {
     let mut world = World::new(2, 1, 1);
-    let name = owned_by(&mut world, "e1");
-    let before = claims(&world);
+    let name = program_owned_by(&mut world, "e1");
+    let before = count_claims(&world);
     world.cut("e0", "e1");
     world.run_ms(60_000);
-    let changes = claims(&world) - before;
+    let changes = count_claims(&world) - before;
     assert!((1..=12).contains(&changes), "{changes} claims in a minute");
     assert!(world.owner_of(&name).is_some());
 }
 
-// The callers see no failure. An entry leaves while a call runs: the call ends, the partition is
-// handed over on record, and a call that came in meanwhile is answered by the successor.
+// An entry shuts down while a call runs. The call must complete before the partition is handed
+// over, and the successor must answer a call that arrived in the meantime.
 #[test]
-fn shutdown_hands_partitions_over_and_cuts_nothing_off() {
+fn shutdown_hands_partitions_over_without_failing_calls() {
     let mut world = World::new(3, 1, 1);
-    let name = owned_by(&mut world, "e1");
+    let name = program_owned_by(&mut world, "e1");
     world.backend("g0").delay_us = Some(1_000_000);
     let running = world.call("e1", chat(&name, &["hi", "re: hi", "more"]));
     world.run_ms(100);
@@ -177,37 +176,33 @@
     let asked_us = world.now_us;
     let answer = world.wait(next);
     assert_eq!(answer.code(), "done");
-    assert!(
-        answer.at_us - asked_us < 1_500_000,
-        "no wait for a time-out"
-    );
+    assert!(answer.at_us - asked_us < 1_500_000, "waited for a timeout");
 }
 
-// The callers are told in time. Both the owner and the log are gone, and nobody can claim. A call
-// that had been passed on to the owner may have run for all that anyone can tell; one that came
-// later waits to its deadline and is refused as not run.
+// Both the owner and the log are lost, so no entry can claim. A call that was forwarded to the
+// owner may have run and must end as `outcome_unknown`; a later one must be refused as not run.
 #[test]
 fn without_owner_and_log_a_call_is_refused_at_its_deadline() {
     let mut world = World::new(3, 1, 1);
-    let name = owned_by(&mut world, "e1");
+    let name = program_owned_by(&mut world, "e1");
     world.log.mode = LogMode::Down;
     world.kill("e1");
-    let passed_on = world.call("e0", common::within_ms(3_000, post(&name, "/hold", "w")));
+    let forwarded = world.call("e0", common::within_ms(3_000, post(&name, "/hold", "w")));
     world.run_ms(10);
     let late = world.call("e0", common::within_ms(3_000, post(&name, "/hold", "x")));
-    assert_eq!(world.wait(passed_on).code(), "outcome_unknown");
+    assert_eq!(world.wait(forwarded).code(), "outcome_unknown");
     assert_eq!(world.wait(late).code(), "owner_unknown");
     world.log.mode = LogMode::Up;
     world.run_ms(5_000);
     assert!(!world.runs().contains(&"/hold x".to_owned()));
 }
 
-// The caller sees its answer, run once at most by each owner. The fence of a new owner is lost on
-// the way with its link; it is asked again.
+// The fence message of a new owner is lost. It must be sent again, or the call would never be
+// resolved.
 #[test]
 fn a_lost_fence_is_sent_again() {
     let mut world = World::new(3, 1, 1);
-    let name = owned_by(&mut world, "e1");
+    let name = program_owned_by(&mut world, "e1");
     world.backend("b0").delay_us = Some(9_000_000);
     let id = world.call("e0", post(&name, "/hold", "x"));
     world.run_until(2_000, "the run", |w| w.runs().len() == 2);
@@ -221,7 +216,7 @@
     assert_eq!(world.runs(), ["/hold x", "hi"]);
 }
 
-// An entry that joins gets its share without a failure: idle partitions are handed to it.
+// Idle partitions must be handed over to an entry that joins, without failing calls.
 #[test]
 fn an_entry_that_joins_gets_its_partitions() {
     let mut world = World::new(2, 1, 1);
@@ -244,10 +239,11 @@
     assert!(partition.0 < 8 && world.is_alive(vm("e2").as_str()));
 }
 
-// The caller sees its calls run in order. A sidecar is paused with a call in its hands; the owner
-// sends the call elsewhere and goes on with later ones; the sidecar wakes and must not start it.
+// A sidecar is suspended with a call that it has not started, and the owner sends the call
+// elsewhere and continues with later ones. When it resumes, the sidecar must not start the call out
+// of order.
 #[test]
-fn a_paused_sidecar_does_not_start_what_went_elsewhere() {
+fn a_suspended_sidecar_does_not_start_a_call_that_was_sent_elsewhere() {
     let mut world = World::new(2, 2, 1);
     let first = world.call("e0", chat("p", &["a"]));
     world.wait(first);
