--- a/clementinepick/src/sequencer.rs
+++ b/clementinepick/src/sequencer.rs
@@ -144,7 +144,7 @@
     /// Removes and returns the calls that have waited at least `gap_us` for an earlier one.
     ///
     /// After a takeover the earlier call may have run without a record. Then the first waiting call
-    /// may start instead, and a call that arrives later for an earlier number is out of sequencer.
+    /// may start instead, and a call that arrives later for an earlier number is out of order.
     pub fn take_overdue(&mut self, now: TimeUs, gap_us: SpanUs) -> Vec<RequestId> {
         if self.running.is_some() || self.waiting.contains_key(&self.next) {
             return Vec::new();
--- a/clementinepick/src/step_sequence.rs
+++ b/clementinepick/src/step_sequence.rs
@@ -208,7 +208,7 @@
     /// Counts identical calls in a row and returns whether they exceed `max_repeats`.
     ///
     /// An agent that keeps sending the same call makes no progress, and without a limit would go on
-    /// until its whole budget is spent.
+    /// until its whole budget is exhausted.
     fn detect_loop(&mut self, id: RequestId) -> bool {
         let Some(call) = self.calls.get(&id) else {
             return false;
