--- a/clementinepick/src/answer.rs
+++ b/clementinepick/src/answer.rs
@@ -32,7 +32,7 @@
     ) {
         let attempt = reply.attempt;
         let Some(id) = self.attempts.get(&attempt).copied() else {
-            self.on_open_reply(now, from, reply, out);
+            self.on_open_call_reply(now, from, reply, out);
             return;
         };
         match reply.part {
@@ -93,7 +93,7 @@
             && let Step::Running { attempt, target } = call.step.clone()
         {
             self.end_attempt(attempt, false);
-            self.settle_whole(id);
+            self.settle_full_reservation(id);
             out.push(EntryAction::Send {
                 to: target,
                 message: Message::Cancel { attempt },
@@ -229,7 +229,7 @@
         if is_claimed {
             self.revoke_start(id, &error);
         }
-        if self.is_retryable(id, &error, started) && self.take_retry(id, &error) {
+        if self.is_retryable(id, &error, started) && self.withdraw_retry(id, &error) {
             let event = Event::new(EventKind::CallRetried).with("request", id);
             out.push(EntryAction::Event(event.with("error", &error)));
             self.step_budget(now, id, out);
@@ -281,7 +281,7 @@
     ///
     /// Calls that a backend server refuses because it shuts down are exempt. Otherwise a planned
     /// shutdown would fail them when the budget is empty.
-    fn take_retry(&mut self, id: RequestId, error: &CallError) -> bool {
+    fn withdraw_retry(&mut self, id: RequestId, error: &CallError) -> bool {
         let Some(call) = self.calls.get(&id) else {
             return false;
         };
@@ -292,7 +292,7 @@
             .retry_budgets
             .entry(call.request.service.clone())
             .or_default();
-        budget.take()
+        budget.try_withdraw()
     }
 
     /// Records the outcome of a non-idempotent call that failed after it was sent, and fails it.
@@ -343,7 +343,7 @@
             return;
         };
         let error = correct_not_run(call, error);
-        let is_not_run = error.kind.answer().not_run == NotRun::Yes;
+        let is_not_run = error.kind.response().not_run == NotRun::Yes;
         if is_not_run && call.recorded_start.is_some() {
             self.revoke_start(id, &error);
         }
@@ -354,7 +354,7 @@
         // The sequence number of a call that may be sent again is reopened, if the caller chose it.
         // Otherwise no repeat would use it, and later calls would wait for it in vain.
         let is_cancelled = error.kind == ErrorKind::Cancelled;
-        let repeat_safe = error.kind.answer().repeat_safe || is_cancelled;
+        let repeat_safe = error.kind.response().repeat_safe || is_cancelled;
         let may_be_repeated = is_not_run || (call.idempotent && repeat_safe);
         let may_reopen = may_be_repeated && call.request.seq.is_some();
         // A call with an idempotency key that did not run may be repeated, and its program must
@@ -556,7 +556,7 @@
 /// A refusal of a non-idempotent call that is based on its record remains valid; the kinds replaced
 /// here are issued before the record is consulted.
 fn correct_not_run(call: &Call, error: CallError) -> CallError {
-    if !call.may_have_run || error.kind.answer().not_run != NotRun::Yes {
+    if !call.may_have_run || error.kind.response().not_run != NotRun::Yes {
         return error;
     }
     let kind = match error.kind {
@@ -571,7 +571,7 @@
 
 /// Returns an error that reports the call as not run, for an attempt that was never started.
 fn to_not_run_error(error: CallError) -> CallError {
-    if error.kind.answer().not_run == NotRun::Yes {
+    if error.kind.response().not_run == NotRun::Yes {
         return error;
     }
     CallError::new(ErrorKind::NoBackend, error.detail)
--- a/clementinepick/src/entry.rs
+++ b/clementinepick/src/entry.rs
@@ -21,10 +21,10 @@
 use crate::journal::{AppendOutcome, Journal, JournalAction, JournalSettings};
 use crate::membership::{Membership, MembershipSettings};
 use crate::message::{Message, Peer};
-use crate::placement::Placement;
-use crate::platform::{ReadAnswer, StreamName, Vm, VmRole};
+use crate::partition_replay::Partitions;
+use crate::placement::PlacementPlanner;
+use crate::platform::{ReadResponse, StreamName, Vm, VmRole};
 use crate::record::EndReason;
-use crate::replay::Partitions;
 use crate::retry::RetryBudget;
 use crate::route::{RouteSettings, Router};
 use crate::safeguards::Safeguards;
@@ -125,7 +125,7 @@
         /// The stream.
         stream: StreamName,
         /// The answer; `None` if the read failed.
-        answer: Option<ReadAnswer>,
+        answer: Option<ReadResponse>,
     },
     /// An append to the log has ended.
     LogAppended {
@@ -193,7 +193,7 @@
     pub(crate) engines_without_model: BTreeMap<(ServiceName, ModelName), BTreeSet<VmId>>,
     pub(crate) next_orders_us: TimeUs,
     /// The placement of the services that this entry decides.
-    pub(crate) placements: BTreeMap<ServiceName, Placement>,
+    pub(crate) placements: BTreeMap<ServiceName, PlacementPlanner>,
     /// Decider claims of this entry that have not been read back.
     pub(crate) decider_claims: BTreeMap<ServiceName, RecordId>,
     pub(crate) decider_backoffs: BTreeMap<ServiceName, DeciderBackoff>,
@@ -307,7 +307,7 @@
             EntryInput::CallerGone(request) => self.on_caller_gone(now, request, out),
             EntryInput::Fetch(fetch) => self.on_fetch(now, &fetch, &ReplyTo::Caller, 0, out),
             EntryInput::EndProgram { program, reason } => {
-                self.ask_end(now, program, reason, out);
+                self.request_program_end(now, program, reason, out);
             }
             EntryInput::LinkUp(peer) => self.on_link_up(now, &peer, out),
             EntryInput::LinkDown(vm) => self.on_link_down(now, &vm, out),
@@ -328,7 +328,7 @@
                 out.push(EntryAction::Event(Event::new(EventKind::ShutdownStarted)));
                 self.next_heartbeat_us = now;
             }
-            EntryInput::Force => self.force(now, out),
+            EntryInput::Force => self.force_shutdown(now, out),
         }
         self.poll_log(now, out);
     }
@@ -345,7 +345,7 @@
             return;
         }
         self.is_ownership_unconfirmed = true;
-        self.confirmed_at_read = self.journal.read_now(now);
+        self.confirmed_at_read = self.journal.schedule_read(now);
         for peer in self.peers.values_mut() {
             peer.heard_us = now;
         }
@@ -363,10 +363,10 @@
     #[must_use]
     pub fn is_caught_up(&self) -> bool {
         self.config.is_complete()
-            && self.config_journal.caught_up()
-            && self.journal.caught_up()
+            && self.config_journal.has_caught_up()
+            && self.journal.has_caught_up()
             && (0..self.settings.partition_count)
-                .all(|partition| self.partitions.is_whole(PartitionId(partition)))
+                .all(|partition| self.partitions.is_complete(PartitionId(partition)))
     }
 
     /// Returns whether the load balancer should send requests here.
@@ -375,7 +375,7 @@
         self.is_caught_up() && !self.leaving
     }
 
-    /// Returns the document revisions in force at this entry.
+    /// Returns the revision of the active document of each service.
     #[must_use]
     pub fn revisions(&self) -> BTreeMap<ServiceName, Revision> {
         self.config.revisions()
--- a/clementinepick/src/links.rs
+++ b/clementinepick/src/entry_links.rs
@@ -64,7 +64,7 @@
                 calls,
             } => {
                 if self.own_epoch(partition) == Some(epoch) {
-                    self.on_kept(now, &from, partition, calls, out);
+                    self.on_kept_calls(now, &from, partition, calls, out);
                 }
             }
             Message::FenceReply {
@@ -120,7 +120,7 @@
             leaving: false,
             revisions: None,
             lacks_documents: true,
-            confirmed_by_read: self.config_journal.read_now(now),
+            confirmed_by_read: self.config_journal.schedule_read(now),
             sent_documents: BTreeSet::new(),
         };
         let message = Message::Heartbeat(self.heartbeat_to(now, &state));
@@ -131,17 +131,17 @@
         self.peers.insert(vm.clone(), state);
         self.last_heard_us.remove(&vm);
         self.membership.on_link_up(now, peer.clone());
-        self.judge_member(now, &vm, out);
+        self.evaluate_member(now, &vm, out);
         if let Some(service) = &peer.service {
-            self.steer_work(service);
+            self.update_routable_servers(service);
         }
         match role {
             VmRole::Sidecar => {
                 for partition in self.owned_partitions() {
                     self.send_takeover(&vm, partition, out);
                 }
-                self.ask_lost_calls(now, peer, out);
-                self.ask_open_calls(now, out);
+                self.query_lost_calls(now, peer, out);
+                self.query_open_calls(now, out);
             }
             VmRole::Entry => self.claim_orphaned_partitions(now),
         }
@@ -158,9 +158,9 @@
         self.router.remove(vm);
         self.on_engine_gone(vm);
         self.membership.on_link_down(now, vm);
-        self.judge_member(now, vm, out);
+        self.evaluate_member(now, vm, out);
         if let Some(service) = &peer.peer.service {
-            self.steer_work(service);
+            self.update_routable_servers(service);
         }
         for open in self.open_calls.values_mut().filter(|o| o.target == *vm) {
             open.is_attached = false;
@@ -195,15 +195,15 @@
     }
 
     pub(crate) fn on_vms(&mut self, now: TimeUs, vms: Vec<Vm>, out: &mut Vec<EntryAction>) {
-        self.membership.on_list(vms.clone());
+        self.membership.update_vm_list(vms.clone());
         self.next_membership_check_us = now;
-        self.judge_members(now, out);
+        self.evaluate_members(now, out);
         self.vms = vms.into_iter().map(|vm| (vm.id.clone(), vm)).collect();
         let others = self.vms.values().filter(|vm| vm.id != self.settings.vm);
         out.push(EntryAction::Connect(others.cloned().collect()));
     }
 
-    pub(crate) fn drop_silent_peers(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
+    pub(crate) fn disconnect_silent_peers(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
         let timeout = self.settings.peer_timeout_us;
         let silent: Vec<VmId> = self
             .peers
--- a/clementinepick/src/entry_orders.rs
+++ b/clementinepick/src/entry_orders.rs
@@ -5,14 +5,14 @@
 use serde_json::{Value, json};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::config::InForce;
+use crate::config::ActiveDocument;
 use crate::config_replay::Decider;
 use crate::document::ServiceKind;
 use crate::entry::{Entry, EntryAction};
 use crate::event::{Event, EventKind};
 use crate::ids::{ModelName, OrderId, PartitionId, ServiceName, VmId};
 use crate::message::{BackendLoad, Message, OrderOutcome};
-use crate::placement::{Engine, Placement};
+use crate::placement::{Engine, PlacementPlanner};
 use crate::platform::{EngineState, OrderBody};
 use crate::record::RecordBody;
 use crate::units::{SpanUs, TimeUs};
@@ -80,7 +80,7 @@
         self.engines.remove(vm);
         self.engines_without_model.clear();
         for placement in self.placements.values_mut() {
-            placement.on_gone(vm);
+            placement.on_link_down(vm);
         }
     }
 
@@ -125,7 +125,7 @@
             self.placements.clear();
             return;
         }
-        let placed_services: Vec<(ServiceName, InForce)> = self
+        let placed_services: Vec<(ServiceName, ActiveDocument)> = self
             .config
             .services()
             .filter(|(_, in_force)| needs_placement(in_force))
@@ -199,7 +199,7 @@
         &mut self,
         now: TimeUs,
         service: &ServiceName,
-        in_force: &InForce,
+        in_force: &ActiveDocument,
         decider: &Decider,
         out: &mut Vec<EntryAction>,
     ) {
@@ -209,9 +209,9 @@
         let placement = self
             .placements
             .entry(service.clone())
-            .or_insert_with(|| Placement::new(now, decider.fencing, settle));
+            .or_insert_with(|| PlacementPlanner::new(now, decider.fencing, settle));
         if placement.fencing != decider.fencing {
-            *placement = Placement::new(now, decider.fencing, settle);
+            *placement = PlacementPlanner::new(now, decider.fencing, settle);
         }
         for planned in placement.plan(now, in_force, &engines) {
             let Some((target, _)) = self.membership.link(&planned.target) else {
@@ -254,7 +254,7 @@
     /// Returns whether the configuration was read to its end by read number `read` or a later one.
     fn has_read_since(&self, read: u64) -> bool {
         let journal = &self.config_journal;
-        journal.reads_done() >= read && journal.at_end() && !journal.is_down()
+        journal.reads_done() >= read && journal.is_at_end() && !journal.is_down()
     }
 
     pub(crate) fn on_order_reply(
@@ -296,7 +296,7 @@
     }
 }
 
-fn needs_placement(in_force: &InForce) -> bool {
+fn needs_placement(in_force: &ActiveDocument) -> bool {
     let document = &in_force.document;
     let roles = document.placement.prefill_engines + document.placement.decode_engines;
     document.kind == ServiceKind::Engine && (!document.placed_models.is_empty() || roles > 0)
--- a/clementinepick/src/sweep.rs
+++ b/clementinepick/src/entry_tick.rs
@@ -20,22 +20,22 @@
             self.send_heartbeats(now, out);
             self.renew_leases(out);
         }
-        self.drop_silent_peers(now, out);
-        self.judge_members(now, out);
+        self.disconnect_silent_peers(now, out);
+        self.evaluate_members(now, out);
         // After a pause others may have taken over: nothing is decided before the log is read.
         if self.is_ownership_unconfirmed && !self.journal.is_down() {
             return;
         }
-        self.end_take_overs(now, out);
+        self.finish_takeovers(now, out);
         self.sweep_calls(now, out);
         self.reserve_ahead(now);
-        self.ask_open_calls(now, out);
-        self.send_releases(now, out);
-        self.repeat_ends(now, out);
+        self.query_open_calls(now, out);
+        self.send_due_releases(now, out);
+        self.resend_end_requests(now, out);
         self.walk_programs(now, out);
         self.drop_kept(now, out);
         self.claim_orphaned_partitions(now);
-        self.hand_over(now);
+        self.hand_over_partitions(now);
         self.write_snapshots(now);
         self.write_due_config_snapshot(now);
         self.decide_orders(now, out);
@@ -52,8 +52,8 @@
             return;
         }
         self.next_program_sweep_us = now.after(WALK_US);
-        self.sweep_programs(now, out);
-        self.forget_programs(now);
+        self.end_expired_programs(now, out);
+        self.forget_ended_programs(now);
     }
 
     /// The log's append rate is shared by the entries that live.
@@ -105,12 +105,12 @@
             Step::Claim | Step::Slice if late => {
                 self.refuse_late(now, id, ErrorKind::LogUnavailable, out);
             }
-            Step::Lost { .. } if late => self.leave_open(now, id, out),
+            Step::Lost { .. } if late => self.detach_at_deadline(now, id, out),
             Step::Running { .. } if call.caller_left_us.is_some() && !overdue => {
                 self.cancel_abandoned(now, id, out);
             }
             Step::Running { .. } if overdue && call.recorded_start.is_some() => {
-                self.leave_open(now, id, out);
+                self.detach_at_deadline(now, id, out);
             }
             Step::Running { .. } | Step::Forwarded(_) | Step::Follow(_) if overdue => {
                 self.give_up(now, id, out);
@@ -136,7 +136,7 @@
         };
         if let Some(Step::Running { attempt, .. }) = self.calls.get(&id).map(|c| c.step.clone()) {
             self.end_attempt(attempt, true);
-            self.settle_whole(id);
+            self.settle_full_reservation(id);
         }
         let error = CallError::new(kind, "the deadline passed without an answer");
         self.fail_call(now, id, error, out);
--- a/clementinepick/src/handover.rs
+++ b/clementinepick/src/handover.rs
@@ -5,7 +5,7 @@
 use crate::entry::{Entry, EntryAction};
 use crate::error::{CallError, ErrorKind};
 use crate::ids::{PartitionId, RequestId};
-use crate::record::OwnedRecord;
+use crate::record::PartitionRecord;
 use crate::units::{SpanUs, TimeUs};
 
 /// How long an entry must be linked before idle partitions are handed to it.
@@ -13,7 +13,7 @@
 
 impl Entry {
     /// Starts and ends the hand-over of partitions.
-    pub(crate) fn hand_over(&mut self, now: TimeUs) {
+    pub(crate) fn hand_over_partitions(&mut self, now: TimeUs) {
         if self.leaving {
             self.yielding = self.owned_partitions().into_iter().collect();
         } else {
@@ -72,7 +72,7 @@
 
     fn write_yield(&mut self, now: TimeUs, partition: PartitionId) {
         self.return_slices(now, partition);
-        let Some(record) = self.write_owned(partition, OwnedRecord::Yielded) else {
+        let Some(record) = self.write_owned(partition, PartitionRecord::Yielded) else {
             return;
         };
         self.awaited.insert(record, Awaited::Yield(partition));
@@ -98,7 +98,7 @@
             returned.push((program.clone(), before, unused));
         }
         for (program, before, unused) in returned {
-            let entry = OwnedRecord::SliceReturned {
+            let entry = PartitionRecord::SliceReturned {
                 program,
                 before,
                 unused,
@@ -111,7 +111,7 @@
 
     /// Answers every call as it stands: of what was sent on nobody here will learn the outcome, and
     /// whoever owns its partition next learns it from the sidecar.
-    pub(crate) fn force(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
+    pub(crate) fn force_shutdown(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
         self.leaving = true;
         let ids: Vec<RequestId> = self.calls.keys().copied().collect();
         for id in ids {
--- a/clementinepick/src/journal.rs
+++ b/clementinepick/src/journal.rs
@@ -7,7 +7,7 @@
 
 use crate::event::{Event, EventKind};
 use crate::ids::{Offset, RecordId};
-use crate::platform::{ReadAnswer, StreamName};
+use crate::platform::{ReadResponse, StreamName};
 use crate::record::Record;
 use crate::units::{SpanUs, TimeUs};
 
@@ -142,7 +142,7 @@
 
     /// Whether the stream has been read to its end at least once.
     #[must_use]
-    pub const fn caught_up(&self) -> bool {
+    pub const fn has_caught_up(&self) -> bool {
         self.caught_up
     }
 
@@ -184,12 +184,12 @@
 
     /// Whether the last read came to the stream's end.
     #[must_use]
-    pub fn at_end(&self) -> bool {
+    pub fn is_at_end(&self) -> bool {
         self.position >= self.end
     }
 
     /// Makes a read due at once; the number of the first read that starts from now on.
-    pub fn read_now(&mut self, now: TimeUs) -> u64 {
+    pub fn schedule_read(&mut self, now: TimeUs) -> u64 {
         self.next_read_us = now;
         self.reads_started + 1
     }
@@ -201,7 +201,7 @@
     }
 
     /// The oldest offset that is kept, once after records that were not read had gone.
-    pub fn take_jump(&mut self) -> Option<Offset> {
+    pub fn take_truncated_to(&mut self) -> Option<Offset> {
         self.jumped_to.take()
     }
 
@@ -290,7 +290,7 @@
     pub fn on_read(
         &mut self,
         now: TimeUs,
-        answer: Option<ReadAnswer>,
+        answer: Option<ReadResponse>,
         events: &mut Vec<Event>,
     ) -> Vec<(Offset, Record)> {
         self.reading = false;
@@ -321,7 +321,7 @@
 
     fn take_records(
         &mut self,
-        answer: &ReadAnswer,
+        answer: &ReadResponse,
         events: &mut Vec<Event>,
     ) -> Vec<(Offset, Record)> {
         if answer.earliest > self.position {
@@ -418,12 +418,12 @@
         }
     }
 
-    fn read(records: &[(u64, &Record)], end: u64) -> ReadAnswer {
+    fn read(records: &[(u64, &Record)], end: u64) -> ReadResponse {
         let records = records
             .iter()
             .map(|(offset, record)| stored(*offset, record))
             .collect();
-        ReadAnswer {
+        ReadResponse {
             earliest: Offset(0),
             end: Offset(end),
             records,
--- a/clementinepick/src/lib.rs
+++ b/clementinepick/src/lib.rs
@@ -8,20 +8,20 @@
 //!
 //! | step | module | rules in |
 //! |---|---|---|
-//! | read the request | [`parse`] | |
-//! | check it against the document in force | `admission` | [`config`], [`document`] |
-//! | find the owner of its program | `step_owner` | [`rendezvous`], [`replay`] |
+//! | read the request | [`http_request`] | |
+//! | check it against the document in force | `step_validate` | [`config`], [`document`] |
+//! | find the owner of its program | `step_owner` | [`rendezvous`], [`partition_replay`] |
 //! | tell a repeat from a new call | `step_dedup` | |
 //! | wait for its turn in the program | `step_sequence` | [`sequencer`] |
 //! | hold what it may spend | `step_budget` | [`budget`] |
 //! | choose a backend server | `step_route` | [`route`], [`retry`] |
 //! | put a call that may not run twice on record | `step_start` | [`journal`], [`record`] |
-//! | wait before the backend server | `sidecar_calls` | [`gate`], [`predict`] |
+//! | wait before the backend server | `sidecar_calls` | [`admission_queue`], [`predict`] |
 //! | pass the answer back | `answer` | |
 //! | put the turn on record | `step_record` | [`journal`], [`record`] |
 //!
 //! What an owner's death leaves open is taken up by `recovery`; what programs hold in engines by
-//! [`retain`] and `sidecar_cache`.
+//! [`prefix_retention`] and `sidecar_cache`.
 //!
 //! ```
 //! use clementinepick::document::Document;
@@ -32,7 +32,7 @@
 //! # Ok::<(), clementinepick::document::DocumentError>(())
 //! ```
 
-mod admission;
+pub mod admission_queue;
 mod answer;
 mod answer_text;
 pub mod budget;
@@ -47,48 +47,48 @@
 mod dump;
 pub mod entry;
 mod entry_config;
+mod entry_links;
 mod entry_log;
+mod entry_members;
 mod entry_orders;
+mod entry_tick;
 pub mod error;
 pub mod event;
 pub mod event_stream;
+pub mod failure_rate;
 mod fetch;
-pub mod gate;
 mod handover;
 mod history;
+pub mod http_request;
 pub mod ids;
 mod ini_sections;
 mod invariants;
 pub mod journal;
-mod links;
-pub mod list_outage;
-mod members;
 pub mod membership;
 pub mod message;
-pub mod parse;
+pub mod outage_detector;
+pub mod partition_replay;
+mod partition_state;
 pub mod peer_liveness;
 pub mod placement;
 pub mod placement_target;
 pub mod platform;
 pub mod predict;
+pub mod prefix_retention;
 mod program_end;
 pub mod prompt;
 pub mod record;
-pub mod record_age;
+pub mod record_expiry;
 mod recovery;
 pub mod refusal;
 pub mod rendezvous;
-pub mod replay;
-mod replay_state;
-pub mod retain;
 pub mod retry;
 pub mod route;
 pub mod rules;
 pub mod safeguards;
 pub mod sequencer;
-pub mod server_choice;
-pub mod server_health;
 pub mod server_list;
+pub mod server_selection;
 pub mod sidecar;
 mod sidecar_cache;
 mod sidecar_calls;
@@ -105,7 +105,7 @@
 mod step_route;
 mod step_sequence;
 mod step_start;
-mod sweep;
+mod step_validate;
 pub mod traffic_config;
 pub mod turn_chain;
 pub mod units;
--- a/clementinepick/src/program_end.rs
+++ b/clementinepick/src/program_end.rs
@@ -11,7 +11,7 @@
 use crate::message::Message;
 use crate::platform::VmRole;
 use crate::prompt::{ChainHash, Prompt};
-use crate::record::{EndReason, OwnedRecord};
+use crate::record::{EndReason, PartitionRecord};
 use crate::units::{SpanUs, TimeUs};
 
 /// The time between two releases of the same program's memory while one is not confirmed.
@@ -28,7 +28,7 @@
     ///
     /// The owner may be lost with the request for it, and the program would hold memory until it
     /// counts as idle. So the request is repeated until the end is read from the log.
-    pub(crate) fn ask_end(
+    pub(crate) fn request_program_end(
         &mut self,
         now: TimeUs,
         program: ProgramId,
@@ -41,10 +41,10 @@
             until_us: now.after(END_ASKED_US),
         };
         self.end_requests.insert(program, ending);
-        self.repeat_ends(now, out);
+        self.resend_end_requests(now, out);
     }
 
-    pub(crate) fn repeat_ends(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
+    pub(crate) fn resend_end_requests(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
         let due: Vec<ProgramId> = self
             .end_requests
             .iter()
@@ -100,7 +100,7 @@
             return;
         }
         if is_open {
-            let entry = OwnedRecord::ProgramEnded {
+            let entry = PartitionRecord::ProgramEnded {
                 program: program.clone(),
                 last,
                 reason,
@@ -153,7 +153,7 @@
     }
 
     /// Releases anew what an earlier owner may have been releasing when it was lost.
-    pub(crate) fn release_recorded(
+    pub(crate) fn release_ended_programs(
         &mut self,
         now: TimeUs,
         partition: PartitionId,
@@ -250,10 +250,10 @@
             next_us: now,
         };
         self.releasing.insert(program, releasing);
-        self.send_releases(now, out);
+        self.send_due_releases(now, out);
     }
 
-    pub(crate) fn send_releases(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
+    pub(crate) fn send_due_releases(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
         self.drop_gone_holders();
         let mut due = Vec::new();
         for (program, releasing) in &mut self.releasing {
@@ -347,7 +347,7 @@
     }
 
     /// Ends programs that are idle, out of time or out of budget.
-    pub(crate) fn sweep_programs(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
+    pub(crate) fn end_expired_programs(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
         let mut over: Vec<(ProgramId, EndReason)> = Vec::new();
         let mut overdue = Vec::new();
         let mut moved = Vec::new();
@@ -366,7 +366,7 @@
             overdue.extend(late);
             live.spending.set_time(now.since(live.since_us));
             let is_root = state.root.is_none();
-            if is_root && state.account.is_overdue(&live.spending) {
+            if is_root && state.account.is_time_exhausted(&live.spending) {
                 over.push((program.clone(), EndReason::Deadline));
             } else if live.is_budget_exhausted && live.sequencer.is_idle() {
                 over.push((program.clone(), EndReason::Budget));
@@ -406,7 +406,7 @@
     }
 
     /// Drops programs that ended a while ago, so that neither memory nor snapshots grow for ever.
-    pub(crate) fn forget_programs(&mut self, now: TimeUs) {
+    pub(crate) fn forget_ended_programs(&mut self, now: TimeUs) {
         let keep_us = self.settings.ended_retention_us;
         let mut old: BTreeMap<PartitionId, Vec<ProgramId>> = BTreeMap::new();
         for (program, ended) in &self.ended {
@@ -421,7 +421,7 @@
             for program in &programs {
                 self.ended.remove(program);
             }
-            let entry = OwnedRecord::ProgramsForgotten { programs };
+            let entry = PartitionRecord::ProgramsForgotten { programs };
             if let Some(record) = self.write_owned(partition, entry) {
                 self.awaited.insert(record, Awaited::Other(partition));
             }
--- a/clementinepick/src/rendezvous.rs
+++ b/clementinepick/src/rendezvous.rs
@@ -1,6 +1,6 @@
 //! Suggests the owner of a partition by rendezvous hashing over the live entries.
 //!
-//! The suggestion is not binding: a claim record in the log decides, see [`crate::replay`].
+//! The suggestion is not binding: a claim record in the log decides, see [`crate::partition_replay`].
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
--- a/clementinepick/src/sidecar.rs
+++ b/clementinepick/src/sidecar.rs
@@ -7,15 +7,15 @@
 
 use serde_json::{Value, json};
 
+use crate::admission_queue::{AdmissionQueue, AdmissionSettings};
 use crate::config::Config;
 use crate::document::ServiceKind;
 use crate::event::{Event, EventKind};
-use crate::gate::{Gate, GateSettings};
 use crate::ids::{AttemptId, Epoch, Offset, PartitionId, ProgramId, Revision, ServiceName, VmId};
 use crate::message::{BackendLoad, Heartbeat, Message, Peer};
 use crate::platform::{LoadReport, VmRole};
 use crate::predict::Predictor;
-use crate::retain::{RetainSettings, Retention};
+use crate::prefix_retention::{PrefixRetention, PrefixRetentionSettings};
 use crate::sidecar_fence::Fence;
 use crate::sidecar_orders::OrderSlot;
 pub(crate) use crate::sidecar_types::{Attempt, Closed, Lease, Phase, log, refuse, send};
@@ -30,7 +30,7 @@
 pub struct Sidecar {
     pub(crate) settings: SidecarSettings,
     pub(crate) config: Config,
-    pub(crate) gate: Gate,
+    pub(crate) gate: AdmissionQueue,
     pub(crate) load: LoadReport,
     pub(crate) entries: BTreeMap<VmId, Peer>,
     /// When entries were heard last.
@@ -45,7 +45,7 @@
     /// The highest epoch of which closed attempts were dropped, by partition.
     pub(crate) forgotten: BTreeMap<PartitionId, Epoch>,
     pub(crate) leases: BTreeMap<ProgramId, Lease>,
-    pub(crate) retention: Retention,
+    pub(crate) retention: PrefixRetention,
     /// The outputs of completed turns.
     pub(crate) outputs: Predictor,
     pub(crate) orders: OrderSlot,
@@ -63,13 +63,13 @@
     pub fn new(settings: SidecarSettings) -> Self {
         let mut config = Config::default();
         if !settings.safeguards.revision_monotonic {
-            config.take_older();
+            config.accept_older_revisions();
         }
         Self {
             orders: OrderSlot::new(settings.incarnation),
             settings,
             config,
-            gate: Gate::default(),
+            gate: AdmissionQueue::default(),
             load: LoadReport::default(),
             entries: BTreeMap::new(),
             heard_us: BTreeMap::new(),
@@ -80,7 +80,7 @@
             closed: BTreeMap::new(),
             forgotten: BTreeMap::new(),
             leases: BTreeMap::new(),
-            retention: Retention::default(),
+            retention: PrefixRetention::default(),
             outputs: Predictor::default(),
             told_blocked: false,
             next_retain_us: None,
@@ -130,7 +130,7 @@
                 out.push(SidecarAction::Log(Event::new(EventKind::ShutdownStarted)));
                 self.next_heartbeat_us = now;
             }
-            SidecarInput::Force => self.force(now, out),
+            SidecarInput::Force => self.force_shutdown(now, out),
         }
         self.admit(now, out);
         self.poll_orders(now, out);
@@ -271,16 +271,16 @@
         };
         let cache = (document.kind == ServiceKind::Engine && self.load.cache_size_tokens.0 > 0)
             .then_some(self.load.cache_size_tokens);
-        self.gate.set(GateSettings {
+        self.gate.set(AdmissionSettings {
             max_running: document.max_running_per_backend.min(engine_limit),
             max_waiting: document.max_waiting_per_backend,
             cache_size_tokens: cache,
             categories: document.categories.clone(),
-            ..GateSettings::default()
+            ..AdmissionSettings::default()
         });
-        self.retention.set(RetainSettings {
+        self.retention.set(PrefixRetentionSettings {
             max_keep_us: document.retention.max_keep_us,
-            ..RetainSettings::default()
+            ..PrefixRetentionSettings::default()
         });
     }
 
--- a/clementinepick/src/turn_chain.rs
+++ b/clementinepick/src/turn_chain.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::record_age::KEPT_RETENTIONS;
+use crate::record_expiry::RETENTION_FACTOR;
 
 /// One ended turn in memory, linked to the turn it continues from.
 #[derive(Debug)]
@@ -50,7 +50,7 @@
 
 /// The prompt of a new turn: all inputs and outputs before it, oldest first, then `input`.
 #[must_use]
-pub fn prompt(previous: Option<&Arc<Turn>>, input: &Bytes) -> Bytes {
+pub fn build_prompt(previous: Option<&Arc<Turn>>, input: &Bytes) -> Bytes {
     let Some(previous) = previous else {
         return input.clone();
     };
@@ -127,7 +127,7 @@
 /// A record that can't be read.
 #[derive(Debug, Error)]
 #[error("the record of turn {id} can't be read: {detail}")]
-pub struct BadTurnRecord {
+pub struct InvalidTurnRecord {
     /// The turn.
     pub id: String,
     /// Why.
@@ -136,13 +136,13 @@
 
 /// Whether a turn that ends at `now_unix_ms` must be recorded with its whole chain.
 ///
-/// A record is kept for [`KEPT_RETENTIONS`] times its retention, and a chain needs its oldest record
+/// A record is kept for [`RETENTION_FACTOR`] times its retention, and a chain needs its oldest record
 /// for one retention after its newest turn. A chain that is continued for longer would lose its
 /// start; written whole before the oldest record has only one retention left, it never does.
 #[must_use]
 pub fn needs_whole_chain(previous: &Arc<Turn>, now_unix_ms: u64, retain_ms: u64) -> bool {
     let age_ms = now_unix_ms.saturating_sub(previous.oldest_unix_ms());
-    age_ms >= (KEPT_RETENTIONS - 1) * retain_ms
+    age_ms >= (RETENTION_FACTOR - 1) * retain_ms
 }
 
 impl TurnRecord {
@@ -168,10 +168,14 @@
     /// # Errors
     ///
     /// The lengths in the record contradict each other.
-    pub fn into_turn(self, id: String, parent: Option<Arc<Turn>>) -> Result<Turn, BadTurnRecord> {
+    pub fn into_turn(
+        self,
+        id: String,
+        parent: Option<Arc<Turn>>,
+    ) -> Result<Turn, InvalidTurnRecord> {
         if self.input_bytes > self.body.len() {
             let detail = "the input is longer than the body".to_owned();
-            return Err(BadTurnRecord { id, detail });
+            return Err(InvalidTurnRecord { id, detail });
         }
         let mut input = self.body;
         let output = input.split_off(self.input_bytes);
