--- a/clementinepick/src/fetch.rs
+++ b/clementinepick/src/fetch.rs
@@ -1,4 +1,4 @@
-//! Answers fetched later, out of order, or from a position on.
+//! Serves requests to fetch the answer of an earlier call, from a given position on.
 
 use crate::answer::answer;
 use crate::answer_text::AnswerText;
@@ -12,11 +12,11 @@
 use crate::repeat::done;
 use crate::units::TimeUs;
 
-/// The most times that a question is passed on between entries.
+/// Maximum number of times that a fetch is forwarded between entries.
 const MAX_HOPS: u8 = 3;
 
-/// The stored answer of a call, as far as it is known.
-enum Stored {
+/// Known state of a call's answer.
+enum StoredAnswer {
     Running(Leader),
     Turn(CallDone, String),
     Ended(CallOutcome),
@@ -33,23 +33,23 @@
     ) {
         let root = fetch.root.as_ref().unwrap_or(&fetch.program);
         let partition = self.home_of(&fetch.program, root);
-        let refused = if !self.is_caught_up() {
+        let refusal = if !self.is_caught_up() {
             Some(CallError::new(
                 ErrorKind::NotReady,
                 "this entry still reads the log",
             ))
         } else if self.own_epoch(partition).is_some() && !self.is_unsure {
-            self.fetch_here(partition, fetch, reply_to, out).err()
+            self.answer_fetch(partition, fetch, reply_to, out).err()
         } else {
-            self.pass_fetch_on(now, partition, fetch, reply_to, hops, out)
+            self.forward_fetch(now, partition, fetch, reply_to, hops, out)
                 .err()
         };
-        if let Some(error) = refused {
+        if let Some(error) = refusal {
             answer(reply_to, fetch.id, AnswerPart::Failed(error), out);
         }
     }
 
-    fn pass_fetch_on(
+    fn forward_fetch(
         &mut self,
         now: TimeUs,
         partition: PartitionId,
@@ -61,7 +61,7 @@
         let owner = self.target_owner(now, partition);
         let owner = owner.filter(|vm| *vm != self.settings.vm && hops < MAX_HOPS);
         let Some(to) = owner else {
-            let detail = "the owner of the program is not known yet";
+            let detail = "no owner of the program is known yet";
             return Err(CallError::new(ErrorKind::OwnerUnknown, detail));
         };
         self.fetches
@@ -74,7 +74,7 @@
         Ok(())
     }
 
-    fn fetch_here(
+    fn answer_fetch(
         &mut self,
         partition: PartitionId,
         fetch: &Fetch,
@@ -82,7 +82,10 @@
         out: &mut Vec<EntryAction>,
     ) -> Result<(), CallError> {
         let Some(stored) = self.find_stored(partition, fetch) else {
-            let detail = format!("no answer of {}/{} is kept", fetch.program, fetch.seq);
+            let detail = format!(
+                "no answer is stored for call {}/{}",
+                fetch.program, fetch.seq
+            );
             return Err(CallError::new(ErrorKind::UnknownCall, detail));
         };
         let key = crate::ids::CallKey {
@@ -90,8 +93,8 @@
             seq: fetch.seq,
         };
         match stored {
-            Stored::Running(leader) => self.watch(fetch, leader, reply_to, out),
-            Stored::Turn(done, text) => {
+            StoredAnswer::Running(leader) => self.follow_running_call(fetch, leader, reply_to, out),
+            StoredAnswer::Turn(done, text) => {
                 let text = crate::sidecar::skip_chars(&text, fetch.position);
                 let position = fetch.position;
                 if !text.is_empty() {
@@ -100,7 +103,7 @@
                 }
                 answer(reply_to, fetch.id, AnswerPart::Done(done), out);
             }
-            Stored::Ended(CallOutcome::Plain(plain)) => {
+            StoredAnswer::Ended(CallOutcome::Plain(plain)) => {
                 answer(reply_to, fetch.id, AnswerPart::Plain(plain), out);
                 let done = done(
                     &key,
@@ -110,7 +113,7 @@
                 );
                 answer(reply_to, fetch.id, AnswerPart::Done(done), out);
             }
-            Stored::Ended(CallOutcome::Chat {
+            StoredAnswer::Ended(CallOutcome::Chat {
                 answer: text,
                 usage,
             }) => {
@@ -120,25 +123,25 @@
                 let done = done(&key, usage, TurnState::Committed, None);
                 answer(reply_to, fetch.id, AnswerPart::Done(done), out);
             }
-            Stored::Ended(CallOutcome::NeverRan(error) | CallOutcome::Failed(error)) => {
+            StoredAnswer::Ended(CallOutcome::NeverRan(error) | CallOutcome::Failed(error)) => {
                 return Err(error);
             }
-            Stored::Ended(CallOutcome::Unknown) => {
-                let detail = "the call was sent on and its outcome can't be learned";
+            StoredAnswer::Ended(CallOutcome::Unknown) => {
+                let detail = "the call was dispatched and its outcome cannot be determined";
                 return Err(CallError::new(ErrorKind::OutcomeUnknown, detail));
             }
         }
         Ok(())
     }
 
-    fn find_stored(&self, partition: PartitionId, fetch: &Fetch) -> Option<Stored> {
+    fn find_stored(&self, partition: PartitionId, fetch: &Fetch) -> Option<StoredAnswer> {
         let running = self.calls.iter().find(|(_, call)| {
             call.request.program == fetch.program
                 && call.seq == Some(fetch.seq)
                 && !matches!(call.step, Step::Follow(_) | Step::Own | Step::Forwarded(_))
         });
         if let Some((id, _)) = running {
-            return Some(Stored::Running(Leader::Request(*id)));
+            return Some(StoredAnswer::Running(Leader::Request(*id)));
         }
         let live = self.programs.get(&fetch.program);
         let pending = live.and_then(|l| l.tail.iter().find(|t| t.call.seq == fetch.seq));
@@ -147,7 +150,7 @@
                 finish: turn.finish,
                 ..done(&turn.call, turn.usage, TurnState::Pending, Some(turn.after))
             };
-            return Some(Stored::Turn(done, turn.answer.clone()));
+            return Some(StoredAnswer::Turn(done, turn.answer.clone()));
         }
         let state = self.partitions.program(partition, &fetch.program)?;
         let key = crate::ids::CallKey {
@@ -160,24 +163,24 @@
                 ..done(&key, turn.usage, TurnState::Committed, Some(turn.chain))
             };
             let text = state.history.get(turn.answer_at)?.content.clone();
-            return Some(Stored::Turn(done, text));
+            return Some(StoredAnswer::Turn(done, text));
         }
         match &state.calls.get(&fetch.seq)?.outcome {
-            Some(outcome) => Some(Stored::Ended(outcome.clone())),
-            None => Some(Stored::Running(Leader::Recorded(key))),
+            Some(outcome) => Some(StoredAnswer::Ended(outcome.clone())),
+            None => Some(StoredAnswer::Running(Leader::Recorded(key))),
         }
     }
 
-    /// Makes the fetch a call that follows the one it asks for.
-    fn watch(
+    /// Registers the fetch as a call that follows the requested one.
+    fn follow_running_call(
         &mut self,
         fetch: &Fetch,
         leader: Leader,
         reply_to: &ReplyTo,
         out: &mut Vec<EntryAction>,
     ) {
-        let Some(mut call) = self.watched_call(&leader) else {
-            let detail = "the call is being looked for at its backend server";
+        let Some(mut call) = self.followed_call(&leader) else {
+            let detail = "the state of the call is being recovered from its backend server";
             let error = CallError::new(ErrorKind::OwnerUnknown, detail);
             answer(reply_to, fetch.id, AnswerPart::Failed(error), out);
             return;
@@ -194,14 +197,14 @@
         self.follow(fetch.id, leader, out);
     }
 
-    fn watched_call(&self, leader: &Leader) -> Option<crate::call_state::Call> {
+    fn followed_call(&self, leader: &Leader) -> Option<crate::call_state::Call> {
         let Leader::Request(id) = leader else {
             return None;
         };
         self.calls.get(id).cloned()
     }
 
-    /// A part of the answer to a fetch that was passed on; false when it is none.
+    /// Handles a part of the answer to a forwarded fetch; returns false if `id` is no such fetch.
     pub(crate) fn on_fetch_reply(
         &mut self,
         from: &crate::ids::VmId,
@@ -221,7 +224,7 @@
         true
     }
 
-    /// The owner that fetches were passed on to is gone.
+    /// Fails the fetches that were forwarded to an owner whose link is down.
     pub(crate) fn fail_fetches(&mut self, vm: &crate::ids::VmId, out: &mut Vec<EntryAction>) {
         let lost: Vec<RequestId> = self
             .fetches
@@ -231,7 +234,7 @@
             .collect();
         for id in lost {
             if let Some((_, reply_to)) = self.fetches.remove(&id) {
-                let detail = "the owner of the program was lost; ask again";
+                let detail = "the link to the owner of the program was lost; repeat the request";
                 let error = CallError::new(ErrorKind::OwnerUnknown, detail);
                 answer(&reply_to, id, AnswerPart::Failed(error), out);
             }
--- a/clementinepick/src/handover.rs
+++ b/clementinepick/src/handover.rs
@@ -1,4 +1,4 @@
-//! Hands partitions over: all of them when this entry leaves, idle ones to an entry that joined.
+//! Hands over partitions: all when this entry shuts down, idle ones to an entry that joined.
 
 use crate::call::TurnState;
 use crate::call_state::{Awaited, Step};
@@ -8,16 +8,16 @@
 use crate::record::OwnedRecord;
 use crate::units::{SpanUs, TimeUs};
 
-/// How long an entry must be linked before idle partitions are handed to it.
-const JOINED_US: SpanUs = SpanUs::from_s(20);
+/// Time for which an entry must be linked before idle partitions are handed to it.
+const MIN_LINKED_US: SpanUs = SpanUs::from_s(20);
 
 impl Entry {
-    /// Starts and ends the hand-over of partitions.
+    /// Selects partitions to hand over, and yields the selected ones that are idle.
     pub(crate) fn hand_over_partitions(&mut self, now: TimeUs) {
         if self.leaving {
             self.yielding = self.own_partitions().into_iter().collect();
         } else {
-            self.offer_partition(now);
+            self.select_idle_partition(now);
         }
         let ready: Vec<PartitionId> = self
             .yielding
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Whether calls of a partition are under way, or records of its calls are on theirs.
+    /// Returns whether a partition has calls in progress or unconfirmed records of calls.
     fn is_busy(&self, partition: PartitionId) -> bool {
         let calls = self.calls.values().filter(|c| c.partition == partition);
         let open = self.open_calls.values().any(|o| o.partition == partition);
@@ -42,30 +42,30 @@
         open || pending || calls.into_iter().any(crate::call_state::Call::is_under_way)
     }
 
-    /// Hands one idle partition at a time to the entry that should own it.
+    /// Selects one idle partition at a time for the entry that should own it.
     ///
-    /// Entries come and go every day. Without this the partitions would gather at those that
-    /// stayed longest, and an entry that just started would own none.
-    fn offer_partition(&mut self, now: TimeUs) {
+    /// Without this, partitions would accumulate at the longest-running entries, and a restarted
+    /// entry would own none.
+    fn select_idle_partition(&mut self, now: TimeUs) {
         if !self.yielding.is_empty() || self.journal.is_down() || !self.is_caught_up() {
             return;
         }
-        let offered = self.own_partitions().into_iter().find(|partition| {
-            let heir = self.claimant(*partition);
-            heir.is_some_and(|vm| self.joined_before(now, &vm))
+        let selected = self.own_partitions().into_iter().find(|partition| {
+            let successor = self.claimant(*partition);
+            successor.is_some_and(|vm| self.is_stably_linked(now, &vm))
                 && !self.calls.values().any(|c| c.partition == *partition)
                 && !self.is_busy(*partition)
                 && self
                     .claim_pace
                     .get(partition)
-                    .is_none_or(|pace| now.since(pace.last_change_us) >= JOINED_US)
+                    .is_none_or(|pace| now.since(pace.last_change_us) >= MIN_LINKED_US)
         });
-        self.yielding.extend(offered);
+        self.yielding.extend(selected);
     }
 
-    fn joined_before(&self, now: TimeUs, vm: &crate::ids::VmId) -> bool {
+    fn is_stably_linked(&self, now: TimeUs, vm: &crate::ids::VmId) -> bool {
         let peer = self.peers.get(vm);
-        peer.is_some_and(|peer| now.since(peer.up_us) >= JOINED_US)
+        peer.is_some_and(|peer| now.since(peer.up_us) >= MIN_LINKED_US)
     }
 
     fn write_yield(&mut self, now: TimeUs, partition: PartitionId) {
@@ -77,7 +77,7 @@
         self.yield_written.insert(partition);
     }
 
-    /// Gives back what is left of the slices, so that the successor need not count it as spent.
+    /// Returns the unused part of budget slices, so that the successor does not count it as spent.
     fn return_slices(&mut self, now: TimeUs, partition: PartitionId) {
         let mut returned = Vec::new();
         let Some(state) = self.partitions.get(partition) else {
@@ -107,8 +107,8 @@
         }
     }
 
-    /// Answers every call as it stands: of what was sent on nobody here will learn the outcome, and
-    /// whoever owns its partition next learns it from the sidecar.
+    /// Ends every call immediately with its current state. The outcome of dispatched calls will not
+    /// be known here; the next owner of the partition learns it from the sidecar.
     pub(crate) fn force_shutdown(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
         self.leaving = true;
         let ids: Vec<RequestId> = self.calls.keys().copied().collect();
@@ -132,12 +132,12 @@
             if kind == ErrorKind::OutcomeUnknown {
                 call.claim = None;
             }
-            let error = CallError::new(kind, "this entry was forced to end");
+            let error = CallError::new(kind, "the entry was shut down before the call ended");
             self.refuse(now, id, error, out);
         }
     }
 
-    /// Whether everything is finished and handed over, so that the process may exit.
+    /// Returns whether all work is finished and handed over, so that the process may exit.
     pub(crate) fn is_finished(&self) -> bool {
         self.leaving
             && self.calls.is_empty()
--- a/clementinepick/src/invariants.rs
+++ b/clementinepick/src/invariants.rs
@@ -1,8 +1,8 @@
-//! What must hold at the moment a call is sent on, checked where the state is.
+//! Checks invariants immediately before a call is sent to a sidecar or a backend server.
 //!
-//! The modules before this point are built so that none of this can happen. Should one of them be
-//! wrong, the symptom would be a call that runs twice, out of order or unpaid, which nobody can take
-//! back; a call refused here, with an event that names the invariant, is the lesser harm.
+//! The earlier steps ensure these invariants. If one of them has a bug, a call could run twice, out
+//! of order or without budget, which can't be undone. Refusing the call and logging the broken
+//! invariant does less harm.
 
 use crate::call_state::{Call, Step};
 use crate::entry::{Entry, EntryAction};
@@ -12,7 +12,7 @@
 use crate::sidecar::{Attempt, Sidecar, SidecarAction};
 
 impl Entry {
-    /// Checks a call that is about to be sent to a sidecar; false when it must not be.
+    /// Returns whether a call may be sent to a sidecar; logs an event if an invariant is broken.
     pub(crate) fn may_dispatch(
         &self,
         id: RequestId,
@@ -22,31 +22,36 @@
         let Some(call) = self.calls.get(&id) else {
             return false;
         };
-        let Some(broken) = self.broken_by(id, call, attempt) else {
+        let Some(broken) = self.broken_invariant(id, call, attempt) else {
             return true;
         };
         let event = Event::new(EventKind::InvariantBroken).with("invariant", broken);
         let event = event.with("program", &call.request.program);
         out.push(EntryAction::Event(event.with("request", id)));
-        // A test run that leaves a safeguard out is to see what comes of it.
+        // A test run with a disabled safeguard proceeds, to observe the consequences.
         self.settings.safeguards != Safeguards::default()
     }
 
-    fn broken_by(&self, id: RequestId, call: &Call, attempt: AttemptId) -> Option<&'static str> {
-        let claimed = call
+    fn broken_invariant(
+        &self,
+        id: RequestId,
+        call: &Call,
+        attempt: AttemptId,
+    ) -> Option<&'static str> {
+        let is_claimed = call
             .claim
             .as_ref()
             .is_some_and(|claim| claim.attempt == attempt);
-        let overtakes = self.calls.iter().any(|(other, running)| {
+        let runs_concurrently = self.calls.iter().any(|(other, running)| {
             *other != id
                 && running.request.program == call.request.program
                 && matches!(running.step, Step::Running { .. } | Step::Lost { .. })
         });
         if self.own_epoch(call.partition).is_none() {
             Some("only the owner sends calls on")
-        } else if !call.idempotent && !claimed {
+        } else if !call.idempotent && !is_claimed {
             Some("a call that may not run twice is on record before it is sent")
-        } else if overtakes {
+        } else if runs_concurrently {
             Some("calls of one program run one after the other")
         } else if call.held_tokens.is_none() && !call.is_unrecorded() {
             Some("what a call may spend is held before it is sent")
@@ -57,7 +62,8 @@
 }
 
 impl Sidecar {
-    /// Checks a call that is about to be sent to the backend server; false when it must not be.
+    /// Returns whether a call may be sent to the backend server; logs an event if an invariant is
+    /// broken.
     pub(crate) fn may_start(&self, attempt: &Attempt, out: &mut Vec<SidecarAction>) -> bool {
         let dispatch = &attempt.dispatch;
         let known = self.epochs.get(&dispatch.partition);
--- a/clementinepick/src/lib.rs
+++ b/clementinepick/src/lib.rs
@@ -1,27 +1,27 @@
-//! The decisions of clementinepick, a scheduler for agent programs.
+//! Decision logic of clementinepick, a scheduler for agent programs.
 //!
-//! Nothing here owns a socket, a thread, a clock or a global. A daemon, a test or a virtual-time
-//! run feeds typed inputs and the present time into [`entry::Entry`] and [`sidecar::Sidecar`] and
-//! carries out the typed actions that come back.
+//! The crate opens no sockets, starts no threads, reads no clock and has no global state. A daemon,
+//! a test or a simulation passes typed inputs and the current time to [`entry::Entry`] and
+//! [`sidecar::Sidecar`] and executes the typed actions that they return.
 //!
-//! A call flows one way through filters, one module each, which the entry calls in this order:
+//! A call passes through these steps in order, one module each:
 //!
-//! | step | module | rules in |
+//! | step | module | rules and state in |
 //! |---|---|---|
-//! | read the request | [`parse`] | |
-//! | check it against the document in force | `admission` | [`config`], [`document`] |
+//! | parse the request | [`parse`] | |
+//! | validate it against the document in force | `admission` | [`config`], [`document`] |
 //! | find the owner of its program | `step_own` | [`own`], [`replay`] |
-//! | tell a repeat from a new call | `repeat` | |
-//! | wait for its turn in the program | `step_order` | [`order`] |
-//! | hold what it may spend | `step_budget` | [`budget`] |
+//! | detect a repeat of an earlier call | `repeat` | |
+//! | wait for the program's earlier calls | `step_order` | [`order`] |
+//! | reserve its budget | `step_budget` | [`budget`] |
 //! | choose a backend server | `step_route` | [`route`], [`retry`] |
-//! | put a call that may not run twice on record | `step_claim` | [`journal`], [`record`] |
-//! | wait before the backend server | `sidecar_calls` | [`admission_queue`], [`predict`] |
-//! | pass the answer back | `answer` | |
-//! | put the turn on record | `step_record` | [`journal`], [`record`] |
+//! | record the start of a non-idempotent call | `step_claim` | [`journal`], [`record`] |
+//! | wait to be admitted to the server | `sidecar_calls` | [`admission_queue`], [`predict`] |
+//! | return the answer | `answer` | |
+//! | record the turn | `step_record` | [`journal`], [`record`] |
 //!
-//! What an owner's death leaves open is taken up by `recovery`; what programs hold in engines by
-//! [`retain`] and `sidecar_cache`.
+//! `recovery` resolves the calls that a failed owner left open. [`retain`] and `sidecar_cache`
+//! manage the engine cache that programs hold.
 //!
 //! ```
 //! use clementinepick::document::Document;
--- a/clementinepick/src/message.rs
+++ b/clementinepick/src/message.rs
@@ -1,7 +1,7 @@
-//! The messages between the system's own processes.
+//! Defines the messages between entries and sidecars.
 //!
-//! On the wire each is one CBOR item in a binary websocket frame. Times travel as spans, since no
-//! two clocks are compared.
+//! Each message is one CBOR item in a binary websocket frame. Times are sent as spans, since the
+//! clocks of processes are not synchronized.
 
 use std::collections::BTreeMap;
 
@@ -17,301 +17,301 @@
 use crate::record::{EndReason, PublishedDocument};
 use crate::units::{SpanUs, Tokens};
 
-/// Who is at the other end of a link, as proved when it came up.
+/// Identity of the process at the other end of a link, authenticated when the link came up.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Peer {
-    /// The VM.
+    /// VM that the process runs on.
     pub vm: VmId,
-    /// The life of its process.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
-    /// What it runs.
+    /// Role of the VM.
     pub role: VmRole,
-    /// Its availability zone.
+    /// Availability zone of the VM.
     pub zone: ZoneName,
-    /// The service of its backend server; absent for entries.
+    /// Service of the backend server; absent for entries.
     pub service: Option<ServiceName>,
 }
 
-/// One message over a link.
+/// A message between two processes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Says that the sender lives, and what it knows.
+    /// Sender is alive; carries its status.
     Heartbeat(Heartbeat),
-    /// Documents that the receiver's heartbeat lacked.
+    /// Documents that the receiver lacks according to its heartbeat.
     Documents(Vec<PublishedDocument>),
-    /// Entry to owner: a caller's request.
+    /// Entry to owner: request of a caller.
     Forward {
-        /// The request.
+        /// Forwarded request.
         request: Box<Request>,
-        /// How often it was passed on already.
+        /// Number of times that it was forwarded already.
         hops: u8,
     },
-    /// Owner to entry: a part of the answer.
+    /// Owner to entry: part of an answer.
     ForwardReply {
-        /// The request.
+        /// Identifies the request.
         request: RequestId,
-        /// The part.
+        /// Part of the answer.
         part: AnswerPart,
     },
-    /// Entry to owner: the caller is gone.
+    /// Entry to owner: the caller has disconnected.
     ForwardCancel {
-        /// The request.
+        /// Identifies the request.
         request: RequestId,
     },
-    /// Entry to owner: a caller asks for the answer of an earlier call.
+    /// Entry to owner: a caller requests the answer of an earlier call.
     ForwardFetch {
-        /// What it asks for.
+        /// Requested answer.
         fetch: Box<Fetch>,
-        /// How often it was passed on already.
+        /// Number of times that it was forwarded already.
         hops: u8,
     },
-    /// Entry to owner: the caller or an operator ends a program.
+    /// Entry to owner: a caller or an operator ends a program.
     EndProgram {
-        /// The program.
+        /// Identifies the program.
         program: ProgramId,
-        /// Who ends it.
+        /// Reason for the end.
         reason: EndReason,
     },
     /// Owner to sidecar: run a call.
     Dispatch(Box<Dispatch>),
-    /// Sidecar to owner: a part of the answer.
+    /// Sidecar to owner: part of an answer.
     DispatchReply {
-        /// The attempt.
+        /// Identifies the attempt.
         attempt: AttemptId,
-        /// The part.
+        /// Part of the answer.
         part: AnswerPart,
-        /// Whether the call was sent to the backend server; false with a failure means not run.
+        /// Whether the call was sent to the backend server; a failure without it means not run.
         started: bool,
-        /// What was counted so far.
+        /// Usage so far.
         used: Usage,
     },
-    /// Owner to sidecar: stop a call.
+    /// Owner to sidecar: cancel a call.
     Cancel {
-        /// The attempt.
+        /// Identifies the attempt.
         attempt: AttemptId,
     },
-    /// New owner to sidecar: take no more from earlier owners of this partition, and say what is
-    /// kept of their calls.
+    /// New owner to sidecar: reject earlier owners of this partition, and report the calls kept
+    /// from them.
     TakeOver {
-        /// The partition.
+        /// Partition that was taken over.
         partition: PartitionId,
-        /// The new owner's epoch.
+        /// Epoch of the new owner.
         epoch: Epoch,
     },
-    /// Sidecar to new owner: the calls of a partition that no owner has said to be on record.
+    /// Sidecar to new owner: calls of a partition that no owner has confirmed as recorded.
     Kept {
-        /// The partition.
+        /// Partition that was taken over.
         partition: PartitionId,
-        /// The epoch of the owner that asked.
+        /// Epoch of the requesting owner.
         epoch: Epoch,
-        /// The calls.
+        /// Kept calls.
         calls: Vec<KeptCall>,
     },
-    /// Owner to sidecar: never start this attempt from now on, and say what became of it.
+    /// Owner to sidecar: never start this attempt from now on, and report what became of it.
     Fence {
-        /// The attempt.
+        /// Identifies the attempt.
         attempt: AttemptId,
-        /// Its call.
+        /// Call of the attempt.
         call: CallKey,
-        /// Its partition.
+        /// Partition of the program.
         partition: PartitionId,
-        /// The owner's epoch.
+        /// Epoch of the owner.
         epoch: Epoch,
-        /// The epoch under which the attempt was put on record.
+        /// Epoch under which the attempt was recorded.
         started_epoch: Epoch,
-        /// The life of the sidecar to which the attempt was sent.
+        /// Incarnation of the sidecar that the attempt was sent to.
         incarnation: Incarnation,
     },
     /// Sidecar to owner: what became of an attempt.
     FenceReply {
-        /// The attempt.
+        /// Identifies the attempt.
         attempt: AttemptId,
-        /// Its call.
+        /// Call of the attempt.
         call: CallKey,
-        /// What is known.
+        /// Known outcome of the attempt.
         verdict: FenceVerdict,
     },
-    /// Owner to sidecar: send the answer from a position on, and all that follows.
+    /// Owner to sidecar: send the answer from a position on, and all further parts.
     Attach {
-        /// The attempt.
+        /// Identifies the attempt.
         attempt: AttemptId,
-        /// The owner's epoch.
+        /// Epoch of the owner.
         epoch: Epoch,
-        /// The count of characters already received.
+        /// Number of characters already received.
         position: u64,
     },
-    /// Owner to sidecar: the answer is on record and need not be kept.
+    /// Owner to sidecar: the answer is recorded and need not be kept.
     Committed {
-        /// The attempt.
+        /// Identifies the attempt.
         attempt: AttemptId,
     },
-    /// Owner to sidecar: keep the cache of these programs for a while longer.
+    /// Owner to sidecar: renew the cache leases of programs.
     Lease {
-        /// The programs' partition.
+        /// Partition of the programs.
         partition: PartitionId,
-        /// The owner's epoch.
+        /// Epoch of the owner.
         epoch: Epoch,
-        /// The programs.
+        /// Programs to renew.
         programs: Vec<ProgramId>,
-        /// How long the lease lasts.
+        /// Duration of the lease from receipt.
         ttl_us: SpanUs,
     },
-    /// Owner to sidecar: a program has ended; free its cache.
+    /// Owner to sidecar: free the cache of an ended program.
     Release {
-        /// The program.
+        /// Identifies the program.
         program: ProgramId,
-        /// The chains of its prompts and answers as far as the owner knows them; the sidecar may
-        /// have lost its own list with an earlier life.
+        /// Chains of its prompts and answers that the owner knows, since the sidecar may have lost
+        /// its own list in a restart.
         chains: Vec<ChainHash>,
-        /// Its partition.
+        /// Partition of the program.
         partition: PartitionId,
-        /// The owner's epoch.
+        /// Epoch of the owner.
         epoch: Epoch,
     },
-    /// Sidecar to owner: the program holds no cache here.
+    /// Sidecar to owner: the program holds no cache on this backend server.
     Released {
-        /// The program.
+        /// Identifies the program.
         program: ProgramId,
-        /// The tokens freed.
+        /// Number of freed tokens.
         freed_tokens: Tokens,
     },
-    /// Sidecar to entries: the engine's load and what waits at the gate.
+    /// Sidecar to entries: load of the engine and of the admission queue.
     Load(BackendLoad),
-    /// Sidecar to entries: changes of the engine's cache.
+    /// Sidecar to entries: changes of the engine cache.
     Cache {
-        /// The number of the first event.
+        /// Sequence number of the first event.
         first: u64,
-        /// The events.
+        /// Cache events in order.
         events: Vec<CacheEvent>,
     },
-    /// Decider to sidecar: an order for the engine.
+    /// Decider to sidecar: order for the engine.
     Order {
-        /// The life of the sidecar that the decider means.
+        /// Incarnation of the sidecar that the order is for.
         target: Incarnation,
-        /// The order.
+        /// Order to pass to the engine.
         order: OrderBody,
     },
-    /// Sidecar to decider: what became of an order.
+    /// Sidecar to decider: outcome of an order.
     OrderReply {
-        /// The order.
+        /// Identifies the order.
         id: OrderId,
-        /// What became of it.
+        /// Outcome of the order.
         outcome: OrderOutcome,
     },
     /// Sidecar to entries: what the engine serves.
     Engine(EngineState),
 }
 
-/// Says that a process lives, and what it knows.
+/// Status of a process, sent periodically.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The revision in force at the sender, by service.
+    /// Revision in force at the sender, by service.
     pub revisions: BTreeMap<ServiceName, Revision>,
-    /// The offset up to which the sender has read the configuration.
+    /// Offset up to which the sender has read the configuration.
     pub config_offset: Offset,
-    /// Whether the sender takes no new work.
+    /// Whether the sender accepts no new calls.
     pub leaving: bool,
-    /// Whether the sender has read all that it must know.
+    /// Whether the sender is ready to serve.
     pub is_ready: bool,
-    /// How long the sender has not heard the receiver.
+    /// Time since the sender last received a message from the receiver.
     pub silence_us: SpanUs,
-    /// Entry to sidecar: the number of the decider for its service.
+    /// Entry to sidecar: fencing number of the decider for the sidecar's service.
     pub decider: Option<FencingNumber>,
 }
 
-/// A call on its way to a backend server.
+/// A call that an owner sends to a sidecar.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Dispatch {
-    /// This attempt.
+    /// Identifies the attempt.
     pub attempt: AttemptId,
-    /// The request that the caller's entry drew for the call.
+    /// Request id that the caller's entry generated for the call.
     pub request: RequestId,
-    /// The digest of the request.
+    /// Digest of the request.
     pub digest: ChainHash,
-    /// The call.
+    /// Identifies the call.
     pub call: CallKey,
-    /// The program's partition.
+    /// Partition of the program.
     pub partition: PartitionId,
     /// The owner's epoch.
     pub epoch: Epoch,
-    /// The service.
+    /// Service to call.
     pub service: ServiceName,
-    /// The revision under which the whole call runs.
+    /// Document revision that applies to the whole call.
     pub revision: Revision,
-    /// The class.
+    /// Class of the call.
     pub class: ClassName,
-    /// Whether the call may be run again.
+    /// Whether the call may be run more than once.
     pub idempotent: bool,
-    /// The time left to the deadline.
+    /// Time left until the deadline.
     pub deadline_left_us: SpanUs,
-    /// What the program, with its sub-agents, has been served so far.
+    /// Service that the program and its sub-agents have attained so far.
     pub attained_tokens: Tokens,
-    /// The most tokens to generate; reserved from the budget.
+    /// Maximum number of tokens to generate, which is reserved from the budget.
     pub max_output_tokens: Tokens,
-    /// The tokens that the call will probably generate.
+    /// Expected number of generated tokens.
     pub expected_output_tokens: Tokens,
-    /// The tool that the program says it will call after this turn.
+    /// Tool that the program has announced to call after this turn.
     pub next_tool: Option<ToolName>,
-    /// What to run.
+    /// Content of the call.
     pub payload: Payload,
 }
 
-/// What became of an engine order.
+/// Outcome of an engine order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderOutcome {
-    /// The engine's state shows its effect.
+    /// The engine's state shows the effect.
     Done,
-    /// It was not passed to the engine, and why.
+    /// The order was not passed to the engine, for the given reason.
     Refused(String),
-    /// The engine did not carry it out, and why.
+    /// The engine did not execute the order, for the given reason.
     Failed(String),
 }
 
-/// A call that a sidecar keeps until its owner says that it is on record.
+/// A call that a sidecar keeps until its owner confirms that it is recorded.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct KeptCall {
-    /// The attempt, to attach to.
+    /// Attempt to attach to.
     pub attempt: AttemptId,
-    /// The caller's request.
+    /// Request of the caller.
     pub request: RequestId,
-    /// The digest of the request.
+    /// Digest of the request.
     pub digest: ChainHash,
-    /// The call.
+    /// Identifies the call.
     pub call: CallKey,
-    /// Whether it may be run again.
+    /// Whether the call may be run more than once.
     pub idempotent: bool,
-    /// Whether it has ended with an answer.
+    /// Whether the call has ended with an answer.
     pub answered: bool,
-    /// Whether it has ended at all.
+    /// Whether the call has ended.
     pub ended: bool,
-    /// What was counted so far.
+    /// Usage so far.
     pub used: Usage,
-    /// The transcript that it was given; empty for plain calls.
+    /// Transcript sent with the call; empty for plain calls.
     pub messages: Vec<ChatMessage>,
-    /// The text of its answer so far.
+    /// Text of the answer so far.
     pub answer: String,
 }
 
-/// What became of a fenced call.
+/// Outcome of a fenced call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FenceVerdict {
-    /// It was never sent to the backend server, and never will be.
+    /// The call was never sent to the backend server, and never will be.
     NeverRan,
-    /// It runs; attach to it.
+    /// The call is running and can be attached to.
     Running,
-    /// It has ended; attach to get the answer.
+    /// The call has ended; attaching returns the answer.
     Ended,
-    /// The sidecar has restarted since, or keeps nothing of it.
+    /// The sidecar has restarted since, or keeps no record of the call.
     Unknown,
 }
 
-/// A backend server's load as its sidecar knows it.
+/// Load of a backend server as known to its sidecar.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendLoad {
-    /// The engine's own report.
+    /// Load reported by the engine.
     pub engine: LoadReport,
-    /// Calls that wait at the gate.
+    /// Number of calls that wait for admission.
     pub waiting: u32,
-    /// Tokens of prompt and expected output that wait at the gate.
+    /// Prompt tokens of the calls that wait for admission.
     pub waiting_tokens: Tokens,
 }
--- a/clementinepick/src/program_end.rs
+++ b/clementinepick/src/program_end.rs
@@ -1,4 +1,4 @@
-//! Ends programs and frees the engine memory that they hold.
+//! Ends programs and frees the engine cache that they hold.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,20 +14,20 @@
 use crate::record::{EndReason, OwnedRecord};
 use crate::units::{SpanUs, TimeUs};
 
-/// The time between two releases of the same program's memory while one is not confirmed.
-const RELEASE_AGAIN_US: SpanUs = SpanUs::from_s(2);
-/// The time between two requests for a program's end while it is not on record.
-const END_AGAIN_US: SpanUs = SpanUs::from_s(1);
-/// How long a program's end is asked for; past it the program is idle at its owner.
-const END_ASKED_US: SpanUs = SpanUs::from_s(900);
-/// The most programs that one record forgets.
-const MAX_FORGOTTEN: usize = 256;
+/// Time between two release requests for the same program while a sidecar has not confirmed.
+const RELEASE_RETRY_INTERVAL_US: SpanUs = SpanUs::from_s(2);
+/// Time between two requests to end a program while its end is not recorded.
+const END_RETRY_INTERVAL_US: SpanUs = SpanUs::from_s(1);
+/// Time after which requests to end a program stop; by then its owner ends it as idle.
+const END_REQUEST_TIMEOUT_US: SpanUs = SpanUs::from_s(900);
+/// Maximum number of programs in one `ProgramsForgotten` record.
+const MAX_FORGOTTEN_PER_RECORD: usize = 256;
 
 impl Entry {
-    /// A caller or an operator ends a program.
+    /// Requests the end of a program on behalf of a caller or an operator.
     ///
-    /// The owner may be lost with the request for it, and the program would hold memory until it
-    /// counts as idle. So the request is repeated until the end is read from the log.
+    /// The owner may fail before it records the end, and the program would hold cache until it is
+    /// idle. So the request is repeated until the end is read from the log.
     pub(crate) fn request_program_end(
         &mut self,
         now: TimeUs,
@@ -38,12 +38,13 @@
         let ending = Ending {
             reason,
             next_us: now,
-            until_us: now.after(END_ASKED_US),
+            until_us: now.after(END_REQUEST_TIMEOUT_US),
         };
         self.ending.insert(program, ending);
         self.resend_end_requests(now, out);
     }
 
+    /// Repeats the due requests to end programs, and drops those that are fulfilled or too old.
     pub(crate) fn resend_end_requests(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
         let due: Vec<ProgramId> = self
             .ending
@@ -55,7 +56,7 @@
             let partition = self.home_of(&program, &program);
             let state = self.partitions.program(partition, &program);
             let is_ended = state.is_some_and(|state| state.ended.is_some());
-            // The owner has read all there is of a program that it does not know.
+            // This entry owns the partition and has read its log, so the program does not exist.
             let is_unknown = state.is_none()
                 && self.own_epoch(partition).is_some()
                 && !self.programs.contains_key(&program);
@@ -66,7 +67,7 @@
                 self.ending.remove(&program);
                 continue;
             }
-            ending.next_us = now.after(END_AGAIN_US);
+            ending.next_us = now.after(END_RETRY_INTERVAL_US);
             let reason = ending.reason;
             if self.is_caught_up() {
                 self.end_program(now, program, reason, out);
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Ends a program with its sub-agents.
+    /// Ends a program and its sub-agents, or forwards the request to the owner.
     pub(crate) fn end_program(
         &mut self,
         now: TimeUs,
@@ -84,10 +85,10 @@
     ) {
         let partition = self.home_of(&program, &program);
         if self.own_epoch(partition).is_none() {
-            self.pass_end_on(now, program, reason, partition, out);
+            self.forward_end_request(now, program, reason, partition, out);
             return;
         }
-        for child in self.children_of(partition, &program) {
+        for child in self.open_children(partition, &program) {
             self.end_program(now, child, EndReason::Parent, out);
         }
         let state = self.partitions.program(partition, &program);
@@ -115,21 +116,21 @@
             };
             self.ended.insert(program.clone(), ended);
         }
-        let (holders, chains) = self.held_memory(partition, &program);
+        let (holders, chains) = self.held_cache(partition, &program);
         let live = self.programs.remove(&program);
-        self.refuse_waiting(now, &program, reason, out);
+        self.refuse_waiting_calls(now, &program, reason, out);
         if is_open || live.is_some() {
             let event = Event::new(EventKind::ProgramEnded).with("program", &program);
             let event = event.with("reason", format!("{reason:?}"));
             out.push(EntryAction::Event(event));
         }
-        self.release(now, partition, program, (holders, chains), out);
+        self.release_cache(now, partition, program, (holders, chains), out);
     }
 
-    /// The sidecars that may hold cache of a program, and the chains of what they may hold.
+    /// Returns the sidecars that may hold cache of a program, and the chains that they may hold.
     ///
-    /// A program that an earlier owner served may have cache anywhere.
-    fn held_memory(
+    /// A program that an earlier owner served may have cache on any sidecar.
+    fn held_cache(
         &self,
         partition: PartitionId,
         program: &ProgramId,
@@ -143,7 +144,7 @@
             let prompt = Prompt::of_messages(&history.messages);
             chains.extend(prompt.segments.iter().map(|segment| segment.chain));
             if live.is_none_or(|live| live.is_inherited) && !chains.is_empty() {
-                // Also where a sidecar is just down, its engine may hold on.
+                // The engine of a sidecar that is down may still hold cache.
                 let listed = self.vms.values().filter(|vm| vm.role == VmRole::Sidecar);
                 holders.extend(listed.map(|vm| vm.id.clone()));
                 holders.extend(self.sidecars().cloned());
@@ -152,7 +153,8 @@
         (holders, chains)
     }
 
-    /// Releases anew what an earlier owner may have been releasing when it was lost.
+    /// Releases the cache of all ended programs, since an earlier owner may have failed during a
+    /// release.
     pub(crate) fn release_ended_programs(
         &mut self,
         now: TimeUs,
@@ -165,12 +167,12 @@
         let ended = state.programs.iter().filter(|(_, p)| p.ended.is_some());
         let ended: Vec<ProgramId> = ended.map(|(id, _)| id.clone()).collect();
         for program in ended {
-            let held = self.held_memory(partition, &program);
-            self.release(now, partition, program, held, out);
+            let held = self.held_cache(partition, &program);
+            self.release_cache(now, partition, program, held, out);
         }
     }
 
-    fn pass_end_on(
+    fn forward_end_request(
         &mut self,
         now: TimeUs,
         program: ProgramId,
@@ -185,7 +187,7 @@
         }
     }
 
-    fn children_of(&self, partition: PartitionId, program: &ProgramId) -> Vec<ProgramId> {
+    fn open_children(&self, partition: PartitionId, program: &ProgramId) -> Vec<ProgramId> {
         let Some(state) = self.partitions.get(partition) else {
             return Vec::new();
         };
@@ -195,9 +197,9 @@
             .collect()
     }
 
-    /// Refuses the calls of an ended program that have not been sent on; what runs and may run
-    /// again is cancelled by the release, and what may not is let finish.
-    fn refuse_waiting(
+    /// Refuses the calls of an ended program that have not been dispatched. Of the dispatched
+    /// calls, the release cancels the idempotent ones, and the others run to their end.
+    fn refuse_waiting_calls(
         &mut self,
         now: TimeUs,
         program: &ProgramId,
@@ -217,7 +219,8 @@
             .map(|(id, _)| *id)
             .collect();
         for id in ids {
-            let detail = format!("the program has ended ({reason:?})");
+            let detail =
+                format!("the program ended before the call was dispatched (reason: {reason:?})");
             self.refuse(
                 now,
                 id,
@@ -227,11 +230,11 @@
         }
     }
 
-    /// Asks all sidecars that may hold a program's cache to free it.
+    /// Requests all sidecars that may hold a program's cache to free it.
     ///
-    /// A release that was lost would leave the memory held for as long as the engine lives; so it
-    /// is repeated until each sidecar has confirmed, and a new owner releases anew.
-    pub(crate) fn release(
+    /// A lost request would leave the cache allocated until the engine restarts. So it is repeated
+    /// until each sidecar has confirmed, and a new owner starts the release again.
+    pub(crate) fn release_cache(
         &mut self,
         now: TimeUs,
         partition: PartitionId,
@@ -253,15 +256,16 @@
         self.send_due_releases(now, out);
     }
 
+    /// Sends the due release requests to the sidecars that have not confirmed.
     pub(crate) fn send_due_releases(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
-        self.drop_gone_holders();
+        self.drop_removed_holders();
         let mut due = Vec::new();
         for (program, releasing) in &mut self.releasing {
             if now < releasing.next_us {
                 continue;
             }
             releasing.next_us = if self.settings.safeguards.release_repeat {
-                now.after(RELEASE_AGAIN_US)
+                now.after(RELEASE_RETRY_INTERVAL_US)
             } else {
                 TimeUs(u64::MAX)
             };
@@ -284,8 +288,8 @@
         }
     }
 
-    /// Forgets holders whose VM is gone, and with it its engine's memory.
-    fn drop_gone_holders(&mut self) {
+    /// Removes holders whose VM no longer exists, and with it the engine's cache.
+    fn drop_removed_holders(&mut self) {
         if self.vms.is_empty() {
             return;
         }
@@ -306,7 +310,7 @@
         }
     }
 
-    /// The sidecars that this entry has a link to.
+    /// Returns the sidecars that this entry is linked to.
     pub(crate) fn sidecars(&self) -> impl Iterator<Item = &VmId> {
         self.peers
             .iter()
@@ -314,7 +318,7 @@
             .map(|(vm, _)| vm)
     }
 
-    /// Tells sidecars which programs live, so that their cache stays.
+    /// Renews the cache leases of open programs at the sidecars that hold them.
     pub(crate) fn renew_leases(&self, out: &mut Vec<EntryAction>) {
         let mut leases: BTreeMap<(&VmId, PartitionId), (SpanUs, Vec<ProgramId>)> = BTreeMap::new();
         for (program, live) in &self.programs {
@@ -346,11 +350,12 @@
         in_force.map_or(SpanUs::from_s(30), |s| s.document.retention.lease_us)
     }
 
-    /// Ends programs that are idle, out of time or out of budget.
+    /// Ends programs that are idle, past their deadline or out of budget, and refuses calls whose
+    /// predecessors did not arrive in time.
     pub(crate) fn end_expired_programs(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
-        let mut over: Vec<(ProgramId, EndReason)> = Vec::new();
-        let mut overdue = Vec::new();
-        let mut moved = Vec::new();
+        let mut expired: Vec<(ProgramId, EndReason)> = Vec::new();
+        let mut overdue_calls = Vec::new();
+        let mut unblocked = Vec::new();
         for (program, live) in &mut self.programs {
             let Some(state) = self.partitions.program(live.partition, program) else {
                 continue;
@@ -361,33 +366,34 @@
             let rules = &in_force.document.program;
             let late = live.order.overdue(now, rules.gap_us);
             if late.is_empty() && !live.order.is_idle() {
-                moved.push(program.clone());
+                unblocked.push(program.clone());
             }
-            overdue.extend(late);
+            overdue_calls.extend(late);
             live.spending.set_time(now.since(live.since_us));
             let is_root = state.root.is_none();
             if is_root && state.account.is_overdue(&live.spending) {
-                over.push((program.clone(), EndReason::Deadline));
+                expired.push((program.clone(), EndReason::Deadline));
             } else if live.is_spent && live.order.is_idle() {
-                over.push((program.clone(), EndReason::Budget));
+                expired.push((program.clone(), EndReason::Budget));
             } else if live.order.is_idle()
                 && live.tail.is_empty()
                 && now.since(live.last_used_us) >= rules.idle_us
             {
-                over.push((program.clone(), EndReason::Idle));
+                expired.push((program.clone(), EndReason::Idle));
             }
         }
-        for id in overdue {
-            let detail = "an earlier call did not come in time";
+        for id in overdue_calls {
+            let detail = "an earlier call of the program did not arrive in time";
             self.refuse(now, id, CallError::new(ErrorKind::OutOfOrder, detail), out);
         }
-        for program in moved {
+        for program in unblocked {
             self.start_next(now, &program, out);
         }
-        for (program, reason) in over {
-            // A parent that only waits for its sub-agents is not idle.
-            let waits = reason == EndReason::Idle && self.has_busy_children(now, &program);
-            if !waits {
+        for (program, reason) in expired {
+            // A parent that waits for its sub-agents is not idle.
+            let waits_for_children =
+                reason == EndReason::Idle && self.has_busy_children(now, &program);
+            if !waits_for_children {
                 self.end_program(now, program, reason, out);
             }
         }
@@ -397,7 +403,7 @@
         let Some(live) = self.programs.get(program) else {
             return false;
         };
-        let children = self.children_of(live.partition, program);
+        let children = self.open_children(live.partition, program);
         children.iter().any(|child| {
             let live = self.programs.get(child);
             live.is_some_and(|live| now.since(live.last_used_us) < SpanUs::from_s(60))
@@ -405,19 +411,19 @@
         })
     }
 
-    /// Drops programs that ended a while ago, so that neither memory nor snapshots grow for ever.
+    /// Drops programs past `keep_ended_us` after their end, which bounds memory and snapshots.
     pub(crate) fn forget_ended_programs(&mut self, now: TimeUs) {
         let keep_us = self.settings.keep_ended_us;
-        let mut old: BTreeMap<PartitionId, Vec<ProgramId>> = BTreeMap::new();
+        let mut forgettable: BTreeMap<PartitionId, Vec<ProgramId>> = BTreeMap::new();
         for (program, ended) in &self.ended {
             if now.since(ended.at_us) >= keep_us && !self.releasing.contains_key(program) {
-                let programs = old.entry(ended.partition).or_default();
-                if programs.len() < MAX_FORGOTTEN {
+                let programs = forgettable.entry(ended.partition).or_default();
+                if programs.len() < MAX_FORGOTTEN_PER_RECORD {
                     programs.push(program.clone());
                 }
             }
         }
-        for (partition, programs) in old {
+        for (partition, programs) in forgettable {
             for program in &programs {
                 self.ended.remove(program);
             }
--- a/clementinepick/src/rules.rs
+++ b/clementinepick/src/rules.rs
@@ -1,24 +1,24 @@
-//! The rules that a service's document sets, with the values that hold where it sets none.
+//! Defines the rules that a service's document sets, and their defaults.
 
 use crate::ids::{CategoryName, ClassName, ModelName, VersionName};
 use crate::units::{Percent, SpanUs, Tokens};
 
-/// The rules for one class of calls.
+/// Rules for a class of calls.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClassRules {
-    /// The order of classes at the gate: a lower rank goes first.
+    /// Admission priority of the class; lower ranks go first.
     pub rank: u32,
-    /// The class's weight among classes of the same rank.
+    /// Weight among classes of the same rank.
     pub weight: u32,
-    /// The category whose share and limit it counts against.
+    /// Category whose share and limit apply to the class.
     pub category: Option<CategoryName>,
-    /// The deadline of a call that brings none, and the most that one may bring.
+    /// Default and maximum deadline of a call.
     pub deadline_us: SpanUs,
-    /// The longest wait at the gate after which the call is treated as of the first rank.
+    /// Wait for admission after which a call is promoted to the first rank.
     pub max_wait_us: SpanUs,
-    /// The most output tokens of a turn.
+    /// Maximum number of output tokens of a turn.
     pub max_output_tokens: Tokens,
-    /// The most calls of the class that run at once over the service; absent: no limit.
+    /// Maximum number of running calls of the class across the service; absent: unlimited.
     pub max_running: Option<u32>,
 }
 
@@ -36,29 +36,29 @@
     }
 }
 
-/// The rules for a category of classes.
+/// Rules for a category of classes.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct CategoryRules {
-    /// The share of each backend server that is kept for it while it has work.
+    /// Share of each backend server that is reserved for the category while it has calls.
     pub share: Percent,
-    /// The share of each backend server that it may use at most; absent: all.
+    /// Maximum share of each backend server that the category may use; absent: all.
     pub limit: Option<Percent>,
 }
 
-/// What a program of the service may do.
+/// Limits of a program.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProgramRules {
-    /// Prompt and output tokens over all calls.
+    /// Maximum number of prompt and output tokens of all calls.
     pub budget_tokens: Tokens,
-    /// Calls.
+    /// Maximum number of calls.
     pub budget_calls: u64,
-    /// Time from the first call to the end.
+    /// Maximum time from the first call to the end.
     pub budget_time_us: SpanUs,
     /// Time without a call after which the program ends.
     pub idle_us: SpanUs,
-    /// How long a call waits for an earlier one of its program that has not come.
+    /// Maximum time for which a call waits for an earlier one of its program to arrive.
     pub gap_us: SpanUs,
-    /// Identical calls in a row after which the loop guard ends the program.
+    /// Number of consecutive identical calls after which the loop guard ends the program.
     pub max_repeats: u32,
 }
 
@@ -75,12 +75,12 @@
     }
 }
 
-/// How long engines keep a program's prefix.
+/// Rules for the retention of programs' prefixes in engine caches.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RetentionRules {
-    /// The longest that a prefix is kept for a program that has not come back.
+    /// Maximum time for which the prefix of a paused program is kept.
     pub max_keep_us: SpanUs,
-    /// The lease that an owner renews; without renewal a sidecar frees the cache itself.
+    /// Duration of a cache lease; a sidecar frees cache whose lease the owner does not renew.
     pub lease_us: SpanUs,
 }
 
@@ -93,12 +93,12 @@
     }
 }
 
-/// Retries of idempotent calls.
+/// Rules for retries of idempotent calls.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RetryRules {
-    /// The most attempts of one call.
+    /// Maximum number of attempts of a call.
     pub max_attempts: u32,
-    /// Retries as a share of the calls, over the service.
+    /// Maximum ratio of retries to calls across the service.
     pub budget: Percent,
 }
 
@@ -111,51 +111,51 @@
     }
 }
 
-/// The rules for one route of a plain service.
+/// Rules for a route of a plain service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RouteRules {
-    /// The HTTP method, in capitals.
+    /// HTTP method in upper case.
     pub method: String,
-    /// The start of the path.
+    /// Prefix of the path.
     pub prefix: String,
-    /// Whether its calls may be run again.
+    /// Whether calls of the route may be run more than once.
     pub idempotent: bool,
-    /// The class of its calls; absent: the document's default.
+    /// Class of the route's calls; absent: default class of the document.
     pub class: Option<ClassName>,
 }
 
-/// A model that engines are ordered to load.
+/// Rules for a model that engines are ordered to load.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ModelRules {
-    /// The version.
+    /// Version to load.
     pub version: VersionName,
-    /// The least count of engines that serve it; absent: all.
+    /// Minimum number of engines that serve the model; absent: all.
     pub min_engines: Option<u32>,
 }
 
-/// An adapter that is loaded wherever its model is.
+/// Rules for an adapter, which is loaded on every engine that serves its model.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AdapterRules {
-    /// The model that it belongs to.
+    /// Model that the adapter belongs to.
     pub model: ModelName,
-    /// The version.
+    /// Version to load.
     pub version: VersionName,
 }
 
-/// How engines are changed while they serve.
+/// Rules for engine orders while the service is running.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlacementRules {
-    /// The least time between two loads over the service: its part of the weight store's rate.
+    /// Minimum time between two loads across the service, by its share of the weight store's rate.
     pub load_interval_us: SpanUs,
-    /// The most engines that load at a time.
+    /// Maximum number of engines that load at the same time.
     pub max_loading: u32,
-    /// The share of the engines that go on serving while others load.
+    /// Minimum share of the engines that keep serving while others load.
     pub min_serving: Percent,
-    /// The wait after an order failed; it doubles with each failure in a row.
+    /// Initial backoff after a failed order, which doubles with each consecutive failure.
     pub retry_after_us: SpanUs,
-    /// The count of engines that only prefill.
+    /// Number of engines that only prefill.
     pub prefill_engines: u32,
-    /// The count of engines that only decode.
+    /// Number of engines that only decode.
     pub decode_engines: u32,
 }
 
--- a/clementinepick/src/safeguards.rs
+++ b/clementinepick/src/safeguards.rs
@@ -1,43 +1,43 @@
-//! Switches that take one safeguard out, to show in test runs that its absence is noticed.
+//! Defines switches that disable single safeguards, so that tests can show that each one is needed.
 
-/// Which safeguards are in force; all of them unless a test run says otherwise.
+/// Enabled safeguards; all of them by default.
 ///
-/// For test runs only: a daemon never sets these.
+/// Only test runs disable one; a daemon never does.
 #[expect(
     clippy::struct_excessive_bools,
-    reason = "each safeguard is taken out on its own"
+    reason = "each safeguard is disabled independently"
 )]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Safeguards {
-    /// A sidecar refuses an owner whose epoch is older than the highest seen.
+    /// A sidecar rejects an owner whose epoch is lower than the highest known one.
     pub epoch_check: bool,
-    /// A non-idempotent call is put on record before it is sent.
+    /// A non-idempotent call is recorded before it is dispatched.
     pub call_started_record: bool,
-    /// Open calls of an earlier owner are fenced at their sidecar before anything else is done.
+    /// A new owner first fences open calls of an earlier owner at their sidecars.
     pub fence: bool,
-    /// A repeat of a call is given the first one's answer.
+    /// A repeated call gets the answer of the first one.
     pub dedup: bool,
-    /// A claim is in force only over the claim that it names.
+    /// A claim takes effect only if the current claim is the one that it names.
     pub claim_cas: bool,
-    /// An owner acts on its records only after it has read them back.
+    /// An owner acts on its records only after reading them back from the log.
     pub read_back: bool,
-    /// A sidecar frees cache whose lease was not renewed.
+    /// A sidecar frees cache whose lease has expired.
     pub lease_lapse: bool,
-    /// Only idempotent calls are tried again after they were sent on.
+    /// Only idempotent calls are retried after they were dispatched.
     pub retry_only_idempotent: bool,
-    /// Turns and transcripts are checked against the chain of the history.
+    /// Turns and transcripts are verified against the hash chain of the history.
     pub digest_check: bool,
-    /// Spending happens only out of slices that are on record.
+    /// Budget is spent only from recorded slices.
     pub slice_on_record: bool,
-    /// A document's revision never goes down in a process.
+    /// The revision of a document never decreases in a process.
     pub revision_monotonic: bool,
-    /// Orders to free the cache of an ended program are repeated until confirmed.
+    /// Requests to free the cache of an ended program are repeated until confirmed.
     pub release_repeat: bool,
-    /// A sidecar tells its engine now and then all that is to be kept.
+    /// A sidecar periodically sends its engine the list of all chains to retain.
     pub retain: bool,
-    /// Calls of one program wait for each other.
+    /// Calls of a program run one after the other.
     pub order: bool,
-    /// A sidecar cuts a turn off that runs over the tokens reserved for it.
+    /// A sidecar ends a turn that exceeds the tokens reserved for it.
     pub output_cut: bool,
 }
 
@@ -64,7 +64,7 @@
 }
 
 impl Safeguards {
-    /// The names of all safeguards, as [`Safeguards::without`] takes them.
+    /// Names of all safeguards, as accepted by [`Safeguards::without`].
     pub const NAMES: &'static [&'static str] = &[
         "epoch_check",
         "call_started_record",
@@ -83,7 +83,7 @@
         "output_cut",
     ];
 
-    /// All safeguards but the one of this name; `None` when there is none such.
+    /// Returns all safeguards except the named one, or `None` if the name is unknown.
     #[must_use]
     pub fn without(name: &str) -> Option<Self> {
         let mut all = Self::default();
@@ -115,9 +115,9 @@
     use super::*;
 
     #[test]
-    fn each_name_takes_one_safeguard_out() {
+    fn each_name_disables_one_safeguard() {
         for name in Safeguards::NAMES {
-            let without = Safeguards::without(name).expect("a known name");
+            let without = Safeguards::without(name).expect("known name");
             assert_ne!(without, Safeguards::default(), "{name}");
         }
         assert_eq!(Safeguards::without("none"), None);
