--- a/clementinepick/src/handover.rs
+++ b/clementinepick/src/handover.rs
@@ -8,7 +8,8 @@
 use crate::record::OwnedRecord;
 use crate::units::{SpanUs, TimeUs};
 
-/// Time for which an entry must be linked before idle partitions are handed to it.
+/// Time that must pass after an entry was linked, and after the last takeover of a partition, before
+/// the idle partition is handed to the entry.
 const MIN_LINKED_US: SpanUs = SpanUs::from_s(20);
 
 impl Entry {
