--- a/clementinepick/src/handover.rs
+++ b/clementinepick/src/handover.rs
@@ -5,18 +5,18 @@
 use crate::entry::{Entry, EntryAction};
 use crate::error::{CallError, ErrorKind};
 use crate::ids::{PartitionId, RequestId};
-use crate::record::OwnedRecord;
+use crate::record::PartitionRecord;
 use crate::units::{SpanUs, TimeUs};
 
-/// Time that must pass after an entry was linked, and after the last takeover of a partition, before
-/// the idle partition is handed to the entry.
+/// Time that must pass after an entry was linked, and after the last takeover of a partition,
+/// before the idle partition is handed to the entry.
 const MIN_LINKED_US: SpanUs = SpanUs::from_s(20);
 
 impl Entry {
     /// Selects partitions to hand over, and yields the selected ones that are idle.
     pub(crate) fn hand_over_partitions(&mut self, now: TimeUs) {
         if self.leaving {
-            self.yielding = self.own_partitions().into_iter().collect();
+            self.yielding = self.owned_partitions().into_iter().collect();
         } else {
             self.select_idle_partition(now);
         }
@@ -36,11 +36,13 @@
     fn is_busy(&self, partition: PartitionId) -> bool {
         let calls = self.calls.values().filter(|c| c.partition == partition);
         let open = self.open_calls.values().any(|o| o.partition == partition);
-        let pending = self
-            .programs
-            .values()
-            .any(|live| live.partition == partition && (!live.tail.is_empty() || live.opening));
-        open || pending || calls.into_iter().any(crate::call_state::Call::is_under_way)
+        let pending = self.programs.values().any(|live| {
+            live.partition == partition && (!live.pending_turns.is_empty() || live.is_opening)
+        });
+        open || pending
+            || calls
+                .into_iter()
+                .any(crate::call_state::Call::blocks_handover)
     }
 
     /// Selects one idle partition at a time for the entry that should own it.
@@ -51,13 +53,13 @@
         if !self.yielding.is_empty() || self.journal.is_down() || !self.is_caught_up() {
             return;
         }
-        let selected = self.own_partitions().into_iter().find(|partition| {
+        let selected = self.owned_partitions().into_iter().find(|partition| {
             let successor = self.claimant(*partition);
             successor.is_some_and(|vm| self.is_stably_linked(now, &vm))
                 && !self.calls.values().any(|c| c.partition == *partition)
                 && !self.is_busy(*partition)
                 && self
-                    .claim_pace
+                    .claim_backoffs
                     .get(partition)
                     .is_none_or(|pace| now.since(pace.last_change_us) >= MIN_LINKED_US)
         });
@@ -66,12 +68,12 @@
 
     fn is_stably_linked(&self, now: TimeUs, vm: &crate::ids::VmId) -> bool {
         let peer = self.peers.get(vm);
-        peer.is_some_and(|peer| now.since(peer.up_us) >= MIN_LINKED_US)
+        peer.is_some_and(|peer| now.since(peer.link_up_us) >= MIN_LINKED_US)
     }
 
     fn write_yield(&mut self, now: TimeUs, partition: PartitionId) {
         self.return_slices(now, partition);
-        let Some(record) = self.write_owned(partition, OwnedRecord::Yielded) else {
+        let Some(record) = self.write_owned(partition, PartitionRecord::Yielded) else {
             return;
         };
         self.awaited.insert(record, Awaited::Yield(partition));
@@ -88,7 +90,7 @@
             let Some(state) = state.programs.get(program) else {
                 continue;
             };
-            if state.root.is_some() || state.ended.is_some() || live.slicing {
+            if state.root.is_some() || state.ended.is_some() || live.is_reserving_slice {
                 continue;
             }
             live.spending.set_time(now.since(live.since_us));
@@ -97,7 +99,7 @@
             returned.push((program.clone(), before, unused));
         }
         for (program, before, unused) in returned {
-            let entry = OwnedRecord::SliceReturned {
+            let entry = PartitionRecord::SliceReturned {
                 program,
                 before,
                 unused,
@@ -131,10 +133,10 @@
                 }
             };
             if kind == ErrorKind::OutcomeUnknown {
-                call.claim = None;
+                call.recorded_start = None;
             }
             let error = CallError::new(kind, "the entry was shut down before the call ended");
-            self.refuse(now, id, error, out);
+            self.fail_call(now, id, error, out);
         }
     }
 
@@ -144,10 +146,10 @@
             && self.calls.is_empty()
             && self.fetches.is_empty()
             && self
-                .ending
+                .end_requests
                 .values()
                 .all(|ending| ending.next_us > self.last_handled_us)
             && self.journal.unconfirmed() == 0
-            && self.own_partitions().is_empty()
+            && self.owned_partitions().is_empty()
     }
 }
--- a/clementinepick/src/invariants.rs
+++ b/clementinepick/src/invariants.rs
@@ -39,7 +39,7 @@
         attempt: AttemptId,
     ) -> Option<&'static str> {
         let is_claimed = call
-            .claim
+            .recorded_start
             .as_ref()
             .is_some_and(|claim| claim.attempt == attempt);
         let runs_concurrently = self.calls.iter().any(|(other, running)| {
--- a/clementinepick/src/program_end.rs
+++ b/clementinepick/src/program_end.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::call_state::{Awaited, EndedProgram, Ending, LiveProgram, Releasing, Step};
+use crate::call_state::{Awaited, EndRequest, EndedProgram, LiveProgram, Releasing, Step};
 use crate::entry::{Entry, EntryAction};
 use crate::error::{CallError, ErrorKind};
 use crate::event::{Event, EventKind};
@@ -11,7 +11,7 @@
 use crate::message::Message;
 use crate::platform::VmRole;
 use crate::prompt::{ChainHash, Prompt};
-use crate::record::{EndReason, OwnedRecord};
+use crate::record::{EndReason, PartitionRecord};
 use crate::units::{SpanUs, TimeUs};
 
 /// Time between two release requests for the same program while a sidecar has not confirmed.
@@ -35,36 +35,36 @@
         reason: EndReason,
         out: &mut Vec<EntryAction>,
     ) {
-        let ending = Ending {
+        let ending = EndRequest {
             reason,
             next_us: now,
             until_us: now.after(END_REQUEST_TIMEOUT_US),
         };
-        self.ending.insert(program, ending);
+        self.end_requests.insert(program, ending);
         self.resend_end_requests(now, out);
     }
 
     /// Repeats the due requests to end programs, and drops those that are fulfilled or too old.
     pub(crate) fn resend_end_requests(&mut self, now: TimeUs, out: &mut Vec<EntryAction>) {
         let due: Vec<ProgramId> = self
-            .ending
+            .end_requests
             .iter()
             .filter(|(_, ending)| now >= ending.next_us)
             .map(|(program, _)| program.clone())
             .collect();
         for program in due {
-            let partition = self.home_of(&program, &program);
+            let partition = self.partition_of(&program, &program);
             let state = self.partitions.program(partition, &program);
             let is_ended = state.is_some_and(|state| state.ended.is_some());
             // This entry owns the partition and has read its log, so the program does not exist.
             let is_unknown = state.is_none()
                 && self.own_epoch(partition).is_some()
                 && !self.programs.contains_key(&program);
-            let Some(ending) = self.ending.get_mut(&program) else {
+            let Some(ending) = self.end_requests.get_mut(&program) else {
                 continue;
             };
             if is_ended || is_unknown || now >= ending.until_us {
-                self.ending.remove(&program);
+                self.end_requests.remove(&program);
                 continue;
             }
             ending.next_us = now.after(END_RETRY_INTERVAL_US);
@@ -83,7 +83,7 @@
         reason: EndReason,
         out: &mut Vec<EntryAction>,
     ) {
-        let partition = self.home_of(&program, &program);
+        let partition = self.partition_of(&program, &program);
         if self.own_epoch(partition).is_none() {
             self.forward_end_request(now, program, reason, partition, out);
             return;
@@ -101,7 +101,7 @@
             return;
         }
         if is_open {
-            let entry = OwnedRecord::ProgramEnded {
+            let entry = PartitionRecord::ProgramEnded {
                 program: program.clone(),
                 last,
                 reason,
@@ -221,7 +221,7 @@
         for id in ids {
             let detail =
                 format!("the program ended before the call was dispatched (reason: {reason:?})");
-            self.refuse(
+            self.fail_call(
                 now,
                 id,
                 CallError::new(ErrorKind::ProgramEnded, detail),
@@ -364,19 +364,19 @@
                 continue;
             };
             let rules = &in_force.document.program;
-            let late = live.order.overdue(now, rules.gap_us);
-            if late.is_empty() && !live.order.is_idle() {
+            let late = live.sequencer.take_overdue(now, rules.gap_us);
+            if late.is_empty() && !live.sequencer.is_idle() {
                 unblocked.push(program.clone());
             }
             overdue_calls.extend(late);
             live.spending.set_time(now.since(live.since_us));
             let is_root = state.root.is_none();
-            if is_root && state.account.is_overdue(&live.spending) {
+            if is_root && state.account.is_time_exhausted(&live.spending) {
                 expired.push((program.clone(), EndReason::Deadline));
-            } else if live.is_spent && live.order.is_idle() {
+            } else if live.is_budget_exhausted && live.sequencer.is_idle() {
                 expired.push((program.clone(), EndReason::Budget));
-            } else if live.order.is_idle()
-                && live.tail.is_empty()
+            } else if live.sequencer.is_idle()
+                && live.pending_turns.is_empty()
                 && now.since(live.last_used_us) >= rules.idle_us
             {
                 expired.push((program.clone(), EndReason::Idle));
@@ -384,7 +384,7 @@
         }
         for id in overdue_calls {
             let detail = "an earlier call of the program did not arrive in time";
-            self.refuse(now, id, CallError::new(ErrorKind::OutOfOrder, detail), out);
+            self.fail_call(now, id, CallError::new(ErrorKind::OutOfOrder, detail), out);
         }
         for program in unblocked {
             self.start_next(now, &program, out);
@@ -411,9 +411,9 @@
         })
     }
 
-    /// Drops programs past `keep_ended_us` after their end, which bounds memory and snapshots.
+    /// Drops programs past `ended_retention_us` after their end, which bounds memory and snapshots.
     pub(crate) fn forget_ended_programs(&mut self, now: TimeUs) {
-        let keep_us = self.settings.keep_ended_us;
+        let keep_us = self.settings.ended_retention_us;
         let mut forgettable: BTreeMap<PartitionId, Vec<ProgramId>> = BTreeMap::new();
         for (program, ended) in &self.ended {
             if now.since(ended.at_us) >= keep_us && !self.releasing.contains_key(program) {
@@ -427,7 +427,7 @@
             for program in &programs {
                 self.ended.remove(program);
             }
-            let entry = OwnedRecord::ProgramsForgotten { programs };
+            let entry = PartitionRecord::ProgramsForgotten { programs };
             if let Some(record) = self.write_owned(partition, entry) {
                 self.awaited.insert(record, Awaited::Other(partition));
             }
--- a/clementinepick/src/sidecar.rs
+++ b/clementinepick/src/sidecar.rs
@@ -15,7 +15,7 @@
 use crate::message::{BackendLoad, Heartbeat, Message, Peer};
 use crate::platform::{LoadReport, VmRole};
 use crate::predict::Predictor;
-use crate::retain::{RetainSettings, Retention};
+use crate::prefix_retention::{PrefixRetention, PrefixRetentionSettings};
 use crate::sidecar_fence::Fence;
 use crate::sidecar_orders::OrderSlot;
 pub(crate) use crate::sidecar_types::{Attempt, ClosedAttempt, Lease, Phase, log, refuse, send};
@@ -45,7 +45,7 @@
     /// Highest epoch of the pruned closed attempts, by partition.
     pub(crate) pruned_epochs: BTreeMap<PartitionId, Epoch>,
     pub(crate) leases: BTreeMap<ProgramId, Lease>,
-    pub(crate) retention: Retention,
+    pub(crate) retention: PrefixRetention,
     /// Predicts output lengths from completed turns.
     pub(crate) output_predictor: Predictor,
     pub(crate) orders: OrderSlot,
@@ -63,7 +63,7 @@
     pub fn new(settings: SidecarSettings) -> Self {
         let mut config = Config::default();
         if !settings.safeguards.revision_monotonic {
-            config.take_older();
+            config.accept_older_revisions();
         }
         Self {
             orders: OrderSlot::new(settings.incarnation),
@@ -80,7 +80,7 @@
             closed: BTreeMap::new(),
             pruned_epochs: BTreeMap::new(),
             leases: BTreeMap::new(),
-            retention: Retention::default(),
+            retention: PrefixRetention::default(),
             output_predictor: Predictor::default(),
             announced_blocked: false,
             next_retain_us: None,
@@ -278,9 +278,9 @@
             categories: document.categories.clone(),
             ..AdmissionSettings::default()
         });
-        self.retention.set(RetainSettings {
+        self.retention.set(PrefixRetentionSettings {
             max_keep_us: document.retention.max_keep_us,
-            ..RetainSettings::default()
+            ..PrefixRetentionSettings::default()
         });
     }
 
--- a/clementinepick/src/sidecar_cache.rs
+++ b/clementinepick/src/sidecar_cache.rs
@@ -70,7 +70,7 @@
         }
         // A pause of at least the idle limit means that the program was abandoned, not ended.
         let is_ended = self.retention.idle_us(now, &program) < Some(self.idle_limit_us());
-        self.retention.on_end(now, &program, is_ended);
+        self.retention.on_program_end(now, &program, is_ended);
         let Some(lease) = self.leases.get_mut(&program) else {
             if let Some(to) = notify {
                 out.push(send(
@@ -116,7 +116,7 @@
         if !self.settings.safeguards.lease_lapse {
             return;
         }
-        for (program, _) in self.retention.due(now) {
+        for (program, _) in self.retention.take_expired(now) {
             let Some(program) = program else { continue };
             if !self.is_active(&program) {
                 self.send_release(program, out);
--- a/clementinepick/src/sidecar_calls.rs
+++ b/clementinepick/src/sidecar_calls.rs
@@ -7,7 +7,7 @@
 use crate::ids::{AttemptId, VmId};
 use crate::message::Dispatch;
 use crate::platform::GenerateBody;
-use crate::predict::expected_output;
+use crate::predict::predict_output;
 use crate::prompt::Segment;
 use crate::units::{SpanUs, TimeUs, Tokens};
 
@@ -78,7 +78,7 @@
         };
         let (dispatch, output) = (&attempt.dispatch, attempt.used.output_tokens);
         self.output_predictor
-            .learn(&dispatch.class, None, Some(output.0));
+            .observe(&dispatch.class, None, Some(output.0));
         let (program, class) = (&dispatch.call.program, &dispatch.class);
         let tool = dispatch.next_tool.as_ref();
         self.retention
@@ -160,7 +160,9 @@
     pub(crate) fn queued_call(&self, now: TimeUs, dispatch: &Dispatch) -> Option<QueuedCall> {
         // The call keeps the revision under which its owner accepted it. Under the newest one, a
         // call whose class was removed meanwhile would be refused half way.
-        let in_force = self.config.at(&self.settings.service, dispatch.revision)?;
+        let in_force = self
+            .config
+            .document_at(&self.settings.service, dispatch.revision)?;
         let rules = in_force.document.class(&dispatch.class)?;
         let prompt_tokens = match &dispatch.payload {
             Payload::Chat(call) => call.prompt.length_tokens(),
@@ -178,7 +180,7 @@
             max_wait_us: rules.max_wait_us,
             attained_tokens: dispatch.attained_tokens,
             memory_tokens: prompt_tokens
-                + expected_output(
+                + predict_output(
                     &self.output_predictor,
                     &dispatch.class,
                     dispatch.expected_output_tokens,
--- a/clementinepickd/src/ledger_budgets.rs
+++ b/clementinepickd/src/ledger_budgets.rs
@@ -9,8 +9,8 @@
 use clementinepick::budget_ledger::{
     BudgetRecord, ProgramSlices, SliceDecision, SliceRecord, first_grant,
 };
-use clementinepick::record_age::KEPT_RETENTIONS;
-use clementinepick::server_choice::PromptPart;
+use clementinepick::record_expiry::RETENTION_FACTOR;
+use clementinepick::server_selection::PromptPart;
 use clementinepick::units::{SpanUs, Tokens};
 use platform::store::{KeyedRecord, MAX_KEY_BYTES};
 use tokio::sync::mpsc;
@@ -148,16 +148,16 @@
         if !self.is_usable(request.program, state, now) {
             return None;
         }
-        let turn = state.slices.start_rest(least)?;
+        let turn = state.slices.start_with_remaining(least)?;
         state.used_at = Some(now);
         let rest = BudgetRequest { turn, ..*request };
         Some(BudgetHold::new(self, &rest, None))
     }
 
     /// Notes what a turn handed out.
-    pub(crate) fn note_turn(&self, handed_out: Tokens) {
-        let mean = self.mean_turn.get().unwrap_or(handed_out);
-        let next = mean.0 - mean.0 / MEAN_OVER + handed_out.0 / MEAN_OVER;
+    pub(crate) fn update_mean_turn(&self, consumed: Tokens) {
+        let mean = self.mean_turn.get().unwrap_or(consumed);
+        let next = mean.0 - mean.0 / MEAN_OVER + consumed.0 / MEAN_OVER;
         self.mean_turn.set(Some(Tokens(next)));
     }
 
@@ -197,7 +197,7 @@
     }
 
     /// Reserves a slice that no turn waits for; none where enough came meanwhile.
-    pub(crate) async fn reserve_ahead(
+    pub(crate) async fn prefetch_slice(
         &self,
         request: &BudgetRequest<'_>,
         deadline: Instant,
@@ -231,7 +231,7 @@
             self.append_next(partition, state, &records, deadline)
                 .await?;
             let known = state.view.borrow();
-            if let Some(tokens) = known.tokens(request.program, &key) {
+            if let Some(tokens) = known.slice_tokens(request.program, &key) {
                 let grant = SliceGrant {
                     tokens,
                     reserved: known.reserved(request.program, request.budget),
@@ -242,7 +242,7 @@
                 return Ok(grant);
             }
         }
-        Err(LedgerError::Away)
+        Err(LedgerError::Unavailable)
     }
 
     /// The next slice's record; without tokens where those held suffice and only the record that
@@ -258,7 +258,7 @@
             Tokens(0)
         } else {
             match view.decide(request.program, request.budget, request.turn) {
-                SliceDecision::Spent => {
+                SliceDecision::Exhausted => {
                     return Err(LedgerError::Spent {
                         reserved: view.reserved(request.program, request.budget),
                         holders: view.holders(request.program),
@@ -316,7 +316,7 @@
             return;
         };
         let view = state.view.borrow();
-        let counts = view.has_standing(request.program, home.number);
+        let counts = view.has_standing_slice(request.program, home.number);
         if !counts && !Safeguard::StandingCount.is_left_out() {
             return;
         }
@@ -330,7 +330,7 @@
         program.standing_home = Some(home.number);
         program.slices.standing = tokens;
         program.slices.granted.0 += tokens.0;
-        if !view.knows(request.program) {
+        if !view.has_program(request.program) {
             program.recorded_at = Some(now);
         }
     }
@@ -368,10 +368,10 @@
     }
 
     /// Takes over what a turn that ends leaves of its maximum.
-    pub(crate) fn finish(&self, program: &str, turn: Tokens, handed_out: Tokens) {
+    pub(crate) fn finish(&self, program: &str, turn: Tokens, consumed: Tokens) {
         let mut programs = self.programs.borrow_mut();
         if let Some(state) = programs.get_mut(program) {
-            state.slices.finish(turn, handed_out);
+            state.slices.finish(turn, consumed);
         }
     }
 
@@ -385,7 +385,7 @@
 
     /// Sends tokens back to their lender, unless too many wait; then they are lost to the program,
     /// and never spent twice.
-    pub(crate) fn give_back(&self, back: TokenReturn) {
+    pub(crate) fn queue_return(&self, back: TokenReturn) {
         // The receiver is gone only when the process ends.
         let _ = self.returns.try_send(back);
     }
@@ -440,8 +440,8 @@
             if !is_here || program.slices.standing == Tokens(0) {
                 continue;
             }
-            let tokens = program.slices.end_standing();
-            if tokens > Tokens(0) && !view.knows(name) {
+            let tokens = program.slices.release_standing();
+            if tokens > Tokens(0) && !view.has_program(name) {
                 used.push(UsedStanding {
                     program: name.clone(),
                     key: self.slice_key(name),
@@ -460,7 +460,7 @@
     /// it its standing slice again.
     pub(crate) fn forget_idle(&self, now: Instant) {
         let idle = |at: Option<Instant>| at.map(|at| now.saturating_duration_since(at));
-        let kept = u32::try_from(KEPT_RETENTIONS).unwrap_or(u32::MAX);
+        let kept = u32::try_from(RETENTION_FACTOR).unwrap_or(u32::MAX);
         self.programs.borrow_mut().retain(|_, state| {
             let limit = IDLE.max(state.retention.saturating_mul(kept));
             state.slices.outstanding > Tokens(0)
@@ -474,7 +474,7 @@
     }
 
     /// What this process holds of a program.
-    pub(crate) fn held_of(&self, program: &str) -> Option<ProgramSlices> {
+    pub(crate) fn held_slices(&self, program: &str) -> Option<ProgramSlices> {
         Some(self.programs.borrow().get(program)?.slices)
     }
 
