--- a/clementinepick/src/handover.rs
+++ b/clementinepick/src/handover.rs
@@ -148,7 +148,7 @@
             && self
                 .end_requests
                 .values()
-                .all(|ending| ending.next_us > self.last_handled_us)
+                .all(|end_request| end_request.next_us > self.last_handled_us)
             && self.journal.unconfirmed() == 0
             && self.owned_partitions().is_empty()
     }
--- a/clementinepick/src/program_end.rs
+++ b/clementinepick/src/program_end.rs
@@ -35,12 +35,12 @@
         reason: EndReason,
         out: &mut Vec<EntryAction>,
     ) {
-        let ending = EndRequest {
+        let end_request = EndRequest {
             reason,
             next_us: now,
             until_us: now.after(END_REQUEST_TIMEOUT_US),
         };
-        self.end_requests.insert(program, ending);
+        self.end_requests.insert(program, end_request);
         self.resend_end_requests(now, out);
     }
 
@@ -49,7 +49,7 @@
         let due: Vec<ProgramId> = self
             .end_requests
             .iter()
-            .filter(|(_, ending)| now >= ending.next_us)
+            .filter(|(_, end_request)| now >= end_request.next_us)
             .map(|(program, _)| program.clone())
             .collect();
         for program in due {
@@ -60,15 +60,15 @@
             let is_unknown = state.is_none()
                 && self.own_epoch(partition).is_some()
                 && !self.programs.contains_key(&program);
-            let Some(ending) = self.end_requests.get_mut(&program) else {
+            let Some(end_request) = self.end_requests.get_mut(&program) else {
                 continue;
             };
-            if is_ended || is_unknown || now >= ending.until_us {
+            if is_ended || is_unknown || now >= end_request.until_us {
                 self.end_requests.remove(&program);
                 continue;
             }
-            ending.next_us = now.after(END_RETRY_INTERVAL_US);
-            let reason = ending.reason;
+            end_request.next_us = now.after(END_RETRY_INTERVAL_US);
+            let reason = end_request.reason;
             if self.is_caught_up() {
                 self.end_program(now, program, reason, out);
             }
--- a/clementinepick/src/sidecar_orders.rs
+++ b/clementinepick/src/sidecar_orders.rs
@@ -27,7 +27,7 @@
 }
 
 #[derive(Debug, Clone)]
-struct Current {
+struct CurrentOrder {
     from: VmId,
     body: OrderBody,
     interrupts: bool,
@@ -41,7 +41,7 @@
     highest_fencing: Option<FencingNumber>,
     /// Absent until the engine has reported its state to this incarnation of the sidecar.
     engine: Option<EngineState>,
-    current: Option<Current>,
+    current: Option<CurrentOrder>,
 }
 
 /// Action requested by an [`OrderSlot`].
@@ -95,7 +95,7 @@
         match self.check(target, &body) {
             Ok(interrupts) => {
                 self.highest_fencing = Some(body.fencing);
-                self.current = Some(Current {
+                self.current = Some(CurrentOrder {
                     from,
                     body,
                     interrupts,
@@ -171,7 +171,7 @@
 
     /// Passes the order to the engine once no call would be interrupted.
     pub(crate) fn poll(&mut self, now: TimeUs, is_idle: bool, out: &mut Vec<OrderAction>) {
-        let is_draining = |c: &&mut Current| c.stage == Stage::Draining;
+        let is_draining = |c: &&mut CurrentOrder| c.stage == Stage::Draining;
         let Some(current) = self.current.as_mut().filter(is_draining) else {
             return;
         };
@@ -221,7 +221,7 @@
     out.push(OrderAction::Send(to, Message::OrderReply { id, outcome }));
 }
 
-impl Current {
+impl CurrentOrder {
     /// Updates the stage from the engine's state, and returns the outcome once it is known.
     fn advance(
         &mut self,
