--- a/clementinepickd/src/answer.rs
+++ b/clementinepickd/src/answer.rs
@@ -13,7 +13,7 @@
 use tokio::sync::{OwnedSemaphorePermit, mpsc};
 
 use crate::answer_queue::AnswerReader;
-use crate::body::{ChatShape, error_event};
+use crate::response_body::{ChatResponseTemplate, error_event};
 
 /// The parts of one answer, and the caller's hold on it.
 ///
@@ -148,7 +148,7 @@
 /// last event otherwise.
 pub(crate) struct EventStream {
     answer: Answer,
-    shape: ChatShape,
+    shape: ChatResponseTemplate,
     /// The part that came before the status was known.
     first: Option<AnswerPart>,
     stage: StreamStage,
@@ -163,7 +163,11 @@
 
 impl EventStream {
     /// A stream that begins with `first`.
-    pub(crate) const fn new(answer: Answer, shape: ChatShape, first: AnswerPart) -> Self {
+    pub(crate) const fn new(
+        answer: Answer,
+        shape: ChatResponseTemplate,
+        first: AnswerPart,
+    ) -> Self {
         Self {
             answer,
             shape,
--- a/clementinepickd/src/callers.rs
+++ b/clementinepickd/src/callers.rs
@@ -50,7 +50,7 @@
 
     /// Gives a caller a part of its answer, and forgets it after the last; fails for a caller that
     /// can't be given any more.
-    pub(crate) fn give(
+    pub(crate) fn deliver(
         &mut self,
         now: TimeUs,
         request: RequestId,
@@ -75,7 +75,7 @@
     }
 
     /// Forgets callers that take nothing, or have left, and says which.
-    pub(crate) fn stop_slow(&mut self, now: TimeUs, telemetry: &Telemetry) -> Vec<RequestId> {
+    pub(crate) fn drop_stalled(&mut self, now: TimeUs, telemetry: &Telemetry) -> Vec<RequestId> {
         let at = Instant::now();
         let stopped: Vec<(RequestId, Stopped)> = self
             .open
@@ -89,7 +89,12 @@
     }
 
     /// Forgets a caller that has left; false when its answer was complete.
-    pub(crate) fn leave(&mut self, now: TimeUs, request: RequestId, telemetry: &Telemetry) -> bool {
+    pub(crate) fn remove(
+        &mut self,
+        now: TimeUs,
+        request: RequestId,
+        telemetry: &Telemetry,
+    ) -> bool {
         let known = self.open.contains_key(&request);
         self.stop(now, request, Stopped::Gone, telemetry);
         known
--- a/clementinepickd/src/clients.rs
+++ b/clementinepickd/src/clients.rs
@@ -13,14 +13,14 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
+use crate::control_messages::{ClientCommand, ControlSender};
 use crate::engine_client::EngineClient;
-use crate::input::{ClientOrder, ControlSender};
 use crate::link::duration;
 use crate::log_client::LogClient;
 use crate::plain_client::PlainClient;
 use crate::settings::{BackendKind, Limits, Role};
 use crate::tasks::Tasks;
-use crate::vms_client;
+use crate::vm_list_client;
 
 /// How long requests that are under way may take when the process ends.
 const DRAIN_LIMIT: Duration = Duration::from_secs(2);
@@ -28,7 +28,7 @@
 /// A client that carries out orders, each in its own task.
 pub(crate) trait OrderClient {
     /// Starts on an order.
-    fn start(&mut self, order: ClientOrder, tasks: &mut Tasks);
+    fn start(&mut self, order: ClientCommand, tasks: &mut Tasks);
 }
 
 /// Runs until the control thread has ended and what it ordered is done.
@@ -36,13 +36,13 @@
     role: Role,
     limits: Limits,
     control: ControlSender,
-    mut orders: mpsc::UnboundedReceiver<ClientOrder>,
+    mut orders: mpsc::UnboundedReceiver<ClientCommand>,
 ) {
     let mut tasks = Tasks::default();
     let mut polls = Vec::new();
     let mut client: Box<dyn OrderClient> = match role {
         Role::Entry(role) => {
-            polls.push(actix_rt::spawn(vms_client::poll(
+            polls.push(actix_rt::spawn(vm_list_client::poll(
                 role.clone(),
                 control.clone(),
             )));
--- a/clementinepickd/src/control.rs
+++ b/clementinepickd/src/control.rs
@@ -18,10 +18,10 @@
 
 use crate::answer_queue::AnswerSender;
 use crate::callers::Callers;
+use crate::control_messages::{ClientCommand, ControlInput, LinkId, LinkTargets};
 use crate::daemon::Ended;
-use crate::input::{ClientOrder, ControlInput, DialOrder, LinkId};
+use crate::link_queue::QueueSender;
 use crate::logging::write_event;
-use crate::queue::QueueSender;
 use crate::role::{Action, Decisions};
 use crate::settings::{Role, Settings};
 use crate::steady_clock::SteadyClock;
@@ -56,9 +56,9 @@
 /// Where the control thread hands work out, and what it shares.
 pub(crate) struct Outputs {
     /// The thread of the links.
-    pub(crate) links: mpsc::UnboundedSender<DialOrder>,
+    pub(crate) links: mpsc::UnboundedSender<LinkTargets>,
     /// The thread of the platform clients.
-    pub(crate) clients: mpsc::UnboundedSender<ClientOrder>,
+    pub(crate) clients: mpsc::UnboundedSender<ClientCommand>,
     /// How the process is told to end.
     pub(crate) wishes: Arc<Wishes>,
     /// What `/readyz` says.
@@ -225,7 +225,7 @@
             }
             ControlInput::Event(event) => self.on_event(&event),
             ControlInput::Dump(answer) => self.on_dump(now, answer),
-            ControlInput::Gauges(answer) => self.on_gauges(answer),
+            ControlInput::RefreshGauges(answer) => self.on_gauges(answer),
         }
         self.carry_out(now, out);
     }
@@ -248,7 +248,7 @@
 
     fn on_gone(&mut self, request: RequestId) {
         let now = self.now();
-        if self.callers.leave(now, request, &self.telemetry) {
+        if self.callers.remove(now, request, &self.telemetry) {
             let mut out = Vec::new();
             self.decisions.caller_gone(now, request, &mut out);
             self.carry_out(now, out);
@@ -351,7 +351,7 @@
                     self.links.remove(&vm);
                 }
                 Action::Answer { request, part } => {
-                    let given = self.callers.give(now, request, part, &self.telemetry);
+                    let given = self.callers.deliver(now, request, part, &self.telemetry);
                     if given.is_err() {
                         self.decisions.caller_gone(now, request, &mut more);
                     }
@@ -390,13 +390,13 @@
         }
         if vms != self.dialled {
             self.dialled.clone_from(&vms);
-            let _ = self.outputs.links.send(DialOrder(vms));
+            let _ = self.outputs.links.send(LinkTargets(vms));
         }
     }
 
     /// Cuts off callers that do not read: they would hold memory here for as long as they like.
     fn stop_slow_callers(&mut self, now: TimeUs, out: &mut Vec<Action>) {
-        for request in self.callers.stop_slow(now, &self.telemetry) {
+        for request in self.callers.drop_stalled(now, &self.telemetry) {
             self.decisions.caller_gone(now, request, out);
         }
     }
@@ -410,7 +410,9 @@
         let links: Vec<Value> = self
             .links
             .values()
-            .map(|open| json!({"peer": open.peer, "waiting_messages": open.queue.waiting()}))
+            .map(
+                |open| json!({"peer": open.peer, "waiting_messages": open.queue.queued_messages()}),
+            )
             .collect();
         let process = json!({
             "version": env!("CARGO_PKG_VERSION"),
--- a/clementinepickd/src/input.rs
+++ b/clementinepickd/src/control_messages.rs
@@ -15,10 +15,10 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::answer_queue::AnswerSender;
-use crate::queue::QueueSender;
+use crate::link_queue::QueueSender;
 
 /// The most inputs that wait for the control thread before their senders wait.
-pub(crate) const MAX_INPUTS: usize = 16_384;
+pub(crate) const CONTROL_QUEUE_CAPACITY: usize = 16_384;
 
 /// One link, among all that this process ever had.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -79,7 +79,7 @@
     /// Asks for the whole state.
     Dump(oneshot::Sender<Value>),
     /// Asks to bring the gauges up to date.
-    Gauges(oneshot::Sender<()>),
+    RefreshGauges(oneshot::Sender<()>),
 }
 
 /// The sending ends towards the control thread.
@@ -88,7 +88,7 @@
     /// All inputs; senders wait while it is full.
     pub(crate) inputs: mpsc::Sender<ControlInput>,
     /// Callers that are gone; never more than there are requests.
-    pub(crate) gone: mpsc::UnboundedSender<RequestId>,
+    pub(crate) disconnects: mpsc::UnboundedSender<RequestId>,
 }
 
 impl ControlSender {
@@ -100,11 +100,11 @@
 
 /// Tells the thread of the links to keep links open to exactly these VMs.
 #[derive(Debug)]
-pub(crate) struct DialOrder(pub(crate) BTreeMap<VmId, Vm>);
+pub(crate) struct LinkTargets(pub(crate) BTreeMap<VmId, Vm>);
 
 /// What the thread of the platform clients does.
 #[derive(Debug)]
-pub(crate) enum ClientOrder {
+pub(crate) enum ClientCommand {
     /// Use the log.
     Log(JournalAction),
     /// Use the backend server.
--- a/clementinepickd/src/daemon.rs
+++ b/clementinepickd/src/daemon.rs
@@ -16,8 +16,8 @@
 use tokio::sync::{Semaphore, mpsc};
 
 use crate::control::{Control, Inputs, Outputs, Wishes};
-use crate::http::Shared;
-use crate::input::{ControlSender, MAX_INPUTS};
+use crate::control_messages::{CONTROL_QUEUE_CAPACITY, ControlSender};
+use crate::http::HttpContext;
 use crate::role::new_decisions;
 use crate::settings::{Conflict, Settings};
 use crate::telemetry::Telemetry;
@@ -78,14 +78,14 @@
         let (link_listener, link_address) = listen(settings.link_address)?;
         let incarnation = settings.incarnation.unwrap_or_else(draw_incarnation);
         let telemetry = Telemetry::new()?;
-        let (inputs_sender, inputs) = mpsc::channel(MAX_INPUTS);
+        let (inputs_sender, inputs) = mpsc::channel(CONTROL_QUEUE_CAPACITY);
         let (gone_sender, gone) = mpsc::unbounded_channel();
         let (link_sender, link_orders) = mpsc::unbounded_channel();
         let (client_sender, client_orders) = mpsc::unbounded_channel();
         let wishes = Arc::new(Wishes::default());
         let sender = ControlSender {
             inputs: inputs_sender,
-            gone: gone_sender,
+            disconnects: gone_sender,
         };
         let outputs = Outputs {
             links: link_sender,
@@ -97,7 +97,7 @@
         };
         let (decisions, peer) = new_decisions(&settings, incarnation);
 
-        let shared = Shared::new(&settings, sender.clone(), &outputs, telemetry.handle());
+        let shared = HttpContext::new(&settings, sender.clone(), &outputs, telemetry.handle());
         let (http, server) = start_http(http_listener, settings.http_workers, shared, &wishes)?;
         let (own, link_settings) = (sender.clone(), settings.links.clone());
         let links = spawn("links", &wishes, move || {
@@ -225,7 +225,7 @@
 fn start_http(
     listener: TcpListener,
     workers: usize,
-    shared: Shared,
+    shared: HttpContext,
     wishes: &Arc<Wishes>,
 ) -> io::Result<(JoinHandle<()>, ServerHandle)> {
     let (started, starting) = std_mpsc::channel();
--- a/clementinepickd/src/engine_client.rs
+++ b/clementinepickd/src/engine_client.rs
@@ -19,8 +19,8 @@
 use tokio::sync::oneshot;
 
 use crate::clients::{OrderClient, pooled, read_json, streaming, url};
-use crate::input::{ClientOrder, ControlInput, ControlSender};
-use crate::lines::Lines;
+use crate::control_messages::{ClientCommand, ControlInput, ControlSender};
+use crate::line_splitter::LineSplitter;
 use crate::link::duration;
 use crate::settings::SidecarRole;
 use crate::tasks::Tasks;
@@ -85,8 +85,8 @@
 }
 
 impl OrderClient for EngineClient {
-    fn start(&mut self, order: ClientOrder, tasks: &mut Tasks) {
-        let ClientOrder::Backend(action) = order else {
+    fn start(&mut self, order: ClientCommand, tasks: &mut Tasks) {
+        let ClientCommand::Backend(action) = order else {
             return;
         };
         let engine = self.engine.clone();
@@ -260,7 +260,7 @@
 where
     S: futures_util::Stream<Item = Result<bytes::Bytes, awc::error::PayloadError>> + Unpin,
 {
-    let mut lines = Lines::default();
+    let mut lines = LineSplitter::default();
     while let Some(chunk) = response.next().await {
         let chunk = match chunk {
             Ok(chunk) => chunk,
--- a/clementinepickd/src/gateway_exchange.rs
+++ b/clementinepickd/src/gateway_exchange.rs
@@ -14,7 +14,7 @@
 use crate::gateway_connection::ReceivedRequest;
 use crate::gateway_shared::Shared;
 use crate::leave_out::Safeguard;
-use crate::outbound::{Connection, Outgoing};
+use crate::outbound::{Connection, OutboundRequest};
 
 /// How long a connection to a backend server may take to open. Zones are milliseconds apart, and
 /// one lost packet of the handshake is sent again only after a second.
@@ -53,7 +53,7 @@
         drop(choice);
         shared
             .pool
-            .give_back(address, self.connection, Instant::now());
+            .release(address, self.connection, Instant::now());
     }
 }
 
@@ -151,7 +151,7 @@
     ) -> Result<ServerResponse, AttemptError> {
         let begun = Instant::now();
         let address = slot.server.address;
-        let opened = shared.pool.connection(address, CONNECT_LIMIT, begun).await;
+        let opened = shared.pool.acquire(address, CONNECT_LIMIT, begun).await;
         let Ok(mut connection) = opened else {
             slot.record_failure();
             return Err(AttemptError::ConnectFailed);
@@ -161,7 +161,7 @@
             server_id: &slot.server.id,
             last_event_id,
         };
-        let request = Outgoing {
+        let request = OutboundRequest {
             method: self.received.head.method().clone(),
             target: target(self.received),
             headers: forwarded(&self.received.head.head().headers, &send),
@@ -197,7 +197,7 @@
             shared.record_refusal(&slot.server.id, is_another);
             if connection.body(MAX_REFUSAL_BYTES).await.is_ok() {
                 let address = slot.server.address;
-                shared.pool.give_back(address, connection, Instant::now());
+                shared.pool.release(address, connection, Instant::now());
             }
             return Err(AttemptError::NotRun);
         }
--- a/clementinepickd/src/gateway_peer.rs
+++ b/clementinepickd/src/gateway_peer.rs
@@ -19,7 +19,7 @@
 use crate::gateway_reply::Reply;
 use crate::gateway_shared::Shared;
 use crate::ledger::from_cbor;
-use crate::outbound::Outgoing;
+use crate::outbound::OutboundRequest;
 use crate::store::{StoreCall, StorePurpose, host_header};
 
 /// The largest answer to a question, in bytes: a turn with the largest body that callers may send.
@@ -42,9 +42,9 @@
 ) -> Option<T> {
     let limit = call.limit;
     let exchange = async {
-        let connection = shared.pool.connection(peer, limit, Instant::now()).await;
+        let connection = shared.pool.acquire(peer, limit, Instant::now()).await;
         let mut connection = connection.ok()?;
-        let request = Outgoing {
+        let request = OutboundRequest {
             method: Method::POST,
             target: Uri::from_static(call.path),
             headers: host_header(peer),
@@ -52,7 +52,7 @@
         };
         let head = connection.exchange(&request).await.ok()?;
         let body = connection.body(MAX_PEER_ANSWER_BYTES).await.ok()?;
-        shared.pool.give_back(peer, connection, Instant::now());
+        shared.pool.release(peer, connection, Instant::now());
         Some((head.status, body))
     };
     let (status, body) = timeout(limit, exchange).await.ok()??;
--- a/clementinepickd/src/gateway_shared.rs
+++ b/clementinepickd/src/gateway_shared.rs
@@ -27,7 +27,7 @@
 use crate::ledger_homes::Homes;
 use crate::ledger_turns::Turns;
 use crate::logging::write_event;
-use crate::outbound_pool::Pool;
+use crate::outbound_pool::ConnectionPool;
 use crate::steady_clock::SteadyClock;
 use crate::store::StoreClient;
 
@@ -49,7 +49,7 @@
     pub(crate) prefetch: mpsc::Sender<PrefetchRequest>,
     /// Where peers reach this process.
     pub(crate) peer_address: SocketAddr,
-    pub(crate) pool: Pool,
+    pub(crate) pool: ConnectionPool,
     pub(crate) choice: RefCell<ServerSelector>,
     pub(crate) metrics: Arc<GatewayMetrics>,
     retries: RefCell<BTreeMap<String, RetryBudget>>,
@@ -128,7 +128,7 @@
             peer_address: settings.peers,
             turns: Turns::new(Rc::clone(&ledger)),
             ledger,
-            pool: Pool::default(),
+            pool: ConnectionPool::default(),
             choice: RefCell::default(),
             metrics,
             retries: RefCell::default(),
--- a/clementinepickd/src/http.rs
+++ b/clementinepickd/src/http.rs
@@ -18,10 +18,10 @@
 use tokio::sync::{Semaphore, oneshot};
 
 use crate::control::{Outputs, Wishes};
+use crate::control_messages::{ControlInput, ControlSender};
 use crate::daemon::Ended;
 use crate::http_calls::{chat, plain, program};
 use crate::http_reply::{Refusal, ending, error_answer, json_answer, no_such_path};
-use crate::input::{ControlInput, ControlSender};
 use crate::link::duration;
 use crate::settings::{Limits, LinkKey, Role, Settings};
 
@@ -37,7 +37,7 @@
 
 /// What the handlers share.
 #[derive(Clone)]
-pub(crate) struct Shared {
+pub(crate) struct HttpContext {
     pub(crate) is_entry: bool,
     pub(crate) parse: ParseSettings,
     pub(crate) limits: Limits,
@@ -49,7 +49,7 @@
     pub(crate) admin_key: Option<LinkKey>,
 }
 
-impl Shared {
+impl HttpContext {
     /// What the handlers of a process with these settings share.
     pub(crate) fn new(
         settings: &Settings,
@@ -82,7 +82,7 @@
 pub(crate) fn start(
     listener: TcpListener,
     workers: usize,
-    shared: Shared,
+    shared: HttpContext,
 ) -> std::io::Result<Server> {
     let limits = shared.limits.clone();
     let per_worker = limits.connections.div_ceil(workers);
@@ -111,7 +111,10 @@
     server.stop(ended == Ended::Gracefully).await;
 }
 
-async fn handle(shared: Shared, mut request: Request) -> Result<Response<BoxBody>, Infallible> {
+async fn handle(
+    shared: HttpContext,
+    mut request: Request,
+) -> Result<Response<BoxBody>, Infallible> {
     let method = request.method().clone();
     let path = request.path().to_owned();
     let answer = match (method, path.as_str()) {
@@ -146,7 +149,7 @@
     Ok(response)
 }
 
-fn readiness(shared: &Shared) -> Response<BoxBody> {
+fn readiness(shared: &HttpContext) -> Response<BoxBody> {
     let ready = shared.ready.load(Ordering::Relaxed);
     let status = if ready {
         StatusCode::OK
@@ -159,7 +162,7 @@
 /// Begins to leave, for an operator who has the key.
 ///
 /// Callers reach this port as well, and one of them could empty the deployment, entry by entry.
-fn drain(shared: &Shared, request: &Request) -> Result<Response<BoxBody>, Refusal> {
+fn drain(shared: &HttpContext, request: &Request) -> Result<Response<BoxBody>, Refusal> {
     let Some(key) = &shared.admin_key else {
         return no_such_path("this process has no admin key");
     };
@@ -174,9 +177,12 @@
     Ok(json_answer(StatusCode::OK, &json!({"leaving": true})))
 }
 
-async fn metrics(shared: &Shared) -> Result<Response<BoxBody>, Refusal> {
+async fn metrics(shared: &HttpContext) -> Result<Response<BoxBody>, Refusal> {
     let (answer, done) = oneshot::channel();
-    shared.control.send(ControlInput::Gauges(answer)).await;
+    shared
+        .control
+        .send(ControlInput::RefreshGauges(answer))
+        .await;
     done.await.map_err(|_| ending())?;
     shared.metrics.run_upkeep();
     let mut response = Response::build(StatusCode::OK);
@@ -184,7 +190,7 @@
     Ok(response.body(shared.metrics.render()).map_into_boxed_body())
 }
 
-async fn dump(shared: &Shared) -> Result<Response<BoxBody>, Refusal> {
+async fn dump(shared: &HttpContext) -> Result<Response<BoxBody>, Refusal> {
     let (answer, state) = oneshot::channel();
     shared.control.send(ControlInput::Dump(answer)).await;
     let state = state.await.map_err(|_| ending())?;
--- a/clementinepickd/src/http_calls.rs
+++ b/clementinepickd/src/http_calls.rs
@@ -17,18 +17,18 @@
 
 use crate::answer::{Answer, EventStream, WholeAnswer};
 use crate::answer_queue::{Patience, answer_queue};
-use crate::body::{ChatShape, turn_name};
-use crate::http::Shared;
+use crate::control_messages::ControlInput;
+use crate::http::HttpContext;
 use crate::http_receive::read;
 use crate::http_reply::{Refusal, ending, json_answer, no_such_path, with_json};
-use crate::input::ControlInput;
 use crate::link::duration;
+use crate::response_body::{ChatResponseTemplate, turn_name};
 
 const EVENT_STREAM: &str = "text/event-stream";
 
 /// `POST /v1/chat/completions`: a turn, whole or as a stream.
 pub(crate) async fn chat(
-    shared: &Shared,
+    shared: &HttpContext,
     request: &mut Request,
 ) -> Result<Response<BoxBody>, Refusal> {
     let http = read(shared, request).await?;
@@ -42,7 +42,7 @@
     give(answer, shape, stream).await
 }
 
-fn chat_shape(request: RequestId, call: &ChatCall) -> Result<ChatShape, CallError> {
+fn chat_shape(request: RequestId, call: &ChatCall) -> Result<ChatResponseTemplate, CallError> {
     let bad = |field: &str, detail: &str| CallError::in_field(ErrorKind::BadBody, field, detail);
     let include_usage = match call.extra.get("stream_options") {
         None | Some(Value::Null) => false,
@@ -60,7 +60,7 @@
     {
         return Err(bad("n", "one answer a call is given: must be 1"));
     }
-    Ok(ChatShape {
+    Ok(ChatResponseTemplate {
         request,
         model: Some(call.model.clone()),
         created_s: seconds_since_1970(),
@@ -75,7 +75,7 @@
 
 /// `/services/{service}/{path}`, with any method: a call of a plain service.
 pub(crate) async fn plain(
-    shared: &Shared,
+    shared: &HttpContext,
     request: &mut Request,
 ) -> Result<Response<BoxBody>, Refusal> {
     let http = read(shared, request).await?;
@@ -93,13 +93,13 @@
 /// `GET /v1/programs/{program}/calls/{call}`: an earlier answer, or the rest of one.
 ///
 /// A turn comes as a stream when the caller accepts one.
-async fn fetch(shared: &Shared, request: &mut Request) -> Result<Response<BoxBody>, Refusal> {
+async fn fetch(shared: &HttpContext, request: &mut Request) -> Result<Response<BoxBody>, Refusal> {
     let http = read(shared, request).await?;
     let id = RequestId::draw(&mut rand::rng());
     let fetch = parse_fetch(id, &http)?;
     let accept = http.headers.iter().find(|(name, _)| name == "accept");
     let stream = accept.is_some_and(|(_, value)| value.contains(EVENT_STREAM));
-    let shape = ChatShape {
+    let shape = ChatResponseTemplate {
         request: id,
         model: None,
         created_s: seconds_since_1970(),
@@ -112,7 +112,7 @@
 /// Gives an answer of either kind, a turn as a stream if so wanted.
 async fn give(
     mut answer: Answer,
-    shape: ChatShape,
+    shape: ChatResponseTemplate,
     stream: bool,
 ) -> Result<Response<BoxBody>, Refusal> {
     // The status goes out with the first part, so a call that is refused has its own.
@@ -152,7 +152,7 @@
 }
 
 /// `POST /v1/programs/{program}/end`.
-async fn end_program(shared: &Shared, program: &str) -> Result<Response<BoxBody>, Refusal> {
+async fn end_program(shared: &HttpContext, program: &str) -> Result<Response<BoxBody>, Refusal> {
     let program: ProgramId = program
         .parse()
         .map_err(|_| CallError::in_field(ErrorKind::UnknownCall, "path", "is no program"))?;
@@ -170,7 +170,7 @@
 
 /// What stands below `/v1/programs/`.
 pub(crate) async fn program(
-    shared: &Shared,
+    shared: &HttpContext,
     method: &Method,
     path: &str,
     request: &mut Request,
@@ -194,7 +194,7 @@
 }
 
 /// Hands a request to the control thread.
-async fn submit(shared: &Shared, asked: Asked) -> Result<Answer, CallError> {
+async fn submit(shared: &HttpContext, asked: Asked) -> Result<Answer, CallError> {
     let permit = Arc::clone(&shared.streams).try_acquire_owned();
     let permit = permit.map_err(|_| {
         CallError::new(
@@ -210,7 +210,7 @@
         Asked::Call(request) => (request.id, 0),
         Asked::Fetch(fetch) => (fetch.id, fetch.position),
     };
-    let gone = shared.control.gone.clone();
+    let gone = shared.control.disconnects.clone();
     let answer = Answer::new(id, parts, gone, position, permit);
     let input = match asked {
         Asked::Call(request) => ControlInput::Request { request, answers },
--- a/clementinepickd/src/http_receive.rs
+++ b/clementinepickd/src/http_receive.rs
@@ -7,14 +7,17 @@
 use futures_util::StreamExt;
 use tokio::time::timeout;
 
-use crate::http::Shared;
+use crate::http::HttpContext;
 use crate::link::duration;
 
 /// How the names of the headers begin that the system itself reads.
 const OWN_HEADERS: &str = "clementinepick-";
 
 /// Reads a request with its body, within the limits.
-pub(crate) async fn read(shared: &Shared, request: &mut Request) -> Result<HttpRequest, CallError> {
+pub(crate) async fn read(
+    shared: &HttpContext,
+    request: &mut Request,
+) -> Result<HttpRequest, CallError> {
     let headers = read_headers(shared, request)?;
     let path = request.uri().path_and_query();
     let path = path.map_or_else(|| request.path().to_owned(), ToString::to_string);
@@ -36,7 +39,10 @@
     })
 }
 
-fn read_headers(shared: &Shared, request: &Request) -> Result<Vec<(String, String)>, CallError> {
+fn read_headers(
+    shared: &HttpContext,
+    request: &Request,
+) -> Result<Vec<(String, String)>, CallError> {
     let mut left = shared.limits.header_bytes.0;
     let mut headers = Vec::new();
     for (name, value) in request.headers() {
@@ -60,7 +66,7 @@
     Ok(headers)
 }
 
-async fn read_body(shared: &Shared, request: &mut Request) -> Result<Vec<u8>, CallError> {
+async fn read_body(shared: &HttpContext, request: &mut Request) -> Result<Vec<u8>, CallError> {
     let limit = usize::try_from(shared.limits.body_bytes.0).unwrap_or(usize::MAX);
     let mut payload = request.take_payload();
     let mut body = BytesMut::new();
--- a/clementinepickd/src/http_reply.rs
+++ b/clementinepickd/src/http_reply.rs
@@ -6,7 +6,7 @@
 use clementinepick::error::{CallError, ErrorKind};
 use serde_json::Value;
 
-use crate::body::{error_body, status};
+use crate::response_body::{error_body, status};
 
 const JSON: &str = "application/json";
 
--- a/clementinepickd/src/lines.rs
+++ b/clementinepickd/src/line_splitter.rs
@@ -12,13 +12,13 @@
 
 /// Bytes that came, of which whole lines are taken.
 #[derive(Debug, Default)]
-pub(crate) struct Lines {
+pub(crate) struct LineSplitter {
     bytes: Vec<u8>,
     /// The bytes before this place have been taken.
     taken: usize,
 }
 
-impl Lines {
+impl LineSplitter {
     /// Adds bytes.
     pub(crate) fn push(&mut self, bytes: &[u8]) -> Result<(), LineTooLong> {
         self.bytes.drain(..std::mem::take(&mut self.taken));
@@ -51,7 +51,7 @@
     fn lines_come_whole_however_the_bytes_are_cut() {
         let text = b"one\n\ntwo\nthree";
         for cut in 0..text.len() {
-            let mut lines = Lines::default();
+            let mut lines = LineSplitter::default();
             let mut got = Vec::new();
             for part in [&text[..cut], &text[cut..]] {
                 lines.push(part).expect("short");
--- a/clementinepickd/src/link.rs
+++ b/clementinepickd/src/link.rs
@@ -15,12 +15,12 @@
 use tokio_tungstenite::tungstenite::{Bytes, Error as SocketError, Message as Frame};
 use tokio_tungstenite::{WebSocketStream, accept_async_with_config, client_async_with_config};
 
+use crate::control_messages::{ControlInput, ControlSender, LinkId};
 use crate::handshake::{
     Challenge, HandshakeError, Hello, Nonce, Proof, Side, Transcript, Welcome, check_version,
     decode, encode, prove, verify,
 };
-use crate::input::{ControlInput, ControlSender, LinkId};
-use crate::queue::{QueueReader, queue};
+use crate::link_queue::{QueueReader, link_queue};
 use crate::settings::LinkSettings;
 
 /// The largest frame before the peer has proved itself.
@@ -201,7 +201,7 @@
     proved: ProvedLink,
     control: &ControlSender,
 ) -> LinkEnd {
-    let (queue, messages) = queue(settings.queue_messages, settings.queue_bytes);
+    let (queue, messages) = link_queue(settings.queue_messages, settings.queue_bytes);
     let ProvedLink { peer, socket } = proved;
     let vm = peer.vm.clone();
     if !control
--- a/clementinepickd/src/queue.rs
+++ b/clementinepickd/src/link_queue.rs
@@ -33,7 +33,7 @@
 }
 
 /// A queue for at most `max_messages` of together about `max_bytes`.
-pub(crate) fn queue(max_messages: usize, max_bytes: Bytes) -> (QueueSender, QueueReader) {
+pub(crate) fn link_queue(max_messages: usize, max_bytes: Bytes) -> (QueueSender, QueueReader) {
     let (sender, receiver) = mpsc::channel(max_messages);
     let waiting_bytes = Arc::new(AtomicUsize::new(0));
     let sender = QueueSender {
@@ -64,7 +64,7 @@
     }
 
     /// The count of messages that wait.
-    pub(crate) fn waiting(&self) -> usize {
+    pub(crate) fn queued_messages(&self) -> usize {
         self.messages.max_capacity() - self.messages.capacity()
     }
 }
@@ -129,7 +129,7 @@
     // gigabytes wait.
     #[test]
     fn a_queue_is_full_by_bytes_and_has_room_again_once_they_are_taken() {
-        let (sender, mut reader) = queue(100, Bytes(100_000));
+        let (sender, mut reader) = link_queue(100, Bytes(100_000));
         assert_eq!(sender.push(text(60_000)), Ok(()));
         assert_eq!(sender.push(text(60_000)), Err(QueueFull));
         assert_eq!(sender.push(text(10_000)), Ok(()));
@@ -141,10 +141,10 @@
 
     #[test]
     fn a_queue_is_full_by_count() {
-        let (sender, _reader) = queue(2, Bytes(1_000_000));
+        let (sender, _reader) = link_queue(2, Bytes(1_000_000));
         assert_eq!(sender.push(text(0)), Ok(()));
         assert_eq!(sender.push(text(0)), Ok(()));
         assert_eq!(sender.push(text(0)), Err(QueueFull));
-        assert_eq!(sender.waiting(), 2);
+        assert_eq!(sender.queued_messages(), 2);
     }
 }
--- a/clementinepickd/src/links.rs
+++ b/clementinepickd/src/links.rs
@@ -15,8 +15,8 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::timeout;
 
+use crate::control_messages::{ControlInput, ControlSender, LinkId, LinkTargets};
 use crate::handshake::HandshakeError;
-use crate::input::{ControlInput, ControlSender, DialOrder, LinkId};
 use crate::link::{self, LinkEnd, duration};
 use crate::settings::LinkSettings;
 
@@ -50,7 +50,7 @@
     own: Peer,
     listener: StdListener,
     control: ControlSender,
-    mut orders: mpsc::UnboundedReceiver<DialOrder>,
+    mut orders: mpsc::UnboundedReceiver<LinkTargets>,
 ) {
     let listener = TcpListener::from_std(listener).expect("a listener that does not block");
     let shared = Shared {
@@ -65,7 +65,7 @@
     loop {
         tokio::select! {
             order = orders.recv() => match order {
-                Some(DialOrder(wanted)) => set_diallers(&shared, &mut diallers, wanted),
+                Some(LinkTargets(wanted)) => set_diallers(&shared, &mut diallers, wanted),
                 None => break,
             },
             incoming = listener.accept() => match incoming {
--- a/clementinepickd/src/log_client.rs
+++ b/clementinepickd/src/log_client.rs
@@ -11,7 +11,7 @@
 use clementinepick::record::Record;
 
 use crate::clients::{OrderClient, pooled, read_json, url};
-use crate::input::{ClientOrder, ControlInput, ControlSender};
+use crate::control_messages::{ClientCommand, ControlInput, ControlSender};
 use crate::settings::EntryRole;
 use crate::tasks::Tasks;
 
@@ -41,8 +41,8 @@
 }
 
 impl OrderClient for LogClient {
-    fn start(&mut self, order: ClientOrder, tasks: &mut Tasks) {
-        let ClientOrder::Log(action) = order else {
+    fn start(&mut self, order: ClientCommand, tasks: &mut Tasks) {
+        let ClientCommand::Log(action) = order else {
             return;
         };
         let (client, address) = (self.client.clone(), self.address);
--- a/clementinepickd/src/outbound.rs
+++ b/clementinepickd/src/outbound.rs
@@ -49,7 +49,7 @@
 
 /// A request to send.
 #[derive(Debug, Clone)]
-pub(crate) struct Outgoing {
+pub(crate) struct OutboundRequest {
     pub(crate) method: Method,
     pub(crate) target: Uri,
     pub(crate) headers: HeaderMap,
@@ -123,7 +123,7 @@
     /// Sends a request and reads the head of its answer.
     pub(crate) async fn exchange(
         &mut self,
-        request: &Outgoing,
+        request: &OutboundRequest,
     ) -> Result<ResponseHead, OutboundError> {
         let mut codec = ClientCodec::default();
         let wire = encode(&mut codec, request).map_err(OutboundError::Broken)?;
@@ -264,7 +264,7 @@
     socket.set_tcp_keepalive(&probes.with_retries(2))
 }
 
-fn encode(codec: &mut ClientCodec, request: &Outgoing) -> io::Result<BytesMut> {
+fn encode(codec: &mut ClientCodec, request: &OutboundRequest) -> io::Result<BytesMut> {
     let mut head = RequestHead::default();
     head.method = request.method.clone();
     head.uri = request.target.clone();
--- a/clementinepickd/src/outbound_pool.rs
+++ b/clementinepickd/src/outbound_pool.rs
@@ -16,13 +16,13 @@
 
 /// Idle connections that may be used again.
 #[derive(Default)]
-pub(crate) struct Pool {
+pub(crate) struct ConnectionPool {
     idle: RefCell<BTreeMap<SocketAddr, Vec<Connection>>>,
 }
 
-impl Pool {
+impl ConnectionPool {
     /// An idle connection, or a new one.
-    pub(crate) async fn connection(
+    pub(crate) async fn acquire(
         &self,
         address: SocketAddr,
         limit: Duration,
@@ -46,7 +46,7 @@
     }
 
     /// Keeps a connection for another exchange if it can carry one.
-    pub(crate) fn give_back(&self, address: SocketAddr, mut connection: Connection, now: Instant) {
+    pub(crate) fn release(&self, address: SocketAddr, mut connection: Connection, now: Instant) {
         if !connection.can_be_kept() {
             return;
         }
--- a/clementinepickd/src/plain_client.rs
+++ b/clementinepickd/src/plain_client.rs
@@ -15,7 +15,7 @@
 use tokio::time::timeout;
 
 use crate::clients::{OrderClient, unpooled, url};
-use crate::input::{ClientOrder, ControlInput, ControlSender};
+use crate::control_messages::{ClientCommand, ControlInput, ControlSender};
 use crate::link::duration;
 use crate::settings::{Limits, SidecarRole};
 use crate::tasks::Tasks;
@@ -73,8 +73,8 @@
 }
 
 impl OrderClient for PlainClient {
-    fn start(&mut self, order: ClientOrder, tasks: &mut Tasks) {
-        let ClientOrder::Backend(action) = order else {
+    fn start(&mut self, order: ClientCommand, tasks: &mut Tasks) {
+        let ClientCommand::Backend(action) = order else {
             return;
         };
         match action {
--- a/clementinepickd/src/body.rs
+++ b/clementinepickd/src/response_body.rs
@@ -11,7 +11,7 @@
 
 /// What stays the same in all bodies of one answer.
 #[derive(Debug, Clone)]
-pub(crate) struct ChatShape {
+pub(crate) struct ChatResponseTemplate {
     pub(crate) request: RequestId,
     /// Absent where an answer is fetched later.
     pub(crate) model: Option<ModelName>,
@@ -21,7 +21,7 @@
     pub(crate) include_usage: bool,
 }
 
-impl ChatShape {
+impl ChatResponseTemplate {
     fn base(&self, object: &str) -> Value {
         let mut base = json!({
             "id": format!("chatcmpl-{}", self.request),
--- a/clementinepickd/src/role.rs
+++ b/clementinepickd/src/role.rs
@@ -13,7 +13,7 @@
 use clementinepick::units::TimeUs;
 use serde_json::Value;
 
-use crate::input::{ClientOrder, ControlInput};
+use crate::control_messages::{ClientCommand, ControlInput};
 use crate::settings::{Role, Settings};
 
 /// What either role does.
@@ -31,7 +31,7 @@
         part: AnswerPart,
     },
     /// Use the platform or the backend server.
-    Client(ClientOrder),
+    Client(ClientCommand),
     /// Log an event.
     Event(Event),
     /// Nothing is left to do.
@@ -109,7 +109,7 @@
             EntryAction::Connect(vms) => Action::Dial(self.to_dial(vms)),
             EntryAction::Disconnect(vm) => Action::Disconnect(vm),
             EntryAction::Answer { request, part } => Action::Answer { request, part },
-            EntryAction::Log(action) => Action::Client(ClientOrder::Log(action)),
+            EntryAction::Log(action) => Action::Client(ClientCommand::Log(action)),
             EntryAction::Event(event) => Action::Event(event),
             EntryAction::Finished => Action::Finished,
         }));
@@ -198,7 +198,7 @@
             SidecarAction::Send { to, message } => Action::Send { to, message },
             SidecarAction::Log(event) => Action::Event(event),
             SidecarAction::Finished => Action::Finished,
-            backend => Action::Client(ClientOrder::Backend(backend)),
+            backend => Action::Client(ClientCommand::Backend(backend)),
         }));
     }
 }
--- a/clementinepickd/src/store.rs
+++ b/clementinepickd/src/store.rs
@@ -18,8 +18,8 @@
 use tokio::sync::Notify;
 
 use crate::gateway_metrics::GatewayMetrics;
-use crate::outbound::{OutboundError, Outgoing};
-use crate::outbound_pool::Pool;
+use crate::outbound::{OutboundError, OutboundRequest};
+use crate::outbound_pool::ConnectionPool;
 
 /// The longest that one try may take. A store that is 60 times slower than usual answers within
 /// 300 ms; one that answers later is treated like one that is away.
@@ -138,7 +138,7 @@
 /// The client; one for each thread that uses the store.
 pub(crate) struct StoreClient {
     address: SocketAddr,
-    pool: Pool,
+    pool: ConnectionPool,
     relays: RefCell<Vec<SocketAddr>>,
     /// The peer that last made a call for this process.
     relay: Cell<Option<SocketAddr>>,
@@ -160,7 +160,7 @@
         Self {
             metrics,
             address,
-            pool: Pool::default(),
+            pool: ConnectionPool::default(),
             relays: RefCell::default(),
             relay: Cell::new(None),
             failures: Cell::new(0),
@@ -372,9 +372,9 @@
         call: &StoreCall,
     ) -> Result<StoreReply, OutboundError> {
         let now = Instant::now();
-        let mut connection = self.pool.connection(address, CONNECT_LIMIT, now).await?;
+        let mut connection = self.pool.acquire(address, CONNECT_LIMIT, now).await?;
         let target = call.target.parse::<Uri>();
-        let request = Outgoing {
+        let request = OutboundRequest {
             method: call.method.clone(),
             target: target.map_err(|err| OutboundError::Protocol(err.to_string()))?,
             headers: host_header(address),
@@ -382,7 +382,7 @@
         };
         let head = connection.exchange(&request).await?;
         let body = connection.body(MAX_ANSWER_BYTES).await?;
-        self.pool.give_back(address, connection, Instant::now());
+        self.pool.release(address, connection, Instant::now());
         Ok(StoreReply {
             status: head.status.as_u16(),
             body,
--- a/clementinepickd/src/vms_client.rs
+++ b/clementinepickd/src/vm_list_client.rs
@@ -6,7 +6,7 @@
 use clementinepick::platform::Vm;
 
 use crate::clients::{pooled, read_json, url};
-use crate::input::{ControlInput, ControlSender};
+use crate::control_messages::{ControlInput, ControlSender};
 use crate::link::duration;
 use crate::settings::EntryRole;
 
