--- a/clementinepickd/src/answer.rs
+++ b/clementinepickd/src/answer.rs
@@ -1,5 +1,5 @@
-//! A caller's answer on its way out: the parts that arrive, in order and complete, and the news
-//! that the caller is gone.
+//! Delivers the parts of an answer to its caller in order, without duplicates or gaps, and reports
+//! when the caller disconnects.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -15,39 +15,39 @@
 use crate::answer_queue::AnswerReader;
 use crate::response_body::{ChatResponseTemplate, error_event};
 
-/// The parts of one answer, and the caller's hold on it.
+/// The parts of one answer, as read by its caller.
 ///
-/// Dropped before the last part, it tells the control thread that the caller is gone.
-pub(crate) struct Answer {
+/// Dropped before the last part, it reports to the control thread that the caller has disconnected.
+pub(crate) struct AnswerStream {
     request: RequestId,
     parts: AnswerReader,
-    gone: mpsc::UnboundedSender<RequestId>,
-    /// The characters of text so far.
+    disconnects: mpsc::UnboundedSender<RequestId>,
+    /// Number of characters of text returned so far.
     position: u64,
     complete: bool,
     _permit: OwnedSemaphorePermit,
 }
 
-impl Answer {
-    /// The answer to `request`, whose parts come over `parts`, from the character at `position` on.
+impl AnswerStream {
+    /// Creates the answer to `request` from `parts`, starting at the character at `position`.
     pub(crate) fn new(
         request: RequestId,
         parts: AnswerReader,
-        gone: mpsc::UnboundedSender<RequestId>,
+        disconnects: mpsc::UnboundedSender<RequestId>,
         position: u64,
         permit: OwnedSemaphorePermit,
     ) -> Self {
         Self {
             request,
             parts,
-            gone,
+            disconnects,
             position,
             complete: false,
             _permit: permit,
         }
     }
 
-    /// Waits for the next part.
+    /// Waits for the next part; returns `Failed` if the queue closes before the last part.
     pub(crate) async fn next(&mut self) -> AnswerPart {
         std::future::poll_fn(|cx| self.poll_part(cx)).await
     }
@@ -57,31 +57,31 @@
             let part = match self.parts.poll_part(cx) {
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(Some(part)) => part,
-                Poll::Ready(None) => AnswerPart::Failed(broken_off()),
+                Poll::Ready(None) => AnswerPart::Failed(truncated()),
             };
-            if let Some(part) = self.check(part) {
+            if let Some(part) = self.trim_delivered(part) {
                 self.complete |= part.is_last();
                 return Poll::Ready(part);
             }
         }
     }
 
-    /// Leaves out text that was sent already, and refuses to go on after a hole.
+    /// Removes text that was already returned, and fails on a gap.
     ///
-    /// After a retry or a take-over the same text may come twice. With a hole the caller would take
-    /// a part of an answer for the whole.
-    fn check(&mut self, part: AnswerPart) -> Option<AnswerPart> {
+    /// After a retry or a takeover the same text may arrive twice. With a gap, the caller would
+    /// mistake an incomplete answer for a complete one.
+    fn trim_delivered(&mut self, part: AnswerPart) -> Option<AnswerPart> {
         let AnswerPart::Text { position, text } = part else {
             return Some(part);
         };
-        let Some(known) = self.position.checked_sub(position) else {
-            let detail = "a part of the answer is missing";
+        let Some(delivered_chars) = self.position.checked_sub(position) else {
+            let detail = "text is missing from the middle of the answer";
             return Some(AnswerPart::Failed(CallError::new(
                 ErrorKind::Internal,
                 detail,
             )));
         };
-        let skipped = usize::try_from(known).unwrap_or(usize::MAX);
+        let skipped = usize::try_from(delivered_chars).unwrap_or(usize::MAX);
         let text: String = text.chars().skip(skipped).collect();
         if text.is_empty() {
             return None;
@@ -91,14 +91,17 @@
         Some(AnswerPart::Text { position, text })
     }
 
-    /// Collects an answer that is not streamed.
-    pub(crate) async fn whole(&mut self) -> Result<WholeAnswer, CallError> {
+    /// Reads the answer to its end.
+    pub(crate) async fn collect(&mut self) -> Result<CompleteAnswer, CallError> {
         let first = self.next().await;
-        self.whole_from(first).await
+        self.collect_from(first).await
     }
 
-    /// Collects an answer whose first part has come.
-    pub(crate) async fn whole_from(&mut self, first: AnswerPart) -> Result<WholeAnswer, CallError> {
+    /// Reads an answer to its end, given its first part.
+    pub(crate) async fn collect_from(
+        &mut self,
+        first: AnswerPart,
+    ) -> Result<CompleteAnswer, CallError> {
         let mut text = String::new();
         let mut plain = None;
         let mut part = first;
@@ -109,8 +112,8 @@
                 AnswerPart::Failed(error) => return Err(error),
                 AnswerPart::Done(done) => {
                     return Ok(match plain {
-                        Some(answer) => WholeAnswer::Plain(answer, done),
-                        None => WholeAnswer::Turn(text, done),
+                        Some(answer) => CompleteAnswer::Plain(answer, done),
+                        None => CompleteAnswer::Turn(text, done),
                     });
                 }
             }
@@ -119,37 +122,45 @@
     }
 }
 
-/// An answer that is complete.
-pub(crate) enum WholeAnswer {
-    /// A turn's text.
+/// A complete answer.
+pub(crate) enum CompleteAnswer {
+    /// The text of a turn.
     Turn(String, CallDone),
-    /// What a plain service answered.
+    /// The response of a plain service.
     Plain(PlainAnswer, CallDone),
 }
 
-impl Drop for Answer {
+impl Drop for AnswerStream {
     fn drop(&mut self) {
         if !self.complete {
-            let _ = self.gone.send(self.request);
+            let _ = self.disconnects.send(self.request);
         }
     }
 }
 
-/// The parts ended without a last one: this process ends, or the caller did not read.
-fn broken_off() -> CallError {
-    CallError::new(ErrorKind::OutcomeUnknown, "the answer broke off here")
+/// Returns the error for parts that end without a last one: the process is shutting down, or the
+/// caller read too slowly.
+fn truncated() -> CallError {
+    CallError::new(
+        ErrorKind::OutcomeUnknown,
+        "the answer ended before it was complete",
+    )
 }
 
-fn mixed() -> CallError {
-    CallError::new(ErrorKind::Internal, "the answer is of the wrong kind")
+fn unexpected_plain_answer() -> CallError {
+    CallError::new(
+        ErrorKind::Internal,
+        "a plain service responded to a chat call",
+    )
 }
 
-/// A turn as server-sent events. The line `[DONE]` comes only after a whole answer; a failure is the
-/// last event otherwise.
+/// A response body that streams a turn as server-sent events.
+///
+/// `[DONE]` is sent only after a complete answer; otherwise the last event is the error.
 pub(crate) struct EventStream {
-    answer: Answer,
-    shape: ChatResponseTemplate,
-    /// The part that came before the status was known.
+    answer: AnswerStream,
+    template: ChatResponseTemplate,
+    /// The part that was read in order to choose the response's status.
     first: Option<AnswerPart>,
     stage: StreamStage,
 }
@@ -162,15 +173,15 @@
 }
 
 impl EventStream {
-    /// A stream that begins with `first`.
+    /// Creates a stream whose first part is `first`.
     pub(crate) const fn new(
-        answer: Answer,
-        shape: ChatResponseTemplate,
+        answer: AnswerStream,
+        template: ChatResponseTemplate,
         first: AnswerPart,
     ) -> Self {
         Self {
             answer,
-            shape,
+            template,
             first: Some(first),
             stage: StreamStage::Opening,
         }
@@ -178,10 +189,10 @@
 
     fn next_events(&mut self, part: &AnswerPart) -> String {
         match part {
-            AnswerPart::Text { text, .. } => self.shape.text(text),
+            AnswerPart::Text { text, .. } => self.template.text_event(text),
             AnswerPart::Done(done) => {
                 self.stage = StreamStage::Ended;
-                self.shape.closing(done)
+                self.template.final_events(done)
             }
             AnswerPart::Failed(error) => {
                 self.stage = StreamStage::Ended;
@@ -189,7 +200,7 @@
             }
             AnswerPart::Plain(_) => {
                 self.stage = StreamStage::Ended;
-                error_event(&mixed())
+                error_event(&unexpected_plain_answer())
             }
         }
     }
@@ -210,7 +221,7 @@
         match this.stage {
             StreamStage::Opening => {
                 this.stage = StreamStage::Open;
-                return Poll::Ready(Some(Ok(this.shape.opening().into())));
+                return Poll::Ready(Some(Ok(this.template.first_event().into())));
             }
             StreamStage::Open => {}
             StreamStage::Ended => return Poll::Ready(None),
--- a/clementinepickd/src/answer_queue.rs
+++ b/clementinepickd/src/answer_queue.rs
@@ -1,8 +1,8 @@
-//! The parts of one answer between the control thread, which never waits, and its caller, who may
-//! read slowly or not at all.
+//! Queues the parts of one answer between the control thread, which never blocks, and its caller.
 //!
-//! Text that waits is joined into one part, so a burst costs little and a reader that keeps up is
-//! never taken for a slow one. What counts as slow is the time for which nothing was taken.
+//! Consecutive pending text is merged into one part, so that a burst is read at once and a caller
+//! that keeps up is not mistaken for a stalled one. A caller is stalled if it has read nothing for a
+//! while although parts are pending, or if the pending bytes exceed the limit.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -12,76 +12,74 @@
 use clementinepick::call::AnswerPart;
 use thiserror::Error;
 
-/// Why an answer can't go on.
+/// Why a part can't be delivered to the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub(crate) enum Stopped {
-    /// The caller is gone.
-    #[error("the caller is gone")]
-    Gone,
-    /// The caller does not read.
-    #[error("the caller does not read")]
-    Slow,
+pub(crate) enum DeliveryError {
+    #[error("the caller has disconnected")]
+    Disconnected,
+    #[error("the caller has stopped reading the answer")]
+    Stalled,
 }
 
-/// How much may wait for a caller, and for how long.
+/// Limits on the bytes pending for a caller, and on the time without a read while any are.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Patience {
+pub(crate) struct AnswerQueueLimits {
     pub(crate) max_bytes: usize,
-    pub(crate) max_stall: Duration,
+    pub(crate) stall_timeout: Duration,
 }
 
 #[derive(Debug, Default)]
 struct State {
     parts: VecDeque<AnswerPart>,
     bytes: usize,
-    /// The position after the last text that was added.
-    end: u64,
-    /// Since when the first part waits.
-    waiting_since: Option<Instant>,
+    /// The position after the last text that was queued, in characters.
+    end_position: u64,
+    /// Since when parts are pending without a read.
+    pending_since: Option<Instant>,
     waker: Option<Waker>,
-    sender_gone: bool,
-    reader_gone: bool,
+    is_sender_dropped: bool,
+    is_reader_dropped: bool,
 }
 
-/// The end of the control thread.
+/// The sending end, owned by the control thread.
 #[derive(Debug)]
 pub(crate) struct AnswerSender {
     state: Arc<Mutex<State>>,
-    patience: Patience,
+    limits: AnswerQueueLimits,
 }
 
-/// The caller's end.
+/// The receiving end, owned by the caller's connection.
 #[derive(Debug)]
 pub(crate) struct AnswerReader(Arc<Mutex<State>>);
 
-/// A queue for one answer.
-pub(crate) fn answer_queue(patience: Patience) -> (AnswerSender, AnswerReader) {
+/// Creates a queue for one answer.
+pub(crate) fn answer_queue(limits: AnswerQueueLimits) -> (AnswerSender, AnswerReader) {
     let state = Arc::new(Mutex::new(State::default()));
     let reader = AnswerReader(Arc::clone(&state));
-    (AnswerSender { state, patience }, reader)
+    (AnswerSender { state, limits }, reader)
 }
 
 fn lock(state: &Mutex<State>) -> MutexGuard<'_, State> {
-    // A panic elsewhere leaves no half-done change here: each lasts for one lock.
+    // A poisoned lock is safe to use: no change spans more than one lock, so none is left half done.
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl AnswerSender {
-    /// Adds a part.
-    pub(crate) fn push(&self, now: Instant, part: AnswerPart) -> Result<(), Stopped> {
+    /// Queues a part; fails if the caller has disconnected or the queue is full.
+    pub(crate) fn push(&self, now: Instant, part: AnswerPart) -> Result<(), DeliveryError> {
         let mut state = lock(&self.state);
-        if state.reader_gone {
-            return Err(Stopped::Gone);
+        if state.is_reader_dropped {
+            return Err(DeliveryError::Disconnected);
         }
-        let size = size_of(&part);
-        let fits = state.parts.is_empty() || state.bytes + size <= self.patience.max_bytes;
-        // The last part is small and always taken, so that what waits before it is not lost.
+        let size = payload_bytes(&part);
+        let fits = state.parts.is_empty() || state.bytes + size <= self.limits.max_bytes;
+        // The last part is small and always accepted, so that the parts before it are not lost.
         if !fits && !part.is_last() {
-            return Err(Stopped::Slow);
+            return Err(DeliveryError::Stalled);
         }
         state.bytes += size;
-        state.waiting_since.get_or_insert(now);
-        state.add(part);
+        state.pending_since.get_or_insert(now);
+        state.append(part);
         let waker = state.waker.take();
         drop(state);
         if let Some(waker) = waker {
@@ -90,23 +88,27 @@
         Ok(())
     }
 
-    /// Whether the caller has taken nothing for too long, though parts wait.
-    pub(crate) fn check(&self, now: Instant) -> Result<(), Stopped> {
+    /// Fails if the caller has disconnected, or has read nothing for too long while parts are pending.
+    pub(crate) fn check_reader(&self, now: Instant) -> Result<(), DeliveryError> {
         let state = lock(&self.state);
-        if state.reader_gone {
-            return Err(Stopped::Gone);
+        if state.is_reader_dropped {
+            return Err(DeliveryError::Disconnected);
         }
         let stalled = state
-            .waiting_since
-            .is_some_and(|since| now.saturating_duration_since(since) >= self.patience.max_stall);
-        if stalled { Err(Stopped::Slow) } else { Ok(()) }
+            .pending_since
+            .is_some_and(|since| now.saturating_duration_since(since) >= self.limits.stall_timeout);
+        if stalled {
+            Err(DeliveryError::Stalled)
+        } else {
+            Ok(())
+        }
     }
 }
 
 impl Drop for AnswerSender {
     fn drop(&mut self) {
         let mut state = lock(&self.state);
-        state.sender_gone = true;
+        state.is_sender_dropped = true;
         let waker = state.waker.take();
         drop(state);
         if let Some(waker) = waker {
@@ -116,13 +118,13 @@
 }
 
 impl State {
-    fn add(&mut self, part: AnswerPart) {
+    fn append(&mut self, part: AnswerPart) {
         let AnswerPart::Text { position, text } = part else {
             self.parts.push_back(part);
             return;
         };
-        let follows = position == self.end;
-        self.end = position + text.chars().count() as u64;
+        let follows = position == self.end_position;
+        self.end_position = position + text.chars().count() as u64;
         match self.parts.back_mut() {
             Some(AnswerPart::Text { text: waiting, .. }) if follows => waiting.push_str(&text),
             _ => self.parts.push_back(AnswerPart::Text { position, text }),
@@ -131,18 +133,18 @@
 }
 
 impl AnswerReader {
-    /// Takes the next part; none once the sender is gone and all are taken.
+    /// Takes the next part; none once the sender is dropped and the queue is empty.
     pub(crate) fn poll_part(&mut self, cx: &mut Context<'_>) -> Poll<Option<AnswerPart>> {
         let mut state = lock(&self.0);
         let Some(part) = state.parts.pop_front() else {
-            if state.sender_gone {
+            if state.is_sender_dropped {
                 return Poll::Ready(None);
             }
             state.waker = Some(cx.waker().clone());
             return Poll::Pending;
         };
-        state.bytes -= size_of(&part);
-        state.waiting_since = (!state.parts.is_empty()).then(Instant::now);
+        state.bytes -= payload_bytes(&part);
+        state.pending_since = (!state.parts.is_empty()).then(Instant::now);
         Poll::Ready(Some(part))
     }
 }
@@ -150,12 +152,12 @@
 impl Drop for AnswerReader {
     fn drop(&mut self) {
         let mut state = lock(&self.0);
-        state.reader_gone = true;
+        state.is_reader_dropped = true;
         state.parts.clear();
     }
 }
 
-fn size_of(part: &AnswerPart) -> usize {
+fn payload_bytes(part: &AnswerPart) -> usize {
     match part {
         AnswerPart::Text { text, .. } => text.len(),
         AnswerPart::Plain(answer) => answer.body.len(),
@@ -168,9 +170,9 @@
     use super::*;
     use clementinepick::error::{CallError, ErrorKind};
 
-    const PATIENCE: Patience = Patience {
+    const LIMITS: AnswerQueueLimits = AnswerQueueLimits {
         max_bytes: 10,
-        max_stall: Duration::from_secs(5),
+        stall_timeout: Duration::from_secs(5),
     };
 
     fn text(position: u64, text: &str) -> AnswerPart {
@@ -183,8 +185,8 @@
     }
 
     #[test]
-    fn text_that_waits_is_joined() {
-        let (sender, mut reader) = answer_queue(PATIENCE);
+    fn consecutive_pending_text_is_merged() {
+        let (sender, mut reader) = answer_queue(LIMITS);
         let now = Instant::now();
         for part in [text(0, "one "), text(4, "two "), text(9, "x")] {
             assert_eq!(sender.push(now, part), Ok(()));
@@ -197,29 +199,35 @@
     }
 
     #[test]
-    fn a_caller_is_slow_by_time_and_by_bytes() {
-        let (sender, mut reader) = answer_queue(PATIENCE);
+    fn a_caller_stalls_by_time_and_by_bytes() {
+        let (sender, mut reader) = answer_queue(LIMITS);
         let start = Instant::now();
         // A caller that waits for the next part is not slow.
-        assert_eq!(sender.check(start + Duration::from_mins(1)), Ok(()));
+        assert_eq!(sender.check_reader(start + Duration::from_mins(1)), Ok(()));
         assert_eq!(sender.push(start, text(0, "ten bytes.")), Ok(()));
-        assert_eq!(sender.check(start + Duration::from_secs(4)), Ok(()));
+        assert_eq!(sender.check_reader(start + Duration::from_secs(4)), Ok(()));
+        assert_eq!(
+            sender.check_reader(start + Duration::from_secs(5)),
+            Err(DeliveryError::Stalled)
+        );
         assert_eq!(
-            sender.check(start + Duration::from_secs(5)),
-            Err(Stopped::Slow)
+            sender.push(start, text(10, "x")),
+            Err(DeliveryError::Stalled)
         );
-        assert_eq!(sender.push(start, text(10, "x")), Err(Stopped::Slow));
         let last = AnswerPart::Failed(CallError::new(ErrorKind::Internal, "last"));
         assert_eq!(sender.push(start, last), Ok(()));
         assert!(take(&mut reader).is_ready());
         drop(reader);
-        assert_eq!(sender.push(start, text(11, "x")), Err(Stopped::Gone));
+        assert_eq!(
+            sender.push(start, text(11, "x")),
+            Err(DeliveryError::Disconnected)
+        );
     }
 
-    // One answer of a plain service may be larger than all that may wait otherwise.
+    // A single response of a plain service may be larger than the limit of the queue.
     #[test]
-    fn a_single_part_is_taken_whatever_its_size() {
-        let (sender, _reader) = answer_queue(PATIENCE);
+    fn an_empty_queue_accepts_a_part_of_any_size() {
+        let (sender, _reader) = answer_queue(LIMITS);
         let part = text(0, "more than ten bytes");
         assert_eq!(sender.push(Instant::now(), part), Ok(()));
     }
--- a/clementinepickd/src/callers.rs
+++ b/clementinepickd/src/callers.rs
@@ -1,4 +1,4 @@
-//! The callers whose answers are not complete, as the control thread knows them.
+//! Tracks the callers whose answers are incomplete, for the control thread.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -7,7 +7,7 @@
 use clementinepick::ids::RequestId;
 use clementinepick::units::TimeUs;
 
-use crate::answer_queue::{AnswerSender, Stopped};
+use crate::answer_queue::{AnswerSender, DeliveryError};
 use crate::telemetry::Telemetry;
 
 struct OpenAnswer {
@@ -16,19 +16,19 @@
     route: &'static str,
 }
 
-/// All callers who wait for an answer, or for the rest of one.
+/// All callers with an incomplete answer.
 #[derive(Default)]
 pub(crate) struct Callers {
     open: BTreeMap<RequestId, OpenAnswer>,
 }
 
 impl Callers {
-    /// How many answers are not complete.
+    /// Returns the number of incomplete answers.
     pub(crate) fn len(&self) -> usize {
         self.open.len()
     }
 
-    /// Takes note of where an answer goes; false when the caller has left already.
+    /// Registers the queue of an answer; returns false if the caller has already disconnected.
     pub(crate) fn add(
         &mut self,
         now: TimeUs,
@@ -36,7 +36,7 @@
         parts: AnswerSender,
         route: &'static str,
     ) -> bool {
-        if parts.check(Instant::now()).is_err() {
+        if parts.check_reader(Instant::now()).is_err() {
             return false;
         }
         let open = OpenAnswer {
@@ -48,47 +48,47 @@
         true
     }
 
-    /// Gives a caller a part of its answer, and forgets it after the last; fails for a caller that
-    /// can't be given any more.
+    /// Queues a part of an answer for its caller, and removes the caller after the last part or when
+    /// the delivery fails.
     pub(crate) fn deliver(
         &mut self,
         now: TimeUs,
         request: RequestId,
         part: AnswerPart,
         telemetry: &Telemetry,
-    ) -> Result<(), Stopped> {
+    ) -> Result<(), DeliveryError> {
         let Some(open) = self.open.get(&request) else {
             return Ok(());
         };
-        let last = part.is_last();
+        let is_final = part.is_last();
         let outcome = match &part {
             AnswerPart::Failed(error) => error.kind.response().code,
             AnswerPart::Text { .. } | AnswerPart::Plain(_) | AnswerPart::Done(_) => "done",
         };
-        let given = open.parts.push(Instant::now(), part);
-        match given {
-            Ok(()) if !last => {}
+        let delivered = open.parts.push(Instant::now(), part);
+        match delivered {
+            Ok(()) if !is_final => {}
             Ok(()) => self.close(now, request, outcome, telemetry),
-            Err(stopped) => self.stop(now, request, stopped, telemetry),
+            Err(failed) => self.abort(now, request, failed, telemetry),
         }
-        given
+        delivered
     }
 
-    /// Forgets callers that take nothing, or have left, and says which.
+    /// Removes callers that have stalled or disconnected, and returns their requests.
     pub(crate) fn drop_stalled(&mut self, now: TimeUs, telemetry: &Telemetry) -> Vec<RequestId> {
         let at = Instant::now();
-        let stopped: Vec<(RequestId, Stopped)> = self
+        let failed: Vec<(RequestId, DeliveryError)> = self
             .open
             .iter()
-            .filter_map(|(id, open)| Some((*id, open.parts.check(at).err()?)))
+            .filter_map(|(id, open)| Some((*id, open.parts.check_reader(at).err()?)))
             .collect();
-        for (request, why) in &stopped {
-            self.stop(now, *request, *why, telemetry);
+        for (request, why) in &failed {
+            self.abort(now, *request, *why, telemetry);
         }
-        stopped.into_iter().map(|(request, _)| request).collect()
+        failed.into_iter().map(|(request, _)| request).collect()
     }
 
-    /// Forgets a caller that has left; false when its answer was complete.
+    /// Removes a caller that has disconnected; returns false if its answer was complete.
     pub(crate) fn remove(
         &mut self,
         now: TimeUs,
@@ -96,14 +96,20 @@
         telemetry: &Telemetry,
     ) -> bool {
         let known = self.open.contains_key(&request);
-        self.stop(now, request, Stopped::Gone, telemetry);
+        self.abort(now, request, DeliveryError::Disconnected, telemetry);
         known
     }
 
-    fn stop(&mut self, now: TimeUs, request: RequestId, why: Stopped, telemetry: &Telemetry) {
+    fn abort(
+        &mut self,
+        now: TimeUs,
+        request: RequestId,
+        why: DeliveryError,
+        telemetry: &Telemetry,
+    ) {
         let outcome = match why {
-            Stopped::Gone => "caller_gone",
-            Stopped::Slow => "caller_slow",
+            DeliveryError::Disconnected => "caller_gone",
+            DeliveryError::Stalled => "caller_slow",
         };
         self.close(now, request, outcome, telemetry);
     }
--- a/clementinepickd/src/http.rs
+++ b/clementinepickd/src/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP side of a process: callers' calls at an entry, and what operators ask of either role.
+//! Serves HTTP: callers' requests at an entry, and operators' requests in either role.
 
 use std::convert::Infallible;
 use std::net::TcpListener;
@@ -20,22 +20,21 @@
 use crate::control::{Outputs, Wishes};
 use crate::control_messages::{ControlInput, ControlSender};
 use crate::daemon::Ended;
-use crate::http_calls::{chat, plain, program};
-use crate::http_reply::{Refusal, ending, error_answer, json_answer, no_such_path};
+use crate::http_calls::{handle_chat, handle_plain, handle_program};
+use crate::http_reply::{RequestError, error_response, json_response, reject_path, shutting_down};
 use crate::link::duration;
 use crate::settings::{Limits, LinkKey, Role, Settings};
 
-/// How long a slow caller may take to read what is in its connection's buffers once the process has
-/// nothing more to do.
-const CLOSE_LIMIT_S: u64 = 10;
-/// The most connections that wait to be accepted.
-const BACKLOG: u32 = 1_024;
-/// Carries the key of an operator.
+/// How long connections may take to flush their buffers to slow callers when the process shuts down.
+const SHUTDOWN_TIMEOUT_S: u64 = 10;
+/// The most connections that may be waiting to be accepted.
+const ACCEPT_BACKLOG: u32 = 1_024;
+/// The header that carries an operator's key.
 const ADMIN_KEY_HEADER: &str = "clementinepick-admin-key";
 
-const PLAIN_TEXT: &str = "text/plain; version=0.0.4; charset=utf-8";
+const METRICS_CONTENT_TYPE: &str = "text/plain; version=0.0.4; charset=utf-8";
 
-/// What the handlers share.
+/// The state that the handlers share.
 #[derive(Clone)]
 pub(crate) struct HttpContext {
     pub(crate) is_entry: bool,
@@ -50,7 +49,6 @@
 }
 
 impl HttpContext {
-    /// What the handlers of a process with these settings share.
     pub(crate) fn new(
         settings: &Settings,
         control: ControlSender,
@@ -78,121 +76,124 @@
     }
 }
 
-/// Starts the server; it runs until its handle stops it.
+/// Starts the server, which runs until it is stopped by its handle.
 pub(crate) fn start(
     listener: TcpListener,
     workers: usize,
-    shared: HttpContext,
+    context: HttpContext,
 ) -> std::io::Result<Server> {
-    let limits = shared.limits.clone();
-    let per_worker = limits.connections.div_ceil(workers);
+    let limits = context.limits.clone();
+    let connections_per_worker = limits.connections.div_ceil(workers);
     let server = Server::build()
         .workers(workers)
-        .backlog(BACKLOG)
-        .max_concurrent_connections(per_worker)
-        .shutdown_timeout(CLOSE_LIMIT_S)
+        .backlog(ACCEPT_BACKLOG)
+        .max_concurrent_connections(connections_per_worker)
+        .shutdown_timeout(SHUTDOWN_TIMEOUT_S)
         .disable_signals()
         .listen("http", listener, move || {
-            let shared = shared.clone();
+            let context = context.clone();
             HttpService::build()
                 .keep_alive(KeepAlive::Timeout(duration(limits.keep_alive_us)))
                 .client_request_timeout(duration(limits.receive_us))
-                // A caller that closes its side is gone, and its call is cancelled.
+                // Treats a half-closed connection as a disconnect, which cancels the call.
                 .h1_allow_half_closed(false)
-                .finish(move |request| handle(shared.clone(), request))
+                .finish(move |request| handle(context.clone(), request))
                 .tcp()
         })?
         .run();
     Ok(server)
 }
 
-/// Stops the server: at once, or when all connections are closed or the limit has passed.
+/// Stops the server: at once, or gracefully within [`SHUTDOWN_TIMEOUT_S`].
 pub(crate) async fn stop(server: &ServerHandle, ended: Ended) {
     server.stop(ended == Ended::Gracefully).await;
 }
 
 async fn handle(
-    shared: HttpContext,
+    context: HttpContext,
     mut request: Request,
 ) -> Result<Response<BoxBody>, Infallible> {
     let method = request.method().clone();
     let path = request.path().to_owned();
     let answer = match (method, path.as_str()) {
-        (Method::GET, "/healthz") => Ok(json_answer(StatusCode::OK, &json!({"ok": true}))),
-        (Method::GET, "/readyz") => Ok(readiness(&shared)),
-        (Method::GET, "/metrics") => metrics(&shared).await,
-        (Method::GET, "/debug/dump") => dump(&shared).await,
-        (Method::POST, "/admin/drain") => drain(&shared, &request),
-        _ if !shared.is_entry => no_such_path("this sidecar takes calls over links only"),
-        (Method::POST, "/v1/chat/completions") => chat(&shared, &mut request).await,
+        (Method::GET, "/healthz") => Ok(json_response(StatusCode::OK, &json!({"ok": true}))),
+        (Method::GET, "/readyz") => Ok(readiness(&context)),
+        (Method::GET, "/metrics") => metrics(&context).await,
+        (Method::GET, "/debug/dump") => dump(&context).await,
+        (Method::POST, "/admin/drain") => drain(&context, &request),
+        _ if !context.is_entry => reject_path("this sidecar takes calls over links only"),
+        (Method::POST, "/v1/chat/completions") => handle_chat(&context, &mut request).await,
         (method, path) if path.starts_with("/v1/programs/") => {
-            program(&shared, &method, path, &mut request).await
+            handle_program(&context, &method, path, &mut request).await
         }
-        (_, path) if path.starts_with("/services/") => plain(&shared, &mut request).await,
-        (_, "/v1/chat/completions") => no_such_path("must be POST"),
-        _ => no_such_path("no such path"),
+        (_, path) if path.starts_with("/services/") => handle_plain(&context, &mut request).await,
+        (_, "/v1/chat/completions") => reject_path("must be POST"),
+        _ => reject_path("no such path"),
     };
     let mut response = match answer {
         Ok(answer) => answer,
-        Err(Refusal::Here(error)) => {
+        Err(RequestError::Http(error)) => {
             let refused = ControlInput::Refused(error.kind);
-            let _ = shared.control.inputs.try_send(refused);
-            error_answer(&error)
+            let _ = context.control.inputs.try_send(refused);
+            error_response(&error)
         }
-        Err(Refusal::Decided(error)) => error_answer(&error),
+        Err(RequestError::Control(error)) => error_response(&error),
     };
-    // A connection kept for the next request would be closed under it when the process ends.
-    if shared.wishes.leave.load(Ordering::Relaxed) {
+    // On a connection that is kept alive, the caller's next request could be lost to the shutdown.
+    if context.wishes.leave.load(Ordering::Relaxed) {
         let head = response.head_mut();
         head.set_connection_type(ConnectionType::Close);
     }
     Ok(response)
 }
 
-fn readiness(shared: &HttpContext) -> Response<BoxBody> {
-    let ready = shared.ready.load(Ordering::Relaxed);
+fn readiness(context: &HttpContext) -> Response<BoxBody> {
+    let ready = context.ready.load(Ordering::Relaxed);
     let status = if ready {
         StatusCode::OK
     } else {
         StatusCode::SERVICE_UNAVAILABLE
     };
-    json_answer(status, &json!({"ready": ready}))
+    json_response(status, &json!({"ready": ready}))
 }
 
-/// Begins to leave, for an operator who has the key.
+/// Starts a graceful shutdown at the request of an operator.
 ///
-/// Callers reach this port as well, and one of them could empty the deployment, entry by entry.
-fn drain(shared: &HttpContext, request: &Request) -> Result<Response<BoxBody>, Refusal> {
-    let Some(key) = &shared.admin_key else {
-        return no_such_path("this process has no admin key");
+/// Requires the admin key: callers can reach this port too, and could shut down the deployment entry
+/// by entry.
+fn drain(context: &HttpContext, request: &Request) -> Result<Response<BoxBody>, RequestError> {
+    let Some(key) = &context.admin_key else {
+        return reject_path("this process has no admin key");
     };
     let given = request.headers().get(ADMIN_KEY_HEADER);
     let given = given.map_or(&[][..], |value| value.as_bytes());
-    // Digests are compared, so that the time taken says nothing of the key.
+    // Comparing digests keeps the time taken from revealing how much of the key matches.
     if Sha256::digest(given) != Sha256::digest(key.as_bytes()) {
         let refused = json!({"leaving": false, "detail": "wrong admin key"});
-        return Ok(json_answer(StatusCode::FORBIDDEN, &refused));
+        return Ok(json_response(StatusCode::FORBIDDEN, &refused));
     }
-    shared.wishes.leave.store(true, Ordering::Relaxed);
-    Ok(json_answer(StatusCode::OK, &json!({"leaving": true})))
+    context.wishes.leave.store(true, Ordering::Relaxed);
+    Ok(json_response(StatusCode::OK, &json!({"leaving": true})))
 }
 
-async fn metrics(shared: &HttpContext) -> Result<Response<BoxBody>, Refusal> {
+async fn metrics(context: &HttpContext) -> Result<Response<BoxBody>, RequestError> {
     let (answer, done) = oneshot::channel();
-    shared
+    context
         .control
         .send(ControlInput::RefreshGauges(answer))
         .await;
-    done.await.map_err(|_| ending())?;
-    shared.metrics.run_upkeep();
+    done.await.map_err(|_| shutting_down())?;
+    context.metrics.run_upkeep();
     let mut response = Response::build(StatusCode::OK);
-    response.insert_header((CONTENT_TYPE, PLAIN_TEXT));
-    Ok(response.body(shared.metrics.render()).map_into_boxed_body())
+    response.insert_header((CONTENT_TYPE, METRICS_CONTENT_TYPE));
+    Ok(response
+        .body(context.metrics.render())
+        .map_into_boxed_body())
 }
 
-async fn dump(shared: &HttpContext) -> Result<Response<BoxBody>, Refusal> {
+async fn dump(context: &HttpContext) -> Result<Response<BoxBody>, RequestError> {
     let (answer, state) = oneshot::channel();
-    shared.control.send(ControlInput::Dump(answer)).await;
-    let state = state.await.map_err(|_| ending())?;
-    Ok(json_answer(StatusCode::OK, &state))
+    context.control.send(ControlInput::Dump(answer)).await;
+    let state = state.await.map_err(|_| shutting_down())?;
+    Ok(json_response(StatusCode::OK, &state))
 }
--- a/clementinepickd/src/http_calls.rs
+++ b/clementinepickd/src/http_calls.rs
@@ -1,4 +1,5 @@
-//! Callers' calls over HTTP: turns, plain calls, earlier answers and the ends of programs.
+//! Handles callers' requests over HTTP: turns, plain calls, fetches of earlier answers, and ending
+//! programs.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -15,107 +16,119 @@
 use clementinepick::ids::{ProgramId, RequestId};
 use serde_json::{Value, json};
 
-use crate::answer::{Answer, EventStream, WholeAnswer};
-use crate::answer_queue::{Patience, answer_queue};
+use crate::answer::{AnswerStream, CompleteAnswer, EventStream};
+use crate::answer_queue::{AnswerQueueLimits, answer_queue};
 use crate::control_messages::ControlInput;
 use crate::http::HttpContext;
-use crate::http_receive::read;
-use crate::http_reply::{Refusal, ending, json_answer, no_such_path, with_json};
+use crate::http_receive::read_request;
+use crate::http_reply::{RequestError, json_response, reject_path, shutting_down, with_json};
 use crate::link::duration;
-use crate::response_body::{ChatResponseTemplate, turn_name};
+use crate::response_body::{ChatResponseTemplate, turn_header_value};
 
-const EVENT_STREAM: &str = "text/event-stream";
+const EVENT_STREAM_TYPE: &str = "text/event-stream";
 
-/// `POST /v1/chat/completions`: a turn, whole or as a stream.
-pub(crate) async fn chat(
-    shared: &HttpContext,
+/// Handles `POST /v1/chat/completions`, with or without streaming.
+pub(crate) async fn handle_chat(
+    context: &HttpContext,
     request: &mut Request,
-) -> Result<Response<BoxBody>, Refusal> {
-    let http = read(shared, request).await?;
+) -> Result<Response<BoxBody>, RequestError> {
+    let http = read_request(context, request).await?;
     let id = RequestId::draw(&mut rand::rng());
-    let request = parse_chat(&shared.parse, id, &http)?;
+    let request = parse_chat(&context.parse, id, &http)?;
     let Payload::Chat(call) = &request.payload else {
-        return Err(CallError::new(ErrorKind::Internal, "no chat call").into());
+        return Err(
+            CallError::new(ErrorKind::Internal, "the parsed request is not a chat call").into(),
+        );
     };
-    let (shape, stream) = (chat_shape(id, call)?, call.stream);
-    let answer = submit(shared, Asked::Call(Box::new(request))).await?;
-    give(answer, shape, stream).await
+    let (template, stream) = (response_template(id, call)?, call.stream);
+    let answer = submit(context, CallInput::Call(Box::new(request))).await?;
+    respond(answer, template, stream).await
 }
 
-fn chat_shape(request: RequestId, call: &ChatCall) -> Result<ChatResponseTemplate, CallError> {
-    let bad = |field: &str, detail: &str| CallError::in_field(ErrorKind::BadBody, field, detail);
+fn response_template(
+    request: RequestId,
+    call: &ChatCall,
+) -> Result<ChatResponseTemplate, CallError> {
+    let invalid_field =
+        |field: &str, detail: &str| CallError::in_field(ErrorKind::BadBody, field, detail);
     let include_usage = match call.extra.get("stream_options") {
         None | Some(Value::Null) => false,
         Some(Value::Object(options)) => match options.get("include_usage") {
             None => false,
             Some(Value::Bool(include)) => *include,
             Some(_) => {
-                return Err(bad("stream_options.include_usage", "must be true or false"));
+                return Err(invalid_field(
+                    "stream_options.include_usage",
+                    "must be true or false",
+                ));
             }
         },
-        Some(_) => return Err(bad("stream_options", "must be an object")),
+        Some(_) => return Err(invalid_field("stream_options", "must be an object")),
     };
     if !matches!(call.extra.get("n"), None | Some(Value::Null))
         && call.extra.get("n").and_then(Value::as_u64) != Some(1)
     {
-        return Err(bad("n", "one answer a call is given: must be 1"));
+        return Err(invalid_field("n", "must be 1: a call has a single choice"));
     }
     Ok(ChatResponseTemplate {
         request,
         model: Some(call.model.clone()),
-        created_s: seconds_since_1970(),
+        created_s: unix_seconds(),
         include_usage,
     })
 }
 
-fn seconds_since_1970() -> u64 {
+fn unix_seconds() -> u64 {
     let since_1970 = SystemTime::now().duration_since(UNIX_EPOCH);
     since_1970.map_or(0, |since| since.as_secs())
 }
 
-/// `/services/{service}/{path}`, with any method: a call of a plain service.
-pub(crate) async fn plain(
-    shared: &HttpContext,
+/// Handles a call to a plain service: `/services/{service}/{path}` with any method.
+pub(crate) async fn handle_plain(
+    context: &HttpContext,
     request: &mut Request,
-) -> Result<Response<BoxBody>, Refusal> {
-    let http = read(shared, request).await?;
+) -> Result<Response<BoxBody>, RequestError> {
+    let http = read_request(context, request).await?;
     let id = RequestId::draw(&mut rand::rng());
-    let request = parse_plain(&shared.parse, id, &http)?;
-    let mut answer = submit(shared, Asked::Call(Box::new(request))).await?;
-    match answer.whole().await.map_err(Refusal::Decided)? {
-        WholeAnswer::Plain(plain, done) => plain_answer(plain, &done),
-        WholeAnswer::Turn(..) => {
-            Err(CallError::new(ErrorKind::Internal, "a turn in place of an answer").into())
+    let request = parse_plain(&context.parse, id, &http)?;
+    let mut answer = submit(context, CallInput::Call(Box::new(request))).await?;
+    match answer.collect().await.map_err(RequestError::Control)? {
+        CompleteAnswer::Plain(plain, done) => plain_response(plain, &done),
+        CompleteAnswer::Turn(..) => {
+            Err(CallError::new(ErrorKind::Internal, "the plain call returned a turn").into())
         }
     }
 }
 
-/// `GET /v1/programs/{program}/calls/{call}`: an earlier answer, or the rest of one.
+/// Handles `GET /v1/programs/{program}/calls/{call}`: returns an earlier answer, or the rest of one.
 ///
-/// A turn comes as a stream when the caller accepts one.
-async fn fetch(shared: &HttpContext, request: &mut Request) -> Result<Response<BoxBody>, Refusal> {
-    let http = read(shared, request).await?;
+/// A turn is streamed if the caller accepts event streams.
+async fn handle_fetch(
+    context: &HttpContext,
+    request: &mut Request,
+) -> Result<Response<BoxBody>, RequestError> {
+    let http = read_request(context, request).await?;
     let id = RequestId::draw(&mut rand::rng());
     let fetch = parse_fetch(id, &http)?;
     let accept = http.headers.iter().find(|(name, _)| name == "accept");
-    let stream = accept.is_some_and(|(_, value)| value.contains(EVENT_STREAM));
-    let shape = ChatResponseTemplate {
+    let stream = accept.is_some_and(|(_, value)| value.contains(EVENT_STREAM_TYPE));
+    let template = ChatResponseTemplate {
         request: id,
         model: None,
-        created_s: seconds_since_1970(),
+        created_s: unix_seconds(),
         include_usage: true,
     };
-    let answer = submit(shared, Asked::Fetch(Box::new(fetch))).await?;
-    give(answer, shape, stream).await
+    let answer = submit(context, CallInput::Fetch(Box::new(fetch))).await?;
+    respond(answer, template, stream).await
 }
 
-/// Gives an answer of either kind, a turn as a stream if so wanted.
-async fn give(
-    mut answer: Answer,
-    shape: ChatResponseTemplate,
+/// Builds the response from an answer; a turn is streamed if `stream` is set.
+async fn respond(
+    mut answer: AnswerStream,
+    template: ChatResponseTemplate,
     stream: bool,
-) -> Result<Response<BoxBody>, Refusal> {
-    // The status goes out with the first part, so a call that is refused has its own.
+) -> Result<Response<BoxBody>, RequestError> {
+    // The status is chosen after the first part, so that a rejected call gets its own status.
     let first = answer.next().await;
     let streamed = match &first {
         AnswerPart::Text { .. } | AnswerPart::Done(_) => stream,
@@ -123,108 +136,114 @@
     };
     if streamed {
         let mut response = Response::build(StatusCode::OK);
-        response.insert_header((CONTENT_TYPE, EVENT_STREAM));
+        response.insert_header((CONTENT_TYPE, EVENT_STREAM_TYPE));
         response.insert_header(("cache-control", "no-cache"));
-        let events = EventStream::new(answer, shape, first);
+        let events = EventStream::new(answer, template, first);
         return Ok(response.body(events).map_into_boxed_body());
     }
-    let whole = answer.whole_from(first).await;
-    match whole.map_err(Refusal::Decided)? {
-        WholeAnswer::Turn(text, done) => {
+    let whole = answer.collect_from(first).await;
+    match whole.map_err(RequestError::Control)? {
+        CompleteAnswer::Turn(text, done) => {
             let mut response = Response::build(StatusCode::OK);
-            add_call(&mut response, &done);
-            Ok(with_json(response, &shape.whole(&text, &done)))
+            insert_call_headers(&mut response, &done);
+            Ok(with_json(response, &template.full_body(&text, &done)))
         }
-        WholeAnswer::Plain(plain, done) => plain_answer(plain, &done),
+        CompleteAnswer::Plain(plain, done) => plain_response(plain, &done),
     }
 }
 
-fn plain_answer(plain: PlainAnswer, done: &CallDone) -> Result<Response<BoxBody>, Refusal> {
+fn plain_response(plain: PlainAnswer, done: &CallDone) -> Result<Response<BoxBody>, RequestError> {
     let status = StatusCode::from_u16(plain.status).map_err(|_| {
-        CallError::new(ErrorKind::BackendFailed, "the service gave no valid status")
+        CallError::new(
+            ErrorKind::BackendFailed,
+            "the service returned an invalid HTTP status",
+        )
     })?;
     let mut response = Response::build(status);
     for header in plain.headers {
         response.append_header(header);
     }
-    add_call(&mut response, done);
+    insert_call_headers(&mut response, done);
     Ok(response.body(plain.body).map_into_boxed_body())
 }
 
-/// `POST /v1/programs/{program}/end`.
-async fn end_program(shared: &HttpContext, program: &str) -> Result<Response<BoxBody>, Refusal> {
+/// Handles `POST /v1/programs/{program}/end`.
+async fn handle_end_program(
+    context: &HttpContext,
+    program: &str,
+) -> Result<Response<BoxBody>, RequestError> {
     let program: ProgramId = program
         .parse()
-        .map_err(|_| CallError::in_field(ErrorKind::UnknownCall, "path", "is no program"))?;
-    if !shared.ready.load(Ordering::Relaxed) {
+        .map_err(|_| CallError::in_field(ErrorKind::UnknownCall, "path", "invalid program id"))?;
+    if !context.ready.load(Ordering::Relaxed) {
         let error = CallError::new(ErrorKind::NotReady, "this entry is not ready");
         return Err(error.into());
     }
     let input = ControlInput::EndProgram(program.clone());
-    if !shared.control.send(input).await {
-        return Err(ending().into());
+    if !context.control.send(input).await {
+        return Err(shutting_down().into());
     }
     let body = json!({"program": program, "ending": true});
-    Ok(json_answer(StatusCode::ACCEPTED, &body))
+    Ok(json_response(StatusCode::ACCEPTED, &body))
 }
 
-/// What stands below `/v1/programs/`.
-pub(crate) async fn program(
-    shared: &HttpContext,
+/// Dispatches the requests below `/v1/programs/`.
+pub(crate) async fn handle_program(
+    context: &HttpContext,
     method: &Method,
     path: &str,
     request: &mut Request,
-) -> Result<Response<BoxBody>, Refusal> {
+) -> Result<Response<BoxBody>, RequestError> {
     let rest = path.strip_prefix("/v1/programs/").unwrap_or_default();
     match (method, rest.split_once('/')) {
-        (&Method::POST, Some((program, "end"))) => end_program(shared, program).await,
+        (&Method::POST, Some((program, "end"))) => handle_end_program(context, program).await,
         (&Method::GET, Some((_, rest))) if rest.starts_with("calls/") => {
-            fetch(shared, request).await
+            handle_fetch(context, request).await
         }
-        _ => no_such_path(
+        _ => reject_path(
             "must be POST /v1/programs/{program}/end or GET /v1/programs/{program}/calls/{call}",
         ),
     }
 }
 
-/// What a caller asks for.
-enum Asked {
+/// A caller's request that is answered with the parts of an answer.
+enum CallInput {
     Call(Box<CallRequest>),
     Fetch(Box<Fetch>),
 }
 
-/// Hands a request to the control thread.
-async fn submit(shared: &HttpContext, asked: Asked) -> Result<Answer, CallError> {
-    let permit = Arc::clone(&shared.streams).try_acquire_owned();
+/// Submits a request to the control thread and returns its answer.
+async fn submit(context: &HttpContext, call_input: CallInput) -> Result<AnswerStream, CallError> {
+    let permit = Arc::clone(&context.streams).try_acquire_owned();
     let permit = permit.map_err(|_| {
         CallError::new(
             ErrorKind::Overloaded,
-            "this entry has as many calls as it takes",
+            "this entry has reached its limit of concurrent calls",
         )
     })?;
-    let (answers, parts) = answer_queue(Patience {
-        max_bytes: usize::try_from(shared.limits.answer_bytes.0).unwrap_or(usize::MAX),
-        max_stall: duration(shared.limits.answer_stall_us),
+    let (answers, parts) = answer_queue(AnswerQueueLimits {
+        max_bytes: usize::try_from(context.limits.answer_bytes.0).unwrap_or(usize::MAX),
+        stall_timeout: duration(context.limits.answer_stall_us),
     });
-    let (id, position) = match &asked {
-        Asked::Call(request) => (request.id, 0),
-        Asked::Fetch(fetch) => (fetch.id, fetch.position),
+    let (id, position) = match &call_input {
+        CallInput::Call(request) => (request.id, 0),
+        CallInput::Fetch(fetch) => (fetch.id, fetch.position),
     };
-    let gone = shared.control.disconnects.clone();
-    let answer = Answer::new(id, parts, gone, position, permit);
-    let input = match asked {
-        Asked::Call(request) => ControlInput::Request { request, answers },
-        Asked::Fetch(fetch) => ControlInput::Fetch { fetch, answers },
+    let disconnects = context.control.disconnects.clone();
+    let answer = AnswerStream::new(id, parts, disconnects, position, permit);
+    let input = match call_input {
+        CallInput::Call(request) => ControlInput::Request { request, answers },
+        CallInput::Fetch(fetch) => ControlInput::Fetch { fetch, answers },
     };
-    if shared.control.send(input).await {
+    if context.control.send(input).await {
         Ok(answer)
     } else {
-        Err(ending())
+        Err(shutting_down())
     }
 }
 
-fn add_call(response: &mut ResponseBuilder, done: &CallDone) {
+fn insert_call_headers(response: &mut ResponseBuilder, done: &CallDone) {
     response.insert_header(("clementinepick-program", done.call.program.as_str()));
     response.insert_header(("clementinepick-call", done.call.seq.to_string()));
-    response.insert_header(("clementinepick-turn", turn_name(done.turn)));
+    response.insert_header(("clementinepick-turn", turn_header_value(done.turn)));
 }
--- a/clementinepickd/src/http_receive.rs
+++ b/clementinepickd/src/http_receive.rs
@@ -1,4 +1,4 @@
-//! Receives a caller's request with its body, within the limits.
+//! Reads a caller's request with its headers and body, within the configured limits.
 
 use actix_http::{HttpMessage, Request};
 use bytes::BytesMut;
@@ -10,25 +10,25 @@
 use crate::http::HttpContext;
 use crate::link::duration;
 
-/// How the names of the headers begin that the system itself reads.
-const OWN_HEADERS: &str = "clementinepick-";
+/// The prefix of the headers that this system defines.
+const OWN_HEADER_PREFIX: &str = "clementinepick-";
 
-/// Reads a request with its body, within the limits.
-pub(crate) async fn read(
-    shared: &HttpContext,
+/// Reads a request; fails if a size limit or the receive timeout is exceeded.
+pub(crate) async fn read_request(
+    context: &HttpContext,
     request: &mut Request,
 ) -> Result<HttpRequest, CallError> {
-    let headers = read_headers(shared, request)?;
+    let headers = read_headers(context, request)?;
     let path = request.uri().path_and_query();
     let path = path.map_or_else(|| request.path().to_owned(), ToString::to_string);
     let method = request.method().as_str().to_owned();
     let body = timeout(
-        duration(shared.limits.receive_us),
-        read_body(shared, request),
+        duration(context.limits.receive_us),
+        read_body(context, request),
     )
     .await
     .map_err(|_| {
-        let detail = format!("did not arrive within {}", shared.limits.receive_us);
+        let detail = format!("did not arrive within {}", context.limits.receive_us);
         CallError::in_field(ErrorKind::BadBody, "body", detail)
     })??;
     Ok(HttpRequest {
@@ -40,24 +40,27 @@
 }
 
 fn read_headers(
-    shared: &HttpContext,
+    context: &HttpContext,
     request: &Request,
 ) -> Result<Vec<(String, String)>, CallError> {
-    let mut left = shared.limits.header_bytes.0;
+    let mut remaining_bytes = context.limits.header_bytes.0;
     let mut headers = Vec::new();
     for (name, value) in request.headers() {
         let size = (name.as_str().len() + value.len()) as u64;
-        left = left.checked_sub(size).ok_or_else(|| {
-            let detail = format!("the limit of all is {}", shared.limits.header_bytes);
+        remaining_bytes = remaining_bytes.checked_sub(size).ok_or_else(|| {
+            let detail = format!(
+                "the headers exceed their total limit of {}",
+                context.limits.header_bytes
+            );
             CallError::in_field(ErrorKind::BadHeader, name.as_str(), detail)
         })?;
         let value = value.to_str().map_err(|_| {
             CallError::in_field(ErrorKind::BadHeader, name.as_str(), "must be visible ASCII")
         })?;
-        // Two values for a program or a key are two different calls to different readers.
+        // With two values for a program or a key, different readers would see different calls.
         let is_own =
-            name.as_str().starts_with(OWN_HEADERS) || name.as_str() == IDEMPOTENCY_KEY_HEADER;
-        if is_own && headers.iter().any(|(known, _)| known == name.as_str()) {
+            name.as_str().starts_with(OWN_HEADER_PREFIX) || name.as_str() == IDEMPOTENCY_KEY_HEADER;
+        if is_own && headers.iter().any(|(seen, _)| seen == name.as_str()) {
             let error = CallError::in_field(ErrorKind::BadHeader, name.as_str(), "is given twice");
             return Err(error);
         }
@@ -66,15 +69,15 @@
     Ok(headers)
 }
 
-async fn read_body(shared: &HttpContext, request: &mut Request) -> Result<Vec<u8>, CallError> {
-    let limit = usize::try_from(shared.limits.body_bytes.0).unwrap_or(usize::MAX);
+async fn read_body(context: &HttpContext, request: &mut Request) -> Result<Vec<u8>, CallError> {
+    let limit = usize::try_from(context.limits.body_bytes.0).unwrap_or(usize::MAX);
     let mut payload = request.take_payload();
     let mut body = BytesMut::new();
     while let Some(chunk) = payload.next().await {
         let chunk = chunk
             .map_err(|err| CallError::in_field(ErrorKind::BadBody, "body", err.to_string()))?;
         if body.len() + chunk.len() > limit {
-            let detail = format!("the limit is {}", shared.limits.body_bytes);
+            let detail = format!("exceeds the limit of {}", context.limits.body_bytes);
             return Err(CallError::in_field(ErrorKind::BodyTooLarge, "body", detail));
         }
         body.extend_from_slice(&chunk);
--- a/clementinepickd/src/http_reply.rs
+++ b/clementinepickd/src/http_reply.rs
@@ -1,4 +1,4 @@
-//! What any answer over HTTP is made of, and how a refusal becomes one.
+//! Builds HTTP responses, including those for failed requests.
 
 use actix_http::body::BoxBody;
 use actix_http::header::{CONTENT_TYPE, RETRY_AFTER};
@@ -10,28 +10,28 @@
 
 const JSON: &str = "application/json";
 
-/// Where a request failed.
-pub(crate) enum Refusal {
-    /// Before the decisions have seen it.
-    Here(CallError),
-    /// By the decisions, which have counted it.
-    Decided(CallError),
+/// The error of a request, by the place that found it.
+pub(crate) enum RequestError {
+    /// The HTTP layer; the control thread has yet to count it.
+    Http(CallError),
+    /// The control thread, which has counted it.
+    Control(CallError),
 }
 
-impl From<CallError> for Refusal {
+impl From<CallError> for RequestError {
     fn from(error: CallError) -> Self {
-        Self::Here(error)
+        Self::Http(error)
     }
 }
 
-/// Refuses a request whose path means nothing here.
-pub(crate) fn no_such_path(detail: &str) -> Result<Response<BoxBody>, Refusal> {
+/// Rejects a request because of its path.
+pub(crate) fn reject_path(detail: &str) -> Result<Response<BoxBody>, RequestError> {
     let error = CallError::in_field(ErrorKind::UnknownService, "path", detail);
-    Err(Refusal::Here(error))
+    Err(RequestError::Http(error))
 }
 
-/// The answer to a request that failed.
-pub(crate) fn error_answer(error: &CallError) -> Response<BoxBody> {
+/// Returns the response to a failed request.
+pub(crate) fn error_response(error: &CallError) -> Response<BoxBody> {
     let mut response = Response::build(status(error.kind));
     if let Some(seconds) = error.retry_after_s() {
         response.insert_header((RETRY_AFTER, seconds.to_string()));
@@ -39,18 +39,18 @@
     with_json(response, &error_body(error))
 }
 
-/// An answer in JSON.
-pub(crate) fn json_answer(status: StatusCode, body: &Value) -> Response<BoxBody> {
+/// Returns a response with a JSON body.
+pub(crate) fn json_response(status: StatusCode, body: &Value) -> Response<BoxBody> {
     with_json(Response::build(status), body)
 }
 
-/// Ends an answer with a body in JSON.
+/// Adds a JSON body to a response.
 pub(crate) fn with_json(mut response: ResponseBuilder, body: &Value) -> Response<BoxBody> {
     response.insert_header((CONTENT_TYPE, JSON));
     response.body(body.to_string()).map_into_boxed_body()
 }
 
-/// What is said when the control thread has ended.
-pub(crate) fn ending() -> CallError {
-    CallError::new(ErrorKind::ShuttingDown, "this process ends")
+/// Returns the error for a request that arrives after the control thread has ended.
+pub(crate) fn shutting_down() -> CallError {
+    CallError::new(ErrorKind::ShuttingDown, "this process is shutting down")
 }
--- a/clementinepickd/src/response_body.rs
+++ b/clementinepickd/src/response_body.rs
@@ -1,4 +1,4 @@
-//! The bodies that callers get: the OpenAI style for turns, and one shape for errors.
+//! Builds the bodies of responses to callers: turns in the style of the OpenAI API, and errors.
 
 use actix_http::StatusCode;
 use clementinepick::call::{CallDone, FinishReason, TurnState, Usage};
@@ -6,67 +6,67 @@
 use clementinepick::ids::{ModelName, RequestId};
 use serde_json::{Value, json};
 
-/// The last line of a stream.
-pub(crate) const STREAM_END: &str = "data: [DONE]\n\n";
+/// The event that ends a complete stream.
+pub(crate) const DONE_EVENT: &str = "data: [DONE]\n\n";
 
-/// What stays the same in all bodies of one answer.
+/// The fields that all bodies or events of one chat response share.
 #[derive(Debug, Clone)]
 pub(crate) struct ChatResponseTemplate {
     pub(crate) request: RequestId,
-    /// Absent where an answer is fetched later.
+    /// None where the answer of an earlier call is fetched.
     pub(crate) model: Option<ModelName>,
-    /// Seconds since 1970.
+    /// Unix time, in seconds.
     pub(crate) created_s: u64,
-    /// Whether a stream ends with the usage.
+    /// Whether a stream reports the token usage before its end.
     pub(crate) include_usage: bool,
 }
 
 impl ChatResponseTemplate {
-    fn base(&self, object: &str) -> Value {
-        let mut base = json!({
+    fn common_fields(&self, object: &str) -> Value {
+        let mut common_fields = json!({
             "id": format!("chatcmpl-{}", self.request),
             "object": object,
             "created": self.created_s,
         });
         if let Some(model) = &self.model {
-            base["model"] = json!(model);
+            common_fields["model"] = json!(model);
         }
-        base
+        common_fields
     }
 
     fn chunk(&self, delta: &Value, finish: Option<&str>) -> Value {
-        let mut chunk = self.base("chat.completion.chunk");
+        let mut chunk = self.common_fields("chat.completion.chunk");
         chunk["choices"] = json!([{"index": 0, "delta": delta, "finish_reason": finish}]);
         chunk
     }
 
-    /// The first event of a stream.
-    pub(crate) fn opening(&self) -> String {
+    /// Returns the first event of a stream.
+    pub(crate) fn first_event(&self) -> String {
         event(&self.chunk(&json!({"role": "assistant", "content": ""}), None))
     }
 
-    /// An event with text.
-    pub(crate) fn text(&self, text: &str) -> String {
+    /// Returns an event that carries text.
+    pub(crate) fn text_event(&self, text: &str) -> String {
         event(&self.chunk(&json!({"content": text}), None))
     }
 
-    /// The last events of a stream.
-    pub(crate) fn closing(&self, done: &CallDone) -> String {
+    /// Returns the last events of a stream, up to `[DONE]`.
+    pub(crate) fn final_events(&self, done: &CallDone) -> String {
         let mut last = self.chunk(&json!({}), Some(finish_reason(done)));
-        last["clementinepick"] = call_of(done);
+        last["clementinepick"] = call_reference(done);
         let mut events = event(&last);
         if self.include_usage {
-            let mut chunk = self.base("chat.completion.chunk");
+            let mut chunk = self.common_fields("chat.completion.chunk");
             chunk["choices"] = json!([]);
             chunk["usage"] = usage(&done.usage);
             events += &event(&chunk);
         }
-        events + STREAM_END
+        events + DONE_EVENT
     }
 
-    /// The body of an answer that is not streamed.
-    pub(crate) fn whole(&self, text: &str, done: &CallDone) -> Value {
-        let mut body = self.base("chat.completion");
+    /// Returns the body of a response that is not streamed.
+    pub(crate) fn full_body(&self, text: &str, done: &CallDone) -> Value {
+        let mut body = self.common_fields("chat.completion");
         body["choices"] = json!([{
             "index": 0,
             "message": {"role": "assistant", "content": text, "refusal": null},
@@ -74,7 +74,7 @@
             "finish_reason": finish_reason(done),
         }]);
         body["usage"] = usage(&done.usage);
-        body["clementinepick"] = call_of(done);
+        body["clementinepick"] = call_reference(done);
         body
     }
 }
@@ -99,13 +99,13 @@
     })
 }
 
-/// The call's place, by which its answer can be asked for again.
-fn call_of(done: &CallDone) -> Value {
+/// Returns the program and number of the call, by which its answer can be fetched later.
+fn call_reference(done: &CallDone) -> Value {
     json!({"program": done.call.program, "call": done.call.seq, "turn": done.turn})
 }
 
-/// The value of the header that says whether a turn is on record.
-pub(crate) const fn turn_name(turn: TurnState) -> &'static str {
+/// Returns the value of the header that says whether a turn has been recorded.
+pub(crate) const fn turn_header_value(turn: TurnState) -> &'static str {
     match turn {
         TurnState::Committed => "committed",
         TurnState::Pending => "pending",
@@ -113,7 +113,7 @@
     }
 }
 
-/// The body of an error.
+/// Returns the body of an error response.
 pub(crate) fn error_body(error: &CallError) -> Value {
     let answer = error.kind.response();
     let not_run = match answer.not_run {
@@ -131,17 +131,18 @@
     }})
 }
 
-/// The error as the last event of a stream; no end line follows, since the answer is not whole.
+/// Returns an error as the last event of a stream; no `[DONE]` follows, since the answer is
+/// incomplete.
 pub(crate) fn error_event(error: &CallError) -> String {
     event(&error_body(error))
 }
 
-/// The error's status.
+/// Returns the HTTP status of an error.
 pub(crate) fn status(kind: ErrorKind) -> StatusCode {
     StatusCode::from_u16(kind.response().status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR)
 }
 
-/// The error's type, as client libraries tell them apart.
+/// Returns the error type by which OpenAI client libraries classify errors.
 fn error_type(kind: ErrorKind) -> &'static str {
     match kind.response().status {
         402 => "insufficient_quota",
--- a/clementinepickd/tests/http.rs
+++ b/clementinepickd/tests/http.rs
@@ -1,5 +1,5 @@
-//! What callers get for input that is wrong, too large or too slow: a typed error that names the
-//! field and says that nothing ran.
+//! Tests that invalid, oversized or slow requests get a typed error that names the field and says that
+//! nothing ran.
 
 mod exchange;
 mod support;
@@ -11,10 +11,10 @@
 use expect_test::{Expect, expect};
 use support::{end, entry_settings, sidecar_settings};
 
-const CHAT: &str = "POST /v1/chat/completions HTTP/1.1\r\nhost: test\r\nconnection: close\r\n";
+const CHAT_HEAD: &str = "POST /v1/chat/completions HTTP/1.1\r\nhost: test\r\nconnection: close\r\n";
 
-const SERVICE: &str = "clementinepick-service: agent-llm\r\n";
-const RIGHT: &str = r#"{"model":"m","messages":[{"role":"user","content":"hi"}]}"#;
+const SERVICE_HEADER: &str = "clementinepick-service: agent-llm\r\n";
+const VALID_BODY: &str = r#"{"model":"m","messages":[{"role":"user","content":"hi"}]}"#;
 
 fn small_limits() -> Settings {
     Settings {
@@ -28,9 +28,9 @@
     }
 }
 
-/// The status and the error of an answer, in one line.
-fn summary(answer: &str) -> String {
-    let (head, body) = answer.split_once("\r\n\r\n").expect("an answer");
+/// Formats the status and the error of a response in one line.
+fn summarize_error(response: &str) -> String {
+    let (head, body) = response.split_once("\r\n\r\n").expect("a response");
     let status = head.split(' ').nth(1).expect("a status");
     let body: serde_json::Value = serde_json::from_str(body).expect("JSON");
     let error = &body["error"];
@@ -40,25 +40,25 @@
     )
 }
 
-fn check(settings: Settings, request: &str, expected: &Expect) {
+fn assert_error(settings: Settings, request: &str, expected: &Expect) {
     let daemon = Daemon::start(settings).expect("it starts");
-    let answer = exchange(daemon.http_address(), request.as_bytes());
+    let response = exchange(daemon.http_address(), request.as_bytes());
     end(daemon);
-    expected.assert_eq(&summary(&answer));
+    expected.assert_eq(&summarize_error(&response));
 }
 
-fn chat(headers: &str, body: &str) -> String {
+fn chat_request(headers: &str, body: &str) -> String {
     format!(
-        "{CHAT}{headers}content-length: {}\r\n\r\n{body}",
+        "{CHAT_HEAD}{headers}content-length: {}\r\n\r\n{body}",
         body.len()
     )
 }
 
 #[test]
-fn broken_json() {
-    check(
+fn malformed_json_is_rejected() {
+    assert_error(
         small_limits(),
-        &chat(SERVICE, "{"),
+        &chat_request(SERVICE_HEADER, "{"),
         &expect![[
             r#"400 "bad_body" "body" not_run=true "EOF while parsing an object at line 1 column 1""#
         ]],
@@ -66,12 +66,12 @@
 }
 
 #[test]
-fn a_header_that_cannot_be_read() {
-    check(
+fn an_invalid_header_is_rejected_by_name() {
+    assert_error(
         small_limits(),
-        &chat(
+        &chat_request(
             "clementinepick-service: s\r\nclementinepick-deadline-ms: soon\r\n",
-            RIGHT,
+            VALID_BODY,
         ),
         &expect![[
             r#"400 "bad_header" "clementinepick-deadline-ms" not_run=true "invalid digit found in string""#
@@ -80,53 +80,55 @@
 }
 
 #[test]
-fn a_header_given_twice() {
+fn a_header_given_twice_is_rejected() {
     let headers = "clementinepick-program: a\r\nclementinepick-program: b\r\n";
-    check(
+    assert_error(
         small_limits(),
-        &chat(headers, RIGHT),
+        &chat_request(headers, VALID_BODY),
         &expect![[r#"400 "bad_header" "clementinepick-program" not_run=true "is given twice""#]],
     );
 }
 
 #[test]
-fn a_header_over_the_limit() {
+fn headers_over_the_limit_are_rejected() {
     let headers = format!("x-long: {}\r\n", "x".repeat(600));
-    check(
+    assert_error(
         small_limits(),
-        &chat(&headers, "{}"),
-        &expect![[r#"400 "bad_header" "x-long" not_run=true "the limit of all is 500 B""#]],
+        &chat_request(&headers, "{}"),
+        &expect![[
+            r#"400 "bad_header" "x-long" not_run=true "the headers exceed their total limit of 500 B""#
+        ]],
     );
 }
 
 #[test]
-fn a_body_over_the_limit() {
-    check(
+fn a_body_over_the_limit_is_rejected() {
+    assert_error(
         small_limits(),
-        &chat("", &"x".repeat(2_000)),
-        &expect![[r#"413 "body_too_large" "body" not_run=true "the limit is 1000 B""#]],
+        &chat_request("", &"x".repeat(2_000)),
+        &expect![[r#"413 "body_too_large" "body" not_run=true "exceeds the limit of 1000 B""#]],
     );
 }
 
 #[test]
-fn a_chunked_body_over_the_limit() {
+fn a_chunked_body_over_the_limit_is_rejected() {
     let chunk = format!("1f4\r\n{}\r\n", "x".repeat(500));
     let request = format!(
-        "{CHAT}transfer-encoding: chunked\r\n\r\n{}0\r\n\r\n",
+        "{CHAT_HEAD}transfer-encoding: chunked\r\n\r\n{}0\r\n\r\n",
         chunk.repeat(3)
     );
-    check(
+    assert_error(
         small_limits(),
         &request,
-        &expect![[r#"413 "body_too_large" "body" not_run=true "the limit is 1000 B""#]],
+        &expect![[r#"413 "body_too_large" "body" not_run=true "exceeds the limit of 1000 B""#]],
     );
 }
 
-// A caller announces a body and never sends it all. The connection would be held for ever.
+// A caller announces a body and never sends all of it: the connection would be held forever.
 #[test]
-fn a_body_that_does_not_come() {
-    let request = format!("{CHAT}content-length: 500\r\n\r\nhalf");
-    check(
+fn an_incomplete_body_times_out() {
+    let request = format!("{CHAT_HEAD}content-length: 500\r\n\r\nhalf");
+    assert_error(
         small_limits(),
         &request,
         &expect![[r#"400 "bad_body" "body" not_run=true "did not arrive within 300 ms""#]],
@@ -134,11 +136,11 @@
 }
 
 #[test]
-fn stream_options_of_the_wrong_shape() {
-    check(
+fn invalid_stream_options_are_rejected() {
+    assert_error(
         small_limits(),
-        &chat(
-            SERVICE,
+        &chat_request(
+            SERVICE_HEADER,
             r#"{"model":"m","messages":[{"role":"user","content":"hi"}],"stream_options":{"include_usage":1}}"#,
         ),
         &expect![[
@@ -148,9 +150,9 @@
 }
 
 #[test]
-fn an_unknown_path() {
+fn an_unknown_path_is_rejected() {
     let request = "GET /v1/nothing HTTP/1.1\r\nhost: test\r\nconnection: close\r\n\r\n";
-    check(
+    assert_error(
         small_limits(),
         request,
         &expect![[r#"404 "unknown_service" "path" not_run=true "no such path""#]],
@@ -158,19 +160,19 @@
 }
 
 #[test]
-fn a_call_before_the_log_was_read() {
-    check(
+fn a_call_before_the_log_is_read_is_rejected_as_not_ready() {
+    assert_error(
         small_limits(),
-        &chat(SERVICE, RIGHT),
+        &chat_request(SERVICE_HEADER, VALID_BODY),
         &expect![[r#"503 "not_ready" null not_run=true "this entry still reads the log""#]],
     );
 }
 
 #[test]
-fn a_call_at_a_sidecar() {
-    check(
+fn a_sidecar_rejects_calls_over_http() {
+    assert_error(
         sidecar_settings(),
-        &chat("", "{}"),
+        &chat_request("", "{}"),
         &expect![[
             r#"404 "unknown_service" "path" not_run=true "this sidecar takes calls over links only""#
         ]],
@@ -178,7 +180,7 @@
 }
 
 #[test]
-fn a_process_says_that_it_lives_before_it_is_ready() {
+fn a_process_is_healthy_before_it_is_ready() {
     let daemon = Daemon::start(entry_settings()).expect("it starts");
     expect![[r#"{"ok":true}"#]].assert_eq(&get(daemon.http_address(), "/healthz"));
     expect![[r#"{"ready":false}"#]].assert_eq(&get(daemon.http_address(), "/readyz"));
