--- a/clementinepickd/src/clients.rs
+++ b/clementinepickd/src/clients.rs
@@ -1,4 +1,5 @@
-//! The thread of the clients: the platform for an entry, the backend server for a sidecar.
+//! Runs the HTTP clients of a process: those of the platform for an entry, that of the backend server
+//! for a sidecar.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,25 +23,26 @@
 use crate::tasks::Tasks;
 use crate::vm_list_client;
 
-/// How long requests that are under way may take when the process ends.
-const DRAIN_LIMIT: Duration = Duration::from_secs(2);
+/// How long requests in flight may take when the process shuts down.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A client that carries out orders, each in its own task.
-pub(crate) trait OrderClient {
-    /// Starts on an order.
-    fn start(&mut self, order: ClientCommand, tasks: &mut Tasks);
+/// A client that executes each command in its own task.
+pub(crate) trait CommandClient {
+    /// Starts to execute a command.
+    fn execute(&mut self, command: ClientCommand, tasks: &mut Tasks);
 }
 
-/// Runs until the control thread has ended and what it ordered is done.
+/// Executes commands until the control thread has ended, and then waits up to [`DRAIN_TIMEOUT`] for
+/// those in flight.
 pub(crate) async fn run(
     role: Role,
     limits: Limits,
     control: ControlSender,
-    mut orders: mpsc::UnboundedReceiver<ClientCommand>,
+    mut commands: mpsc::UnboundedReceiver<ClientCommand>,
 ) {
     let mut tasks = Tasks::default();
     let mut polls = Vec::new();
-    let mut client: Box<dyn OrderClient> = match role {
+    let mut client: Box<dyn CommandClient> = match role {
         Role::Entry(role) => {
             polls.push(actix_rt::spawn(vm_list_client::poll(
                 role.clone(),
@@ -57,49 +59,57 @@
             BackendKind::Plain => Box::new(PlainClient::new(&role, &limits, control)),
         },
     };
-    while let Some(order) = orders.recv().await {
-        client.start(order, &mut tasks);
+    while let Some(command) = commands.recv().await {
+        client.execute(command, &mut tasks);
     }
     for poll in polls {
         poll.abort();
         let _ = poll.await;
     }
-    let _ = timeout(DRAIN_LIMIT, tasks.join()).await;
+    let _ = timeout(DRAIN_TIMEOUT, tasks.join()).await;
 }
 
-/// How long an idle connection is kept: less than servers usually do, since a request on one that
-/// the server closes at that moment fails.
-const KEEP_ALIVE: Duration = Duration::from_secs(3);
-/// The gate bounds what runs, so connections need no bound of their own.
-const NO_LIMIT: usize = 0;
+/// How long an idle connection is kept: less than servers usually do, since a request fails if the
+/// server closes its connection at that moment.
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(3);
+/// The admission queue limits the requests in flight, so connections need no limit of their own.
+const UNLIMITED_CONNECTIONS: usize = 0;
 
-/// A client whose connections are kept for the next request.
-pub(crate) fn pooled(request_limit: SpanUs) -> Client {
+/// Creates a client that reuses connections and applies a timeout to each request.
+pub(crate) fn pooled_client(request_timeout: SpanUs) -> Client {
     Client::builder()
-        .connector(Connector::new().limit(NO_LIMIT).conn_keep_alive(KEEP_ALIVE))
+        .connector(
+            Connector::new()
+                .limit(UNLIMITED_CONNECTIONS)
+                .conn_keep_alive(KEEP_ALIVE_TIMEOUT),
+        )
         .disable_redirects()
-        .timeout(duration(request_limit))
+        .timeout(duration(request_timeout))
         .finish()
 }
 
-/// A client without a limit of time, for streams.
-pub(crate) fn streaming() -> Client {
+/// Creates a client without a request timeout, for streams.
+pub(crate) fn streaming_client() -> Client {
     Client::builder()
-        .connector(Connector::new().limit(NO_LIMIT).conn_keep_alive(KEEP_ALIVE))
+        .connector(
+            Connector::new()
+                .limit(UNLIMITED_CONNECTIONS)
+                .conn_keep_alive(KEEP_ALIVE_TIMEOUT),
+        )
         .disable_redirects()
         .disable_timeout()
         .finish()
 }
 
-/// A client that makes a new connection for each request.
+/// Creates a client that opens a new connection for each request.
 ///
-/// On a kept connection that the server has just closed, a request fails in a way that can't be
-/// told from one that was taken. On a new one, a failure to connect proves that nothing was sent.
-pub(crate) fn unpooled() -> Client {
+/// On a reused connection that the server has just closed, a request fails in the same way as one
+/// that the server has received. On a new one, a failure to connect proves that nothing was sent.
+pub(crate) fn unpooled_client() -> Client {
     Client::builder()
         .connector(
             Connector::new()
-                .limit(NO_LIMIT)
+                .limit(UNLIMITED_CONNECTIONS)
                 .conn_keep_alive(Duration::ZERO),
         )
         .disable_redirects()
@@ -108,12 +118,14 @@
         .finish()
 }
 
-/// The URL of `path` at `address`.
+/// Returns the URL of `path` at `address`.
 pub(crate) fn url(address: SocketAddr, path: &str) -> String {
     format!("http://{address}{path}")
 }
 
-/// The JSON of an answer with status 200, whatever type the server says it is.
+/// Parses the JSON body of a response with status 200, regardless of its content type.
+///
+/// Returns none for any other status, a body over `limit` bytes or invalid JSON.
 pub(crate) async fn read_json<T, S>(response: &mut ClientResponse<S>, limit: usize) -> Option<T>
 where
     T: DeserializeOwned,
--- a/clementinepickd/src/control_messages.rs
+++ b/clementinepickd/src/control_messages.rs
@@ -1,4 +1,4 @@
-//! The typed messages between the control thread and the threads that carry traffic.
+//! Defines the messages between the control thread and the threads for HTTP, links and clients.
 
 use std::collections::BTreeMap;
 
@@ -17,96 +17,95 @@
 use crate::answer_queue::AnswerSender;
 use crate::link_queue::QueueSender;
 
-/// The most inputs that wait for the control thread before their senders wait.
+/// The most inputs that may be queued for the control thread before their senders wait.
 pub(crate) const CONTROL_QUEUE_CAPACITY: usize = 16_384;
 
-/// One link, among all that this process ever had.
+/// Identifies a link, uniquely within the lifetime of this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct LinkId(pub(crate) u64);
 
-/// What the control thread reacts to.
+/// An input of the control thread.
 #[derive(Debug)]
 pub(crate) enum ControlInput {
     /// A caller's request.
     Request {
-        /// The request, parsed.
+        /// The parsed request.
         request: Box<Request>,
-        /// Where the parts of its answer go.
+        /// Receives the parts of its answer.
         answers: AnswerSender,
     },
-    /// A caller asks for the answer of an earlier call.
+    /// A caller's request for the answer of an earlier call.
     Fetch {
-        /// What it asks for.
+        /// The parsed request.
         fetch: Box<Fetch>,
-        /// Where the parts of the answer go.
+        /// Receives the parts of the answer.
         answers: AnswerSender,
     },
-    /// A request that the parser refused.
+    /// A request that the HTTP layer rejected; only counted.
     Refused(ErrorKind),
-    /// A caller ends a program.
+    /// A caller's request to end a program.
     EndProgram(ProgramId),
-    /// Both ends of a link have proved themselves.
+    /// Both ends of a link have authenticated each other.
     LinkUp {
         /// The link.
         link: LinkId,
         /// The peer.
         peer: Peer,
-        /// What is sent to it; dropping the sender closes the link.
+        /// Sends messages to the peer; dropping it closes the link.
         queue: QueueSender,
     },
-    /// A link is closed.
+    /// A link has closed.
     LinkDown {
         /// The link.
         link: LinkId,
         /// The peer.
         vm: VmId,
     },
-    /// A peer says something.
+    /// A message from a peer.
     LinkMessage {
         /// The link.
         link: LinkId,
         /// The peer.
         vm: VmId,
-        /// What it says.
         message: Message,
     },
-    /// The platform has answered an entry.
+    /// A response of the platform, for an entry.
     Entry(EntryInput),
-    /// The backend server has answered a sidecar.
+    /// A response or report of the backend server, for a sidecar.
     Sidecar(SidecarInput),
-    /// Something worth logging happened on another thread.
+    /// An event of another thread, to be logged.
     Event(Event),
-    /// Asks for the whole state.
+    /// A request for a dump of the state.
     Dump(oneshot::Sender<Value>),
-    /// Asks to bring the gauges up to date.
+    /// A request to update the gauges.
     RefreshGauges(oneshot::Sender<()>),
 }
 
-/// The sending ends towards the control thread.
+/// The sending ends of the control thread's channels.
 #[derive(Debug, Clone)]
 pub(crate) struct ControlSender {
-    /// All inputs; senders wait while it is full.
+    /// Carries all inputs; senders wait while it is full.
     pub(crate) inputs: mpsc::Sender<ControlInput>,
-    /// Callers that are gone; never more than there are requests.
+    /// Carries the requests of callers that have disconnected; bounded by the number of requests.
     pub(crate) disconnects: mpsc::UnboundedSender<RequestId>,
 }
 
 impl ControlSender {
-    /// Hands in an input; false when the control thread has ended.
+    /// Sends an input; returns false if the control thread has ended.
     pub(crate) async fn send(&self, input: ControlInput) -> bool {
         self.inputs.send(input).await.is_ok()
     }
 }
 
-/// Tells the thread of the links to keep links open to exactly these VMs.
+/// The VMs to which the links thread must keep links open, and no others.
 #[derive(Debug)]
 pub(crate) struct LinkTargets(pub(crate) BTreeMap<VmId, Vm>);
 
-/// What the thread of the platform clients does.
+/// A command to the clients thread.
 #[derive(Debug)]
 pub(crate) enum ClientCommand {
-    /// Use the log.
+    /// A request to the log service.
     Log(JournalAction),
-    /// Use the backend server.
+    /// A request to the backend server.
     Backend(SidecarAction),
 }
--- a/clementinepickd/src/engine_client.rs
+++ b/clementinepickd/src/engine_client.rs
@@ -1,4 +1,5 @@
-//! The client of a model engine: turns as streams, and the engine's own requests and reports.
+//! The client of a model engine: streams turns, sends the sidecar's other requests, and polls the
+//! engine's reports.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,44 +19,44 @@
 use serde::de::DeserializeOwned;
 use tokio::sync::oneshot;
 
-use crate::clients::{OrderClient, pooled, read_json, streaming, url};
+use crate::clients::{CommandClient, pooled_client, read_json, streaming_client, url};
 use crate::control_messages::{ClientCommand, ControlInput, ControlSender};
 use crate::line_splitter::LineSplitter;
 use crate::link::duration;
 use crate::settings::SidecarRole;
 use crate::tasks::Tasks;
 
-/// How often a cut stream is asked for again before the attempt has failed.
-const MAX_RESUMES: u32 = 5;
-/// The wait before a stream is asked for again.
-const RESUME_PAUSE: Duration = Duration::from_millis(100);
-/// The wait before a failed release is reported, since the sidecar then asks again at once.
-const RELEASE_PAUSE: Duration = Duration::from_millis(500);
-/// The largest answer other than a stream.
-const MAX_ANSWER_BYTES: usize = 16_000_000;
+/// How often an interrupted stream is resumed before the attempt counts as failed.
+const MAX_RESUME_ATTEMPTS: u32 = 5;
+/// The delay before each resume of a stream.
+const RESUME_BACKOFF: Duration = Duration::from_millis(100);
+/// The delay before a failed release is reported, since the sidecar then retries immediately.
+const RELEASE_FAILURE_BACKOFF: Duration = Duration::from_millis(500);
+/// The largest response other than a stream.
+const MAX_RESPONSE_BYTES: usize = 16_000_000;
 
-/// What all requests to the engine need.
+/// The HTTP interface of an engine.
 #[derive(Clone)]
-struct Engine {
+struct EngineApi {
     requests: Client,
     streams: Client,
     address: SocketAddr,
     control: ControlSender,
 }
 
-/// Carries out a sidecar's orders at its engine.
+/// Executes a sidecar's commands at its engine.
 pub(crate) struct EngineClient {
-    engine: Engine,
-    /// Dropping a sender stops the stream.
+    engine: EngineApi,
+    /// The streams in flight; dropping a sender stops its stream.
     running: BTreeMap<AttemptId, oneshot::Sender<()>>,
 }
 
 impl EngineClient {
-    /// A client of the engine at the address in `role`.
+    /// Creates a client of the engine at the address in `role`.
     pub(crate) fn new(role: &SidecarRole, control: ControlSender) -> Self {
-        let engine = Engine {
-            requests: pooled(role.backend_timeout_us),
-            streams: streaming(),
+        let engine = EngineApi {
+            requests: pooled_client(role.backend_timeout_us),
+            streams: streaming_client(),
             address: role.backend_address,
             control,
         };
@@ -65,9 +66,9 @@
         }
     }
 
-    /// Reads the engine's load and cache events again and again.
+    /// Polls the engine's load, state and cache events.
     pub(crate) fn poller(&self, role: &SidecarRole) -> impl Future<Output = ()> + 'static {
-        poll(self.engine.clone(), duration(role.poll_us))
+        poll_reports(self.engine.clone(), duration(role.poll_us))
     }
 
     fn generate(&mut self, body: GenerateBody, tasks: &mut Tasks) {
@@ -84,9 +85,9 @@
     }
 }
 
-impl OrderClient for EngineClient {
-    fn start(&mut self, order: ClientCommand, tasks: &mut Tasks) {
-        let ClientCommand::Backend(action) = order else {
+impl CommandClient for EngineClient {
+    fn execute(&mut self, command: ClientCommand, tasks: &mut Tasks) {
+        let ClientCommand::Backend(action) = command else {
             return;
         };
         let engine = self.engine.clone();
@@ -100,11 +101,12 @@
             }
             SidecarAction::Release { program, chains } => tasks.spawn(async move {
                 let body = ReleaseBody { chains };
-                let freed: Option<ReleaseResponse> = engine.post("/v1/cache/release", &body).await;
-                if freed.is_none() {
-                    actix_rt::time::sleep(RELEASE_PAUSE).await;
+                let released: Option<ReleaseResponse> =
+                    engine.post("/v1/cache/release", &body).await;
+                if released.is_none() {
+                    actix_rt::time::sleep(RELEASE_FAILURE_BACKOFF).await;
                 }
-                let freed_tokens = freed.map(|answer| answer.freed_tokens);
+                let freed_tokens = released.map(|reply| reply.freed_tokens);
                 engine
                     .report(SidecarInput::Released {
                         program,
@@ -114,15 +116,15 @@
             }),
             SidecarAction::Retain { chains } => tasks.spawn(async move {
                 let body = RetainBody { chains };
-                // A list that gets lost is made good by the next one.
+                // A failure is ignored: the next list replaces this one.
                 let _: Option<ReleaseResponse> = engine.post("/v1/cache/retain", &body).await;
             }),
             SidecarAction::Order { from, order } => {
-                tasks.spawn(async move { engine.order(from, order).await });
+                tasks.spawn(async move { engine.send_order(from, order).await });
             }
             SidecarAction::Call { attempt, .. } => tasks.spawn(async move {
                 let event = BackendEvent::Failed {
-                    detail: "the backend server is no plain service".to_owned(),
+                    detail: "the backend server is not a plain service".to_owned(),
                     not_run: true,
                 };
                 engine
@@ -134,42 +136,44 @@
     }
 }
 
-impl Engine {
+impl EngineApi {
     async fn report(&self, input: SidecarInput) {
         self.control.send(ControlInput::Sidecar(input)).await;
     }
 
     async fn get<T: DeserializeOwned>(&self, path: &str) -> Option<T> {
         let sent = self.requests.get(url(self.address, path)).send().await;
-        read_json(&mut sent.ok()?, MAX_ANSWER_BYTES).await
+        read_json(&mut sent.ok()?, MAX_RESPONSE_BYTES).await
     }
 
     async fn post<T: DeserializeOwned>(&self, path: &str, body: &impl Serialize) -> Option<T> {
         let request = self.requests.post(url(self.address, path));
         let sent = request.send_json(body).await;
-        read_json(&mut sent.ok()?, MAX_ANSWER_BYTES).await
+        read_json(&mut sent.ok()?, MAX_RESPONSE_BYTES).await
     }
 
-    /// Stops an attempt; an engine that can't be reached has nothing left to stop or ends the turn
-    /// at its own limit.
+    /// Cancels an attempt.
+    ///
+    /// A failure is ignored: an engine that is down runs nothing, and one that is unreachable ends
+    /// the turn at its own limit.
     async fn cancel(&self, attempt: AttemptId) {
         let request = self.requests.post(url(self.address, "/v1/cancel"));
         let _ = request.send_json(&CancelBody { attempt }).await;
     }
 
-    async fn order(&self, from: VmId, order: OrderBody) {
+    async fn send_order(&self, from: VmId, order: OrderBody) {
         let request = self.requests.post(url(self.address, "/v1/orders"));
         let (state, refused) = match request.send_json(&order).await {
             Ok(mut response) if response.status() == StatusCode::OK => {
-                let state: Option<EngineState> = read_json(&mut response, MAX_ANSWER_BYTES).await;
+                let state: Option<EngineState> = read_json(&mut response, MAX_RESPONSE_BYTES).await;
                 (state, None)
             }
             Ok(mut response) => {
                 let status = response.status();
-                let body = response.body().limit(MAX_ANSWER_BYTES).await;
-                let why = body.unwrap_or_default();
-                let why = String::from_utf8_lossy(&why).into_owned();
-                (None, Some(format!("{status}: {why}")))
+                let body = response.body().limit(MAX_RESPONSE_BYTES).await;
+                let reason = body.unwrap_or_default();
+                let reason = String::from_utf8_lossy(&reason).into_owned();
+                (None, Some(format!("{status}: {reason}")))
             }
             Err(err) => (None, Some(err.to_string())),
         };
@@ -177,7 +181,8 @@
             Some(state) => Some(state),
             None => self.get("/v1/state").await,
         };
-        // Without the engine's state there is nothing true to say; the decider asks again.
+        // Without the engine's state the outcome is unknown, so nothing is reported; the decider
+        // repeats the order.
         if let Some(state) = state {
             self.report(SidecarInput::OrderDone {
                 from,
@@ -191,68 +196,68 @@
 
 /// How a stream ended.
 enum StreamEnd {
-    /// The engine has said the last word.
+    /// The engine has sent the final event.
     Complete,
-    /// It broke off.
-    Cut(String),
+    /// The stream ended early, for this reason.
+    Interrupted(String),
 }
 
-/// Runs a turn to its end, asking for the stream again when it is cut.
-async fn generate(engine: &Engine, body: GenerateBody) {
+/// Runs a turn to its end, resuming the stream when it is interrupted.
+async fn generate(engine: &EngineApi, body: GenerateBody) {
     let attempt = body.attempt;
     let mut position = 0;
     let request = engine.streams.post(url(engine.address, "/v1/generate"));
-    let mut cut = match request.send_json(&body).await {
+    let mut cause = match request.send_json(&body).await {
         Ok(response) if response.status() == StatusCode::OK => {
-            match follow(engine, attempt, response, &mut position).await {
+            match forward_stream(engine, attempt, response, &mut position).await {
                 StreamEnd::Complete => return,
-                StreamEnd::Cut(detail) => detail,
+                StreamEnd::Interrupted(detail) => detail,
             }
         }
         Ok(response) => {
             let status = response.status();
             let not_run = status.is_client_error() || status == StatusCode::SERVICE_UNAVAILABLE;
-            let detail = format!("the engine refused with {status}");
-            fail(engine, attempt, detail, not_run).await;
+            let detail = format!("the engine rejected the request: {status}");
+            report_failure(engine, attempt, detail, not_run).await;
             return;
         }
         Err(SendRequestError::Connect(err)) => {
-            fail(engine, attempt, err.to_string(), true).await;
+            report_failure(engine, attempt, err.to_string(), true).await;
             return;
         }
         Err(err) => err.to_string(),
     };
-    for _ in 0..MAX_RESUMES {
-        actix_rt::time::sleep(RESUME_PAUSE).await;
+    for _ in 0..MAX_RESUME_ATTEMPTS {
+        actix_rt::time::sleep(RESUME_BACKOFF).await;
         let request = engine.streams.post(url(engine.address, "/v1/resume"));
         match request.send_json(&ResumeBody { attempt, position }).await {
             Ok(response) if response.status() == StatusCode::OK => {
-                match follow(engine, attempt, response, &mut position).await {
+                match forward_stream(engine, attempt, response, &mut position).await {
                     StreamEnd::Complete => return,
-                    StreamEnd::Cut(detail) => cut = detail,
+                    StreamEnd::Interrupted(detail) => cause = detail,
                 }
             }
             Ok(response) if response.status() == StatusCode::NOT_FOUND => {
-                "the engine no longer knows the attempt".clone_into(&mut cut);
+                "the engine has no record of the attempt".clone_into(&mut cause);
                 break;
             }
-            Ok(response) => cut = format!("the engine refused with {}", response.status()),
-            Err(err) => cut = err.to_string(),
+            Ok(response) => cause = format!("the engine refused to resume: {}", response.status()),
+            Err(err) => cause = err.to_string(),
         }
     }
-    fail(engine, attempt, cut, false).await;
+    report_failure(engine, attempt, cause, false).await;
 }
 
-async fn fail(engine: &Engine, attempt: AttemptId, detail: String, not_run: bool) {
+async fn report_failure(engine: &EngineApi, attempt: AttemptId, detail: String, not_run: bool) {
     let event = BackendEvent::Failed { detail, not_run };
     engine
         .report(SidecarInput::Backend { attempt, event })
         .await;
 }
 
-/// Reports the lines of a stream.
-async fn follow<S>(
-    engine: &Engine,
+/// Reports the events of a stream to the control thread until it ends.
+async fn forward_stream<S>(
+    engine: &EngineApi,
     attempt: AttemptId,
     mut response: awc::ClientResponse<S>,
     position: &mut u64,
@@ -264,28 +269,30 @@
     while let Some(chunk) = response.next().await {
         let chunk = match chunk {
             Ok(chunk) => chunk,
-            Err(err) => return StreamEnd::Cut(err.to_string()),
+            Err(err) => return StreamEnd::Interrupted(err.to_string()),
         };
         if lines.push(&chunk).is_err() {
-            return StreamEnd::Cut("a line is too long".to_owned());
+            return StreamEnd::Interrupted("the engine sent a line over the size limit".to_owned());
         }
         while let Some(line) = lines.next_line() {
             let Ok(line) = serde_json::from_slice(&line) else {
-                return StreamEnd::Cut("a line is not what engines say".to_owned());
+                return StreamEnd::Interrupted(
+                    "the engine sent a line that is not a valid event".to_owned(),
+                );
             };
-            let (event, last) = read_line(line, position);
+            let (event, is_final) = event_from_line(line, position);
             engine
                 .report(SidecarInput::Backend { attempt, event })
                 .await;
-            if last {
+            if is_final {
                 return StreamEnd::Complete;
             }
         }
     }
-    StreamEnd::Cut("the stream ended before the turn".to_owned())
+    StreamEnd::Interrupted("the engine closed the stream before the end of the turn".to_owned())
 }
 
-fn read_line(line: GenerateLine, position: &mut u64) -> (BackendEvent, bool) {
+fn event_from_line(line: GenerateLine, position: &mut u64) -> (BackendEvent, bool) {
     match line {
         GenerateLine::Text {
             position: at,
@@ -319,7 +326,7 @@
     }
 }
 
-async fn poll(engine: Engine, pause: Duration) {
+async fn poll_reports(engine: EngineApi, interval: Duration) {
     let mut after = 0;
     loop {
         let load: Option<LoadReport> = engine.get("/v1/load").await;
@@ -339,6 +346,6 @@
                 engine.report(SidecarInput::Cache { first, events }).await;
             }
         }
-        actix_rt::time::sleep(pause).await;
+        actix_rt::time::sleep(interval).await;
     }
 }
--- a/clementinepickd/src/line_splitter.rs
+++ b/clementinepickd/src/line_splitter.rs
@@ -1,27 +1,27 @@
-//! Splits a stream of bytes into lines.
+//! Splits a byte stream into lines.
 
 use thiserror::Error;
 
-/// The longest line.
+/// The longest line, in bytes.
 const MAX_LINE_BYTES: usize = 16_000_000;
 
-/// A line beyond the limit.
+/// The unread bytes exceed the limit for a line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("a line has more than {MAX_LINE_BYTES} bytes")]
+#[error("the line exceeds the limit of {MAX_LINE_BYTES} bytes")]
 pub(crate) struct LineTooLong;
 
-/// Bytes that came, of which whole lines are taken.
+/// Buffers the bytes of a stream and returns complete lines.
 #[derive(Debug, Default)]
 pub(crate) struct LineSplitter {
     bytes: Vec<u8>,
-    /// The bytes before this place have been taken.
-    taken: usize,
+    /// The bytes before this index have been returned.
+    consumed: usize,
 }
 
 impl LineSplitter {
-    /// Adds bytes.
+    /// Appends bytes; fails if the unread bytes exceed the limit.
     pub(crate) fn push(&mut self, bytes: &[u8]) -> Result<(), LineTooLong> {
-        self.bytes.drain(..std::mem::take(&mut self.taken));
+        self.bytes.drain(..std::mem::take(&mut self.consumed));
         self.bytes.extend_from_slice(bytes);
         if self.bytes.len() > MAX_LINE_BYTES {
             return Err(LineTooLong);
@@ -29,13 +29,13 @@
         Ok(())
     }
 
-    /// Takes the next line that is whole and not empty.
+    /// Returns the next complete line that is not empty.
     pub(crate) fn next_line(&mut self) -> Option<Vec<u8>> {
         loop {
-            let rest = &self.bytes[self.taken..];
+            let rest = &self.bytes[self.consumed..];
             let end = rest.iter().position(|byte| *byte == b'\n')?;
             let line = rest[..end].to_vec();
-            self.taken += end + 1;
+            self.consumed += end + 1;
             if !line.trim_ascii().is_empty() {
                 return Some(line);
             }
@@ -48,7 +48,7 @@
     use super::*;
 
     #[test]
-    fn lines_come_whole_however_the_bytes_are_cut() {
+    fn lines_are_complete_wherever_the_input_is_split() {
         let text = b"one\n\ntwo\nthree";
         for cut in 0..text.len() {
             let mut lines = LineSplitter::default();
--- a/clementinepickd/src/link_queue.rs
+++ b/clementinepickd/src/link_queue.rs
@@ -1,4 +1,4 @@
-//! What waits to be sent over one link, bounded by count and by bytes.
+//! Queues the messages to send over one link, bounded by count and by bytes.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -9,102 +9,105 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-/// What a message counts for beside the text and bodies that it carries.
-const BASE_BYTES: usize = 512;
+/// The size that is assumed for a message without its text and bodies.
+const MESSAGE_OVERHEAD_BYTES: usize = 512;
 
-/// The peer reads too slowly.
+/// The queue is full because the peer reads too slowly.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("too much waits for this peer")]
+#[error("the send queue of this peer is full")]
 pub(crate) struct QueueFull;
 
-/// The sending end; dropping it closes the link once what waits is sent.
+/// The sending end; dropping it closes the link after the queued messages are sent.
 #[derive(Debug)]
 pub(crate) struct QueueSender {
     messages: mpsc::Sender<(Message, usize)>,
-    waiting_bytes: Arc<AtomicUsize>,
+    queued_bytes: Arc<AtomicUsize>,
     max_bytes: usize,
 }
 
-/// The end that the link's writer reads.
+/// The receiving end, read by the link's writer.
 #[derive(Debug)]
 pub(crate) struct QueueReader {
     messages: mpsc::Receiver<(Message, usize)>,
-    waiting_bytes: Arc<AtomicUsize>,
+    queued_bytes: Arc<AtomicUsize>,
 }
 
-/// A queue for at most `max_messages` of together about `max_bytes`.
+/// Creates a queue of at most `max_messages` messages and about `max_bytes` in total.
 pub(crate) fn link_queue(max_messages: usize, max_bytes: Bytes) -> (QueueSender, QueueReader) {
     let (sender, receiver) = mpsc::channel(max_messages);
-    let waiting_bytes = Arc::new(AtomicUsize::new(0));
+    let queued_bytes = Arc::new(AtomicUsize::new(0));
     let sender = QueueSender {
         messages: sender,
-        waiting_bytes: Arc::clone(&waiting_bytes),
+        queued_bytes: Arc::clone(&queued_bytes),
         max_bytes: usize::try_from(max_bytes.0).unwrap_or(usize::MAX),
     };
     let reader = QueueReader {
         messages: receiver,
-        waiting_bytes,
+        queued_bytes,
     };
     (sender, reader)
 }
 
 impl QueueSender {
-    /// Adds a message without waiting.
+    /// Queues a message without waiting; fails if the queue is full.
     ///
-    /// One message is always taken by an empty queue, whatever its size.
+    /// An empty queue accepts a message of any size.
     pub(crate) fn push(&self, message: Message) -> Result<(), QueueFull> {
-        let size = size_of(&message);
-        let before = self.waiting_bytes.fetch_add(size, Ordering::Relaxed);
-        let fits = before == 0 || before + size <= self.max_bytes;
-        if fits && self.messages.try_send((message, size)).is_ok() {
+        let size = estimated_bytes(&message);
+        let before = self.queued_bytes.fetch_add(size, Ordering::Relaxed);
+        let has_room = before == 0 || before + size <= self.max_bytes;
+        if has_room && self.messages.try_send((message, size)).is_ok() {
             return Ok(());
         }
-        self.waiting_bytes.fetch_sub(size, Ordering::Relaxed);
+        self.queued_bytes.fetch_sub(size, Ordering::Relaxed);
         Err(QueueFull)
     }
 
-    /// The count of messages that wait.
+    /// Returns the number of queued messages.
     pub(crate) fn queued_messages(&self) -> usize {
         self.messages.max_capacity() - self.messages.capacity()
     }
 }
 
 impl QueueReader {
-    /// Waits for messages and takes up to `limit`; none are left once the sender is gone.
+    /// Waits for messages and takes up to `limit`; returns none once the sender is dropped and the
+    /// queue is empty.
     pub(crate) async fn take(&mut self, limit: usize) -> Vec<Message> {
         let mut taken = Vec::new();
         self.messages.recv_many(&mut taken, limit).await;
         let size = taken.iter().map(|(_, size)| size).sum();
-        self.waiting_bytes.fetch_sub(size, Ordering::Relaxed);
+        self.queued_bytes.fetch_sub(size, Ordering::Relaxed);
         taken.into_iter().map(|(message, _)| message).collect()
     }
 }
 
-/// About what a message takes, without encoding it.
-fn size_of(message: &Message) -> usize {
-    let carried = match message {
-        Message::Forward { request, .. } => size_of_payload(&request.payload),
-        Message::Dispatch(dispatch) => size_of_payload(&dispatch.payload),
+/// Estimates the size of a message without encoding it.
+fn estimated_bytes(message: &Message) -> usize {
+    let content_bytes = match message {
+        Message::Forward { request, .. } => payload_bytes(&request.payload),
+        Message::Dispatch(dispatch) => payload_bytes(&dispatch.payload),
         Message::ForwardReply { part, .. } | Message::DispatchReply { part, .. } => {
-            size_of_part(part)
+            part_bytes(part)
         }
         Message::Documents(documents) => documents.iter().map(|d| d.text.len()).sum(),
         _ => 0,
     };
-    BASE_BYTES + carried
+    MESSAGE_OVERHEAD_BYTES + content_bytes
 }
 
-fn size_of_payload(payload: &Payload) -> usize {
+fn payload_bytes(payload: &Payload) -> usize {
     match payload {
         Payload::Chat(chat) => {
             let messages = chat.messages.iter();
-            messages.map(|m| BASE_BYTES + m.content.len()).sum()
+            messages
+                .map(|m| MESSAGE_OVERHEAD_BYTES + m.content.len())
+                .sum()
         }
         Payload::Plain(call) => call.body.len(),
     }
 }
 
-fn size_of_part(part: &AnswerPart) -> usize {
+fn part_bytes(part: &AnswerPart) -> usize {
     match part {
         AnswerPart::Text { text, .. } => text.len(),
         AnswerPart::Plain(answer) => answer.body.len(),
@@ -125,10 +128,9 @@
         }
     }
 
-    // A peer reads slowly while large answers go to it. A bound on their count alone would let
-    // gigabytes wait.
+    // A slow peer is sent large answers: a bound on the count alone would let gigabytes queue up.
     #[test]
-    fn a_queue_is_full_by_bytes_and_has_room_again_once_they_are_taken() {
+    fn a_queue_full_by_bytes_accepts_messages_again_once_read() {
         let (sender, mut reader) = link_queue(100, Bytes(100_000));
         assert_eq!(sender.push(text(60_000)), Ok(()));
         assert_eq!(sender.push(text(60_000)), Err(QueueFull));
@@ -140,7 +142,7 @@
     }
 
     #[test]
-    fn a_queue_is_full_by_count() {
+    fn a_queue_is_bounded_by_count() {
         let (sender, _reader) = link_queue(2, Bytes(1_000_000));
         assert_eq!(sender.push(text(0)), Ok(()));
         assert_eq!(sender.push(text(0)), Ok(()));
--- a/clementinepickd/src/log_client.rs
+++ b/clementinepickd/src/log_client.rs
@@ -1,4 +1,4 @@
-//! The client of the log service.
+//! The client of the log service: appends and reads records for an entry.
 
 use std::net::SocketAddr;
 
@@ -10,19 +10,19 @@
 use clementinepick::platform::{AppendBody, AppendResponse, ReadResponse, StreamName};
 use clementinepick::record::Record;
 
-use crate::clients::{OrderClient, pooled, read_json, url};
+use crate::clients::{CommandClient, pooled_client, read_json, url};
 use crate::control_messages::{ClientCommand, ControlInput, ControlSender};
 use crate::settings::EntryRole;
 use crate::tasks::Tasks;
 
-/// The most records that one read brings.
+/// The most records that one read returns.
 const MAX_READ_RECORDS: u32 = 512;
-/// The largest answer to an append.
-const MAX_ANSWER_BYTES: usize = 64_000;
-/// The largest answer to a read.
-const MAX_READ_BYTES: usize = 256_000_000;
+/// The largest response to an append.
+const MAX_APPEND_RESPONSE_BYTES: usize = 64_000;
+/// The largest response to a read.
+const MAX_READ_RESPONSE_BYTES: usize = 256_000_000;
 
-/// Appends and reads for an entry.
+/// Executes an entry's commands at the log service.
 pub(crate) struct LogClient {
     client: Client,
     address: SocketAddr,
@@ -30,19 +30,19 @@
 }
 
 impl LogClient {
-    /// A client of the log at the address in `role`.
+    /// Creates a client of the log service at the address in `role`.
     pub(crate) fn new(role: &EntryRole, control: ControlSender) -> Self {
         Self {
-            client: pooled(role.platform_timeout_us),
+            client: pooled_client(role.platform_timeout_us),
             address: role.log_address,
             control,
         }
     }
 }
 
-impl OrderClient for LogClient {
-    fn start(&mut self, order: ClientCommand, tasks: &mut Tasks) {
-        let ClientCommand::Log(action) = order else {
+impl CommandClient for LogClient {
+    fn execute(&mut self, command: ClientCommand, tasks: &mut Tasks) {
+        let ClientCommand::Log(action) = command else {
             return;
         };
         let (client, address) = (self.client.clone(), self.address);
@@ -77,8 +77,8 @@
     stream: StreamName,
     records: &[Record],
 ) -> AppendOutcome {
-    let texts: Result<Vec<String>, _> = records.iter().map(serde_json::to_string).collect();
-    let Ok(records) = texts else {
+    let serialized: Result<Vec<String>, _> = records.iter().map(serde_json::to_string).collect();
+    let Ok(records) = serialized else {
         return AppendOutcome::Refused;
     };
     let body = AppendBody { records };
@@ -92,9 +92,10 @@
     match response.status() {
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => AppendOutcome::Refused,
         _ => {
-            let answer: Option<AppendResponse> = read_json(&mut response, MAX_ANSWER_BYTES).await;
-            answer.map_or(AppendOutcome::Unknown, |answer| {
-                AppendOutcome::Appended(answer.first_offset)
+            let appended: Option<AppendResponse> =
+                read_json(&mut response, MAX_APPEND_RESPONSE_BYTES).await;
+            appended.map_or(AppendOutcome::Unknown, |appended| {
+                AppendOutcome::Appended(appended.first_offset)
             })
         }
     }
@@ -108,5 +109,5 @@
 ) -> Option<ReadResponse> {
     let path = format!("/v1/streams/{stream}?from={from}&max={MAX_READ_RECORDS}");
     let sent = client.get(url(address, &path)).send().await;
-    read_json(&mut sent.ok()?, MAX_READ_BYTES).await
+    read_json(&mut sent.ok()?, MAX_READ_RESPONSE_BYTES).await
 }
--- a/clementinepickd/src/outbound.rs
+++ b/clementinepickd/src/outbound.rs
@@ -1,7 +1,7 @@
-//! One HTTP/1.1 connection to a backend server, the store or a peer.
+//! Exchanges HTTP/1.1 requests over a connection to a backend server, the store or a peer.
 //!
-//! The connection belongs to one exchange at a time and is used again only when the answer was read
-//! to its end and nothing follows it: bytes left over would be taken for the next answer.
+//! A connection carries one exchange at a time and is reused only if the response was read to its end
+//! with no bytes left over, which would be mistaken for the next response.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,31 +19,31 @@
 use tokio::net::TcpStream;
 use tokio_util::codec::{Decoder, Encoder};
 
-/// How long sent bytes may stay unacknowledged. A partition or a connection that fell silent shows
-/// as nothing else; links have round trips of a few ms, and queues of half a second at most.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(1_500);
-/// When probes of an idle connection begin, and the time between them: as above, for connections
-/// on which nothing is sent.
-const PROBE: Duration = Duration::from_secs(1);
-/// The first size of a read buffer, in bytes; heads are smaller.
-const READ_BYTES: usize = 4_096;
-/// The largest head of an answer, in bytes.
+/// How long sent bytes may stay unacknowledged. Nothing else reveals a network partition or a silent
+/// connection; round trips take a few ms, and queues delay by half a second at most.
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// The idle time before the first TCP keepalive probe, and the interval between probes. Detects
+/// partitions on connections on which nothing is sent.
+const KEEPALIVE_PROBE_INTERVAL: Duration = Duration::from_secs(1);
+/// The initial capacity of a read buffer, in bytes; response heads are usually smaller.
+const READ_BUFFER_BYTES: usize = 4_096;
+/// The largest response head, in bytes.
 const MAX_HEAD_BYTES: usize = 65_536;
 
 /// Why an exchange failed.
 #[derive(Debug, Error)]
 pub(crate) enum OutboundError {
-    /// No connection was made; nothing was sent.
-    #[error("no connection: {0}")]
+    /// The connection could not be opened, so nothing was sent.
+    #[error("connecting failed: {0}")]
     Connect(io::Error),
-    /// The connection broke.
-    #[error("broken off: {0}")]
+    /// The connection failed during an exchange.
+    #[error("the connection failed: {0}")]
     Broken(io::Error),
-    /// The other side closed the connection within an answer or before it.
-    #[error("closed early")]
+    /// The server closed the connection before the end of the response.
+    #[error("the connection was closed before the end of the response")]
     Closed,
-    /// The bytes are no answer.
-    #[error("no HTTP: {0}")]
+    /// The response is not valid HTTP or exceeds a limit.
+    #[error("invalid HTTP response: {0}")]
     Protocol(String),
 }
 
@@ -56,29 +56,29 @@
     pub(crate) body: Bytes,
 }
 
-enum Codec {
+enum BodyState {
     Payload(ClientPayloadCodec),
     /// The body has no length and ends with the connection.
     UntilClose,
-    /// The answer is complete, or was given up.
+    /// No body is left to read; holds the codec if the response was framed.
     Done(Option<ClientCodec>),
 }
 
-/// One connection.
+/// A connection to one server.
 pub(crate) struct Connection {
     stream: TcpStream,
-    read: BytesMut,
-    codec: Codec,
+    buffer: BytesMut,
+    body_state: BodyState,
     /// Cleared when the connection can't carry another exchange.
     is_reusable: bool,
-    /// When it was last given back.
+    /// When the connection was last released to the pool.
     pub(crate) idle_since: Instant,
-    /// How long the other side keeps it while idle.
+    /// How long the server keeps the connection open while idle, if it announced that.
     pub(crate) keep_alive: Option<Duration>,
 }
 
 impl Connection {
-    /// Connects within `limit`.
+    /// Opens a connection; fails if that takes longer than `limit`.
     pub(crate) async fn open(
         address: SocketAddr,
         limit: Duration,
@@ -89,73 +89,78 @@
             Ok(Err(err)) => return Err(OutboundError::Connect(err)),
             Err(_) => return Err(OutboundError::Connect(io::ErrorKind::TimedOut.into())),
         };
-        set_options(&stream).map_err(OutboundError::Connect)?;
+        set_socket_options(&stream).map_err(OutboundError::Connect)?;
         Ok(Self {
             stream,
-            read: BytesMut::new(),
-            codec: Codec::Done(None),
+            buffer: BytesMut::new(),
+            body_state: BodyState::Done(None),
             is_reusable: true,
             idle_since: now,
             keep_alive: None,
         })
     }
 
-    /// Whether the connection is open and nothing came on it since its last exchange.
+    /// Whether the connection is open and has no unread bytes.
     ///
-    /// A late second answer would otherwise be taken for the answer to the next request.
-    pub(crate) fn is_quiet(&self) -> bool {
+    /// Unread bytes, such as a late second response, would be mistaken for the response to the next
+    /// request.
+    pub(crate) fn is_healthy(&self) -> bool {
         let mut byte = [0_u8; 1];
         let read = self.stream.try_read(&mut byte);
         matches!(read, Err(err) if err.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Goes without a buffer until the next exchange: hundreds of connections are idle at a time.
-    pub(crate) fn rest(&mut self, now: Instant) {
-        self.read = BytesMut::new();
+    /// Marks the connection as idle and frees its buffer, since hundreds of connections may be idle.
+    pub(crate) fn set_idle(&mut self, now: Instant) {
+        self.buffer = BytesMut::new();
         self.idle_since = now;
     }
 
-    /// Whether another exchange may follow.
-    pub(crate) fn can_be_kept(&self) -> bool {
-        self.is_reusable && self.read.is_empty() && matches!(self.codec, Codec::Done(Some(_)))
+    /// Whether the connection can carry another exchange.
+    pub(crate) fn can_be_reused(&self) -> bool {
+        self.is_reusable
+            && self.buffer.is_empty()
+            && matches!(self.body_state, BodyState::Done(Some(_)))
     }
 
-    /// Sends a request and reads the head of its answer.
+    /// Sends a request and reads the head of the response.
     pub(crate) async fn exchange(
         &mut self,
         request: &OutboundRequest,
     ) -> Result<ResponseHead, OutboundError> {
         let mut codec = ClientCodec::default();
-        let wire = encode(&mut codec, request).map_err(OutboundError::Broken)?;
-        let is_sent = self.send(&wire).await?;
-        if !is_sent {
-            // The server answered before it had the whole body. What it still expects must not be
-            // taken from the next request, so the connection ends with this exchange.
+        let encoded = encode(&mut codec, request).map_err(OutboundError::Broken)?;
+        let is_fully_sent = self.send_request(&encoded).await?;
+        if !is_fully_sent {
+            // The server responded before it had the whole request. It would take the next request
+            // for the rest of this one, so the connection is not reused.
             self.is_reusable = false;
         }
         loop {
-            let head = codec.decode(&mut self.read);
+            let head = codec.decode(&mut self.buffer);
             match head.map_err(|err| OutboundError::Protocol(err.to_string()))? {
                 Some(head) if head.status == StatusCode::CONTINUE => {}
                 Some(head) => {
                     self.start_body(codec, &head, &request.method);
                     return Ok(head);
                 }
-                None if self.read.len() > MAX_HEAD_BYTES => {
-                    return Err(OutboundError::Protocol("the head is too long".to_owned()));
+                None if self.buffer.len() > MAX_HEAD_BYTES => {
+                    return Err(OutboundError::Protocol(
+                        "the response head exceeds the size limit".to_owned(),
+                    ));
                 }
-                None => self.fill().await?,
+                None => self.read_more().await?,
             }
         }
     }
 
-    /// Writes the request; false when an answer came before all was written.
-    async fn send(&mut self, wire: &[u8]) -> Result<bool, OutboundError> {
+    /// Writes the request; returns false if response bytes arrived before all of it was written.
+    async fn send_request(&mut self, encoded: &[u8]) -> Result<bool, OutboundError> {
         let (mut read, mut write) = self.stream.split();
         tokio::select! {
             biased;
-            sent = write.write_all(wire) => sent.map(|()| true).map_err(OutboundError::Broken),
-            came = read.read_buf(&mut self.read) => match came {
+            sent = write.write_all(encoded) => sent.map(|()| true).map_err(OutboundError::Broken),
+            received = read.read_buf(&mut self.buffer) => match received {
                 Ok(0) => Err(OutboundError::Closed),
                 Ok(_) => Ok(false),
                 Err(err) => Err(OutboundError::Broken(err)),
@@ -174,93 +179,99 @@
         self.keep_alive = platform::answer::keep_alive(&head.headers);
         if is_unframed {
             self.is_reusable = false;
-            self.codec = Codec::UntilClose;
+            self.body_state = BodyState::UntilClose;
             return;
         }
         if !codec.keep_alive() {
             self.is_reusable = false;
         }
-        self.codec = match codec.message_type() {
-            MessageType::None => Codec::Done(Some(codec)),
+        self.body_state = match codec.message_type() {
+            MessageType::None => BodyState::Done(Some(codec)),
             MessageType::Payload | MessageType::Stream => {
-                Codec::Payload(codec.into_payload_codec())
+                BodyState::Payload(codec.into_payload_codec())
             }
         };
     }
 
-    async fn fill(&mut self) -> Result<(), OutboundError> {
-        self.read.reserve(READ_BYTES);
-        match self.stream.read_buf(&mut self.read).await {
+    async fn read_more(&mut self) -> Result<(), OutboundError> {
+        self.buffer.reserve(READ_BUFFER_BYTES);
+        match self.stream.read_buf(&mut self.buffer).await {
             Ok(0) => Err(OutboundError::Closed),
             Ok(_) => Ok(()),
             Err(err) => Err(OutboundError::Broken(err)),
         }
     }
 
-    /// The next bytes of the body; none at its end.
+    /// Returns the next bytes of the body; none at its end.
     pub(crate) async fn chunk(&mut self) -> Result<Option<Bytes>, OutboundError> {
         loop {
-            match &mut self.codec {
-                Codec::Done(_) => return Ok(None),
-                Codec::UntilClose => return self.chunk_until_close().await,
-                Codec::Payload(codec) => {
-                    let item = codec.decode(&mut self.read);
+            match &mut self.body_state {
+                BodyState::Done(_) => return Ok(None),
+                BodyState::UntilClose => return self.chunk_until_close().await,
+                BodyState::Payload(codec) => {
+                    let item = codec.decode(&mut self.buffer);
                     match item.map_err(|err| OutboundError::Protocol(err.to_string()))? {
                         Some(Some(bytes)) => return Ok(Some(bytes)),
                         Some(None) => {
                             self.end_body();
                             return Ok(None);
                         }
-                        None => self.fill().await?,
+                        None => self.read_more().await?,
                     }
                 }
             }
         }
     }
 
-    /// Reads on until the server closes; a reset means that the body is incomplete.
+    /// Returns the next bytes of a body that ends when the server closes the connection.
+    ///
+    /// A reset is an error, since the body may be incomplete.
     async fn chunk_until_close(&mut self) -> Result<Option<Bytes>, OutboundError> {
-        if self.read.is_empty() {
-            match self.fill().await {
+        if self.buffer.is_empty() {
+            match self.read_more().await {
                 Ok(()) => {}
                 Err(OutboundError::Closed) => {
-                    self.codec = Codec::Done(None);
+                    self.body_state = BodyState::Done(None);
                     return Ok(None);
                 }
                 Err(err) => return Err(err),
             }
         }
-        Ok(Some(self.read.split().freeze()))
+        Ok(Some(self.buffer.split().freeze()))
     }
 
     fn end_body(&mut self) {
-        let codec = std::mem::replace(&mut self.codec, Codec::Done(None));
-        if let Codec::Payload(payload) = codec {
-            self.codec = Codec::Done(Some(payload.into_message_codec()));
+        let codec = std::mem::replace(&mut self.body_state, BodyState::Done(None));
+        if let BodyState::Payload(payload) = codec {
+            self.body_state = BodyState::Done(Some(payload.into_message_codec()));
         }
     }
 
-    /// Reads the whole body, `limit_bytes` at most.
+    /// Reads the whole body; fails if it exceeds `limit_bytes`.
     pub(crate) async fn body(&mut self, limit_bytes: usize) -> Result<Bytes, OutboundError> {
         let mut body = BytesMut::new();
         while let Some(chunk) = self.chunk().await? {
-            if body.is_empty() && matches!(self.codec, Codec::Done(_)) {
+            if body.is_empty() && matches!(self.body_state, BodyState::Done(_)) {
                 return Ok(chunk);
             }
             body.extend_from_slice(&chunk);
             if body.len() > limit_bytes {
-                return Err(OutboundError::Protocol("the body is too long".to_owned()));
+                return Err(OutboundError::Protocol(
+                    "the response body exceeds the size limit".to_owned(),
+                ));
             }
         }
         Ok(body.freeze())
     }
 }
 
-fn set_options(stream: &TcpStream) -> io::Result<()> {
+fn set_socket_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
-    let probes = TcpKeepalive::new().with_time(PROBE).with_interval(PROBE);
+    socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))?;
+    let probes = TcpKeepalive::new()
+        .with_time(KEEPALIVE_PROBE_INTERVAL)
+        .with_interval(KEEPALIVE_PROBE_INTERVAL);
     socket.set_tcp_keepalive(&probes.with_retries(2))
 }
 
@@ -275,11 +286,11 @@
         length => BodySize::Sized(length as u64),
     };
     let head = RequestHeadType::Owned(head);
-    let mut wire = BytesMut::with_capacity(READ_BYTES + request.body.len());
-    codec.encode(Message::Item((head, size)), &mut wire)?;
+    let mut encoded = BytesMut::with_capacity(READ_BUFFER_BYTES + request.body.len());
+    codec.encode(Message::Item((head, size)), &mut encoded)?;
     if !request.body.is_empty() {
-        codec.encode(Message::Chunk(Some(request.body.clone())), &mut wire)?;
+        codec.encode(Message::Chunk(Some(request.body.clone())), &mut encoded)?;
     }
-    codec.encode(Message::Chunk(None), &mut wire)?;
-    Ok(wire)
+    codec.encode(Message::Chunk(None), &mut encoded)?;
+    Ok(encoded)
 }
--- a/clementinepickd/src/plain_client.rs
+++ b/clementinepickd/src/plain_client.rs
@@ -1,4 +1,4 @@
-//! The client of a plain service: each call is sent once, on a connection of its own.
+//! The client of a plain service: sends each call once, on a new connection.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,27 +14,27 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-use crate::clients::{OrderClient, unpooled, url};
+use crate::clients::{CommandClient, unpooled_client, url};
 use crate::control_messages::{ClientCommand, ControlInput, ControlSender};
 use crate::link::duration;
 use crate::settings::{Limits, SidecarRole};
 use crate::tasks::Tasks;
 
-/// Calls the plain service of a sidecar.
+/// Executes a sidecar's commands at its plain service.
 pub(crate) struct PlainClient {
     client: Client,
     address: SocketAddr,
     max_body_bytes: usize,
     control: ControlSender,
-    /// Dropping a sender stops the call.
+    /// The calls in flight; dropping a sender stops its call.
     running: BTreeMap<AttemptId, oneshot::Sender<()>>,
 }
 
 impl PlainClient {
-    /// A client of the plain service at the address in `role`.
+    /// Creates a client of the plain service at the address in `role`.
     pub(crate) fn new(role: &SidecarRole, limits: &Limits, control: ControlSender) -> Self {
         Self {
-            client: unpooled(),
+            client: unpooled_client(),
             address: role.backend_address,
             max_body_bytes: usize::try_from(limits.body_bytes.0).unwrap_or(usize::MAX),
             control,
@@ -55,13 +55,13 @@
         let (client, address, limit) = (self.client.clone(), self.address, self.max_body_bytes);
         let control = self.control.clone();
         tasks.spawn(async move {
-            let answered = timeout(
+            let outcome = timeout(
                 duration(deadline_left_us),
-                run(&client, address, limit, call),
+                send_call(&client, address, limit, call),
             );
             let event = tokio::select! {
-                answered = answered => answered.unwrap_or_else(|_| BackendEvent::Failed {
-                    detail: "no answer within the deadline".to_owned(),
+                outcome = outcome => outcome.unwrap_or_else(|_| BackendEvent::Failed {
+                    detail: "the service did not respond within the deadline".to_owned(),
                     not_run: false,
                 }),
                 _ = stopped => return,
@@ -72,9 +72,9 @@
     }
 }
 
-impl OrderClient for PlainClient {
-    fn start(&mut self, order: ClientCommand, tasks: &mut Tasks) {
-        let ClientCommand::Backend(action) = order else {
+impl CommandClient for PlainClient {
+    fn execute(&mut self, command: ClientCommand, tasks: &mut Tasks) {
+        let ClientCommand::Backend(action) = command else {
             return;
         };
         match action {
@@ -86,7 +86,7 @@
             SidecarAction::Cancel(attempt) => {
                 self.running.remove(&attempt);
             }
-            // A plain service has no cache: nothing of a program can be held there.
+            // A plain service has no cache, so there is nothing to release.
             SidecarAction::Release { program, .. } => {
                 let control = self.control.clone();
                 let freed_tokens = Some(clementinepick::units::Tokens(0));
@@ -100,7 +100,7 @@
             }
             SidecarAction::Generate(body) => {
                 let event = BackendEvent::Failed {
-                    detail: "the backend server is no model engine".to_owned(),
+                    detail: "the backend server is not a model engine".to_owned(),
                     not_run: true,
                 };
                 let attempt = body.attempt;
@@ -119,19 +119,24 @@
     }
 }
 
-async fn run(client: &Client, address: SocketAddr, limit: usize, call: PlainCall) -> BackendEvent {
+async fn send_call(
+    client: &Client,
+    address: SocketAddr,
+    limit: usize,
+    call: PlainCall,
+) -> BackendEvent {
     let failed = |detail: String, not_run| BackendEvent::Failed { detail, not_run };
     let Ok(method) = Method::from_bytes(call.method.as_bytes()) else {
-        return failed("the method can't be sent".to_owned(), true);
+        return failed("the call's method is not valid in HTTP".to_owned(), true);
     };
     let Ok(uri) = url(address, &call.path).parse::<Uri>() else {
-        return failed("the path can't be sent".to_owned(), true);
+        return failed("the call's path is not a valid URI".to_owned(), true);
     };
     let mut request = client.request(method, uri).force_close();
     for (name, value) in call.headers {
         request = request.append_header((name, value));
     }
-    // Only a connection that never came about proves that the service has not got the call.
+    // Only a failure to connect proves that the service has not received the call.
     let mut response = match request.send_body(call.body).await {
         Ok(response) => response,
         Err(SendRequestError::Connect(err)) => return failed(err.to_string(), true),
@@ -154,6 +159,6 @@
             headers,
             body: body.to_vec(),
         }),
-        Err(err) => failed(format!("the answer broke off: {err}"), false),
+        Err(err) => failed(format!("reading the response body failed: {err}"), false),
     }
 }
