--- a/clementinepickd/src/answer_queue.rs
+++ b/clementinepickd/src/answer_queue.rs
@@ -202,7 +202,7 @@
     fn a_caller_stalls_by_time_and_by_bytes() {
         let (sender, mut reader) = answer_queue(LIMITS);
         let start = Instant::now();
-        // A caller that waits for the next part is not slow.
+        // A caller that is waiting for the next part is not stalled.
         assert_eq!(sender.check_reader(start + Duration::from_mins(1)), Ok(()));
         assert_eq!(sender.push(start, text(0, "ten bytes.")), Ok(()));
         assert_eq!(sender.check_reader(start + Duration::from_secs(4)), Ok(()));
--- a/clementinepickd/src/control_messages.rs
+++ b/clementinepickd/src/control_messages.rs
@@ -29,14 +29,12 @@
 pub(crate) enum ControlInput {
     /// A caller's request.
     Request {
-        /// The parsed request.
         request: Box<Request>,
         /// Receives the parts of its answer.
         answers: AnswerSender,
     },
     /// A caller's request for the answer of an earlier call.
     Fetch {
-        /// The parsed request.
         fetch: Box<Fetch>,
         /// Receives the parts of the answer.
         answers: AnswerSender,
@@ -47,25 +45,21 @@
     EndProgram(ProgramId),
     /// Both ends of a link have authenticated each other.
     LinkUp {
-        /// The link.
         link: LinkId,
-        /// The peer.
         peer: Peer,
         /// Sends messages to the peer; dropping it closes the link.
         queue: QueueSender,
     },
     /// A link has closed.
     LinkDown {
-        /// The link.
         link: LinkId,
-        /// The peer.
+        /// The VM of the peer.
         vm: VmId,
     },
     /// A message from a peer.
     LinkMessage {
-        /// The link.
         link: LinkId,
-        /// The peer.
+        /// The VM of the peer.
         vm: VmId,
         message: Message,
     },
--- a/clementinepickd/src/engine_client.rs
+++ b/clementinepickd/src/engine_client.rs
@@ -255,7 +255,7 @@
         .await;
 }
 
-/// Reports the events of a stream to the control thread until it ends.
+/// Forwards the events of a stream to the control thread until the stream ends.
 async fn forward_stream<S>(
     engine: &EngineApi,
     attempt: AttemptId,
--- a/clementinepickd/src/http.rs
+++ b/clementinepickd/src/http.rs
@@ -139,7 +139,7 @@
         }
         Err(RequestError::Control(error)) => error_response(&error),
     };
-    // On a connection that is kept alive, the caller's next request could be lost to the shutdown.
+    // A connection that is kept alive would be closed by the shutdown during the next request.
     if context.wishes.leave.load(Ordering::Relaxed) {
         let head = response.head_mut();
         head.set_connection_type(ConnectionType::Close);
--- a/clementinepickd/src/http_reply.rs
+++ b/clementinepickd/src/http_reply.rs
@@ -10,11 +10,11 @@
 
 const JSON: &str = "application/json";
 
-/// The error of a request, by the place that found it.
+/// A failed request, by the layer that detected the failure.
 pub(crate) enum RequestError {
-    /// The HTTP layer; the control thread has yet to count it.
+    /// Detected by the HTTP layer; the control thread has not counted it yet.
     Http(CallError),
-    /// The control thread, which has counted it.
+    /// Detected by the control thread, which has counted it.
     Control(CallError),
 }
 
