--- a/clementinepickd/src/gateway.rs
+++ b/clementinepickd/src/gateway.rs
@@ -1,8 +1,8 @@
-//! The gateway: takes callers' requests and sends them to backend servers, with all that must last
-//! in the platform's store.
+//! Runs the gateway: forwards callers' requests to backend servers and keeps all durable state in
+//! the platform's store.
 //!
-//! One thread follows the lists in the store ([`follow`]); the thread that calls [`run`] carries
-//! the traffic.
+//! The thread that calls [`Gateway::run`] serves the traffic; a second thread follows the
+//! configuration, the servers and the peers in the store ([`follow`]).
 
 use std::io;
 use std::net::{SocketAddr, TcpListener as StdListener};
@@ -36,47 +36,47 @@
 use crate::logging::{new_logger_to, write_event};
 use crate::store::StoreClient;
 
-/// The pause after a failed accept, which mostly means that descriptors have run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// How long a process that ends may take to record what its standing slices were used for; an append
-/// takes some 10 ms, and one that fails costs programs a part of their budgets.
-const RELEASE: Duration = Duration::from_millis(300);
-/// How long the last answers of a process may take to leave its connections.
-const FLUSH: Duration = Duration::from_millis(30);
+/// The backoff after a failed accept, which usually means that file descriptors have run out.
+const ACCEPT_ERROR_BACKOFF: Duration = Duration::from_millis(20);
+/// How long a terminating process may take to record the usage of its standing slices. If the
+/// append fails, programs lose a part of their budgets.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(300);
+/// The interval at which a draining process checks whether its connections are closed.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(30);
 
-/// Why a gateway could not run.
+/// The reasons why a gateway cannot run.
 #[derive(Debug, Error)]
 pub enum GatewayError {
-    /// An address can't be listened on.
+    /// An address could not be bound.
     #[error("can't listen on {address}: {error}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Why.
+        /// The error of the operating system.
         error: io::Error,
     },
-    /// A thread or a signal handler can't be had.
-    #[error("can't start: {0}")]
+    /// A thread, a listener or a signal handler could not be set up.
+    #[error("failed to start the gateway: {0}")]
     Start(#[from] io::Error),
-    /// The metrics can't be set up.
-    #[error("can't set up metrics: {0}")]
+    /// The metrics recorder could not be set up.
+    #[error("failed to set up the metrics recorder: {0}")]
     Metrics(#[from] metrics_exporter_prometheus::BuildError),
 }
 
-/// The addresses of one gateway, as in its settings.
+/// The addresses on which a gateway listens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GatewayAddresses {
-    /// Where callers connect.
+    /// The address for callers' requests.
     pub callers: SocketAddr,
-    /// Where the platform asks whether the process takes requests.
+    /// The address of the platform's readiness check.
     pub ready: SocketAddr,
-    /// Where peers ask for calls to the store.
+    /// The address for peers: budget reservations, turns and relayed store calls.
     pub peers: SocketAddr,
-    /// Where metrics and the state dump are served.
+    /// The address of metrics and the state dump, if enabled.
     pub metrics: Option<SocketAddr>,
 }
 
-/// A gateway that listens but does not serve yet.
+/// A gateway whose listeners are bound and that does not serve yet.
 pub struct Gateway {
     settings: GatewaySettings,
     logger: Logger,
@@ -90,15 +90,15 @@
     metrics: Option<StdListener>,
 }
 
-/// Listens, and sets the port if the system chose it.
+/// Binds a listener and stores the port that the system assigned to port 0.
 fn listen(address: &mut SocketAddr) -> Result<StdListener, GatewayError> {
-    let bound = StdListener::bind(*address).and_then(|listener| {
+    let result = StdListener::bind(*address).and_then(|listener| {
         listener.set_nonblocking(true)?;
         Ok((listener.local_addr()?, listener))
     });
-    match bound {
-        Ok((actual, listener)) => {
-            *address = actual;
+    match result {
+        Ok((local_address, listener)) => {
+            *address = local_address;
             Ok(listener)
         }
         Err(error) => Err(GatewayError::Listen {
@@ -109,21 +109,21 @@
 }
 
 impl Gateway {
-    /// Binds all addresses; logs to the standard output.
+    /// Binds all addresses and logs to the standard output.
     ///
     /// # Errors
     ///
-    /// An address can't be listened on.
+    /// Returns an error if an address cannot be bound.
     pub fn bind(settings: GatewaySettings) -> Result<Self, GatewayError> {
         Self::bind_logging_to(io::stdout(), settings)
     }
 
-    /// Binds all addresses; logs to `output`, which may be slow or stand still: lines that it does
-    /// not take in time are dropped and counted.
+    /// Binds all addresses and logs to `output`. If `output` is slow or blocks, log lines are
+    /// dropped and counted.
     ///
     /// # Errors
     ///
-    /// An address can't be listened on.
+    /// Returns an error if an address cannot be bound.
     pub fn bind_logging_to<W: io::Write + Send + 'static>(
         output: W,
         mut settings: GatewaySettings,
@@ -149,7 +149,7 @@
         })
     }
 
-    /// Where the gateway listens; ports that the settings left open are known here.
+    /// Returns the addresses on which the gateway listens, with the ports that the system assigned.
     #[must_use]
     pub fn addresses(&self) -> GatewayAddresses {
         GatewayAddresses {
@@ -160,21 +160,21 @@
         }
     }
 
-    /// Serves until SIGTERM or SIGINT, then ends what runs and returns.
+    /// Serves until SIGTERM or SIGINT, then drains and returns.
     ///
     /// # Errors
     ///
-    /// A thread or a signal handler can't be had.
+    /// Returns an error if a thread, a listener or a signal handler cannot be set up.
     pub fn run(self) -> Result<(), GatewayError> {
         let logger = self.logger.clone();
         self.run_until(move || wait_for_signal(logger))
     }
 
-    /// Serves until the future that `stop` makes ends, then ends what runs and returns.
+    /// Serves until the future returned by `stop` completes, then drains and returns.
     ///
     /// # Errors
     ///
-    /// A thread or a signal handler can't be had.
+    /// Returns an error if a thread, a listener or a signal handler cannot be set up.
     pub fn run_until<S, F>(self, stop: S) -> Result<(), GatewayError>
     where
         S: FnOnce() -> F,
@@ -195,7 +195,7 @@
             self.serve(directory, metrics, writer, stop).await
         }));
         follower_stop.send_replace(true);
-        // The follower logs its own failures; a panic of it has already been printed.
+        // The follower logs its own failures; its panic has already been printed.
         let _ = follower.join();
         served
     }
@@ -242,13 +242,13 @@
         let metrics: Rc<dyn Handler> = Rc::new(MetricsHandler {
             shared: Rc::clone(&shared),
         });
-        let mut sites = vec![
+        let mut endpoints = vec![
             (self.listeners.callers, callers),
             (self.listeners.ready, ready),
             (self.listeners.peers, peers),
         ];
-        sites.extend(self.listeners.metrics.map(|listener| (listener, metrics)));
-        for (listener, handler) in sites {
+        endpoints.extend(self.listeners.metrics.map(|listener| (listener, metrics)));
+        for (listener, handler) in endpoints {
             let listener = TcpListener::from_std(listener)?;
             tasks.spawn_local(accept(Rc::clone(&shared), listener, handler));
         }
@@ -263,13 +263,13 @@
     }
 }
 
-/// Accepts connections until idle ones are closed; then waits for those that are left.
+/// Accepts connections until idle ones are to be closed, then waits for the remaining ones.
 async fn accept(shared: Rc<Shared>, listener: TcpListener, handler: Rc<dyn Handler>) {
     let mut connections = JoinSet::new();
     loop {
         tokio::select! {
             accepted = listener.accept() => {
-                take(&shared, &handler, accepted, &mut connections).await;
+                handle_accepted(&shared, &handler, accepted, &mut connections).await;
             }
             Some(_) = connections.join_next() => {}
             () = shared.wait_for_close() => break,
@@ -279,7 +279,7 @@
     while connections.join_next().await.is_some() {}
 }
 
-async fn take(
+async fn handle_accepted(
     shared: &Rc<Shared>,
     handler: &Rc<dyn Handler>,
     accepted: io::Result<(TcpStream, SocketAddr)>,
@@ -291,12 +291,12 @@
         }
         Err(err) => {
             shared.log_connection_error(&err);
-            sleep(ACCEPT_PAUSE).await;
+            sleep(ACCEPT_ERROR_BACKOFF).await;
         }
     }
 }
 
-/// Returns at the first signal to end; SIGHUP is noted.
+/// Returns on SIGTERM or SIGINT; SIGHUP is only logged.
 async fn wait_for_signal(logger: Logger) -> io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -306,16 +306,18 @@
             _ = terminate.recv() => return Ok(()),
             _ = interrupt.recv() => return Ok(()),
             _ = hangup.recv() => {
-                // Addresses can't change while a process runs, and all else comes from the store.
+                // There is nothing to reload: addresses are fixed and everything else comes from
+                // the store.
                 write_event(&logger, &Event::new(EventKind::SettingsReloaded));
             }
         }
     }
 }
 
-/// Ends gracefully: callers are sent elsewhere first, then what runs is finished.
+/// Shuts down gracefully: reports not ready, closes idle connections and waits for running requests
+/// until the shutdown limit.
 async fn drain(shared: &Shared, settings: &GatewaySettings) {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     shared.start_draining();
     let event = Event::new(EventKind::ShutdownStarted).with("running", shared.running_requests());
     shared.log(&event);
@@ -323,13 +325,16 @@
         sleep(settings.drain_delay).await;
     }
     shared.close_idle_connections();
-    // A connection on which a request is only just arriving counts too: such a request would be cut off
-    // by the end of the process without an answer or a refusal.
-    sleep(FLUSH).await;
-    while shared.open_connections() > 0 && begun.elapsed() < settings.shutdown_limit {
-        sleep(FLUSH).await;
+    // Open connections are counted, not running requests: a request that is still being received
+    // would otherwise be cut off without a response.
+    sleep(DRAIN_CHECK_INTERVAL).await;
+    while shared.open_connections() > 0 && started_at.elapsed() < settings.shutdown_limit {
+        sleep(DRAIN_CHECK_INTERVAL).await;
     }
-    shared.homes.release_all(Instant::now() + RELEASE).await;
+    shared
+        .homes
+        .release_all(Instant::now() + RELEASE_TIMEOUT)
+        .await;
     let kind = if shared.running_requests() == 0 {
         EventKind::ShutdownFinished
     } else {
--- a/clementinepickd/src/gateway_attempts.rs
+++ b/clementinepickd/src/gateway_attempts.rs
@@ -1,5 +1,5 @@
-//! The tries of one request: which servers had it, whether another may, and what the caller is told
-//! if none answers.
+//! Tracks the attempts of one request: the servers that were tried, whether another attempt is
+//! allowed, and the refusal if all fail.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -10,19 +10,19 @@
 use crate::gateway_shared::Shared;
 use crate::gateway_trace::Trace;
 
-/// How a try ended that brought no answer.
+/// Why an attempt brought no response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AttemptError {
-    /// The server did not run the request.
+    /// The server rejected the request without running it.
     NotRun,
-    /// Nothing reached the server.
+    /// No connection could be opened, so nothing reached the server.
     ConnectFailed,
-    /// The server may have run it, and its answer is lost.
+    /// The response was lost, or the server sent none in time; it may have run the request.
     ResponseLost,
 }
 
 impl AttemptError {
-    /// The name in logs.
+    /// Returns the name used in logs.
     fn label(self) -> &'static str {
         match self {
             Self::NotRun => "not_run",
@@ -32,14 +32,14 @@
     }
 }
 
-/// The tries of one request.
+/// The attempts of one request.
 pub(crate) struct Attempts<'a> {
     shared: &'a Rc<Shared>,
-    job: &'a RoutedRequest<'a>,
+    routed: &'a RoutedRequest<'a>,
     trace: &'a Trace,
     /// Whether the request may run more than once.
     may_repeat: bool,
-    tried: Vec<String>,
+    tried_servers: Vec<String>,
     sends: u32,
     refusal: Refusal,
 }
@@ -47,53 +47,54 @@
 impl<'a> Attempts<'a> {
     pub(crate) fn new(
         shared: &'a Rc<Shared>,
-        job: &'a RoutedRequest<'a>,
+        routed: &'a RoutedRequest<'a>,
         trace: &'a Trace,
         may_repeat: bool,
     ) -> Self {
-        shared.deposit_retry(job.service);
+        shared.deposit_retry(routed.service);
         Self {
             shared,
-            job,
+            routed,
             trace,
             may_repeat,
-            tried: Vec::new(),
+            tried_servers: Vec::new(),
             sends: 0,
             refusal: Refusal::NoServer,
         }
     }
 
-    /// A place at another server; none when the request may be sent to no more.
+    /// Selects a server that was not tried yet; `None` if no further attempt is allowed or
+    /// possible.
     pub(crate) fn next_slot(&mut self, last_server: Option<&str>) -> Option<ServerSlot> {
-        let is_given_up = self.refusal == Refusal::ServerLost && !self.may_repeat;
-        if is_given_up || self.sends >= self.job.route.attempts {
+        let is_final = self.refusal == Refusal::ServerLost && !self.may_repeat;
+        if is_final || self.sends >= self.routed.route.attempts {
             return None;
         }
         let kind = self.trace.kind.get();
-        if self.sends > 0 && !self.shared.withdraw_retry(self.job.service, kind) {
+        if self.sends > 0 && !self.shared.withdraw_retry(self.routed.service, kind) {
             return None;
         }
         let slot = self
-            .job
-            .select_server(self.shared, &self.tried, last_server)?;
-        self.tried.push(slot.server.id.clone());
+            .routed
+            .select_server(self.shared, &self.tried_servers, last_server)?;
+        self.tried_servers.push(slot.server.id.clone());
         self.trace
             .record_send(&slot.server.id, slot.reason, Instant::now());
         Some(slot)
     }
 
-    /// Whether the try that is under way is the last one.
+    /// Returns whether the current attempt is the last one.
     pub(crate) fn is_last(&self) -> bool {
-        self.sends + 1 >= self.job.route.attempts
+        self.sends + 1 >= self.routed.route.attempts
     }
 
-    /// Notes that the try under way brought no answer.
+    /// Records that the current attempt brought no response.
     ///
-    /// Once an answer was lost, the request may have run, whatever the tries after it bring.
-    pub(crate) fn record_error(&mut self, end: AttemptError) {
-        self.sends += u32::from(end != AttemptError::ConnectFailed);
-        self.trace.record_error(end.label());
-        self.refusal = match (self.refusal, end) {
+    /// Once a response was lost, the request may have run, whatever later attempts return.
+    pub(crate) fn record_error(&mut self, error: AttemptError) {
+        self.sends += u32::from(error != AttemptError::ConnectFailed);
+        self.trace.record_error(error.label());
+        self.refusal = match (self.refusal, error) {
             (Refusal::ServerLost, _) | (_, AttemptError::ResponseLost) => Refusal::ServerLost,
             (_, AttemptError::NotRun) => Refusal::ServersRefused,
             (refusal, AttemptError::ConnectFailed) => refusal,
@@ -102,7 +103,7 @@
         self.trace.may_have_run.set(may_have_run);
     }
 
-    /// What the caller is told when no try brought an answer.
+    /// Returns the refusal to send to the caller if all attempts fail.
     pub(crate) fn refusal(&self) -> Refusal {
         self.refusal
     }
--- a/clementinepickd/src/gateway_budget.rs
+++ b/clementinepickd/src/gateway_budget.rs
@@ -1,5 +1,5 @@
-//! A turn's part of its program's budget: from what is held here, from the home of the program's
-//! partition, from other peers or from the store.
+//! Reserves a turn's maximum from its program's budget: from slices held here, from the home of the
+//! program's partition, from other peers or from the store.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -24,34 +24,33 @@
 use crate::ledger_budgets::BudgetRequest;
 use crate::ledger_holds::{BudgetHold, Lender, SliceGrant, TokenReturn};
 
-/// How long a home may take to answer: it may have to append a slice, which takes some 10 ms.
-const RESERVE_LIMIT: Duration = Duration::from_millis(250);
-/// How long a peer may take to answer where it only looks into its memory, some ms away.
-const LEND_LIMIT: Duration = Duration::from_millis(150);
-/// How many peers are asked for one turn: as many as mostly hold slices of one program, and few
-/// enough that an outage of the store does not load the others with questions.
+/// How long a home may take to respond; it may have to append a slice to the store first.
+const RESERVE_TIMEOUT: Duration = Duration::from_millis(250);
+/// How long a peer may take to respond to a request that it serves from memory.
+const LEND_TIMEOUT: Duration = Duration::from_millis(150);
+/// The maximum number of peers asked to lend for one turn: enough to reach most holders of a
+/// program's slices, and few enough not to overload the peers during a store outage.
 const MAX_LENDERS: usize = 12;
-/// How many homes are asked for one turn: one that is out of date names the next.
+/// The maximum number of homes asked for one turn; an outdated home names the next one.
 const MAX_HOMES: u32 = 2;
-/// How many returns go out together.
-const RETURN_BATCH: usize = 64;
-/// The pause between two looks at the homes.
-const HOMES_PAUSE: Duration = Duration::from_millis(250);
+/// The maximum number of token returns sent in one batch.
+const RETURN_BATCH_SIZE: usize = 64;
+/// The interval between two updates of this process's homes.
+const HOMES_UPDATE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A turn's maximum that was set aside.
+/// A turn's reserved maximum, with what the home knows of the turn.
 pub(crate) struct Reserved {
     pub(crate) hold: BudgetHold,
-    /// Who ran the turn that this one continues from, if the home knows; that process has it in
-    /// memory.
+    /// The gateway that ran the previous turn and has it in memory, if the home knows it.
     pub(crate) previous_at: Option<SocketAddr>,
-    /// The server that ran the last turn of the line or of the one that it branched off from, if the
-    /// home knows.
+    /// The server that ran the last turn of this line (conversation branch) or of the one it
+    /// branched off from, if the home knows it.
     pub(crate) line_server: Option<String>,
 }
 
 impl Reserved {
-    /// A maximum that came without a home's knowledge.
-    fn alone(hold: BudgetHold) -> Self {
+    /// Wraps a reservation that was made without a home.
+    fn without_home(hold: BudgetHold) -> Self {
         Self {
             hold,
             previous_at: None,
@@ -60,7 +59,7 @@
     }
 }
 
-/// Sets a turn's maximum aside; notes on the trace where it came from.
+/// Reserves a turn's maximum and adds its origin to the trace.
 pub(crate) async fn reserve(
     shared: &Rc<Shared>,
     trace: &Trace,
@@ -81,25 +80,25 @@
     }
     if let Some(hold) = shared.budgets.start_held(request, Instant::now()) {
         trace.add_field("budget_from", &"held");
-        return Ok(Reserved::alone(hold));
+        return Ok(Reserved::without_home(hold));
     }
-    match ask_homes(shared, request).await {
+    match reserve_from_home(shared, request).await {
         Some(Ok(reserved)) => {
             trace.add_field("budget_from", &"home");
             Ok(reserved)
         }
         Some(Err(spent)) => {
-            let hold = borrow_or(shared, trace, request, spent).await?;
-            Ok(Reserved::alone(hold))
+            let hold = borrow_if_spent(shared, trace, request, spent).await?;
+            Ok(Reserved::without_home(hold))
         }
         None => {
             let hold = reserve_hold(shared, trace, request, deadline).await?;
-            Ok(Reserved::alone(hold))
+            Ok(Reserved::without_home(hold))
         }
     }
 }
 
-/// Notes at the home who runs a turn, and says who ran the one before it.
+/// Records at the home which gateway runs a turn, and returns the one that ran the previous turn.
 pub(crate) fn record_runner(
     shared: &Shared,
     request: &BudgetRequest<'_>,
@@ -112,11 +111,10 @@
     request.previous_id.and_then(|id| runners.get(id)).copied()
 }
 
-/// The server of the last of these lines of which this home knows one.
+/// Returns the server of the last of these lines for which this home knows one.
 ///
-/// Turns come to any gateway, and those whose context is not kept here leave no record of where they
-/// ran: without this, each gateway would look for a line where its rank says, and the server would
-/// read it again where another gateway had placed it elsewhere.
+/// Any gateway may receive a turn. Without this, each gateway would place a line by its own
+/// ranking, and a server that does not have the line's context would read the prompt again.
 pub(crate) fn line_server<'a>(
     shared: &Shared,
     lines: impl DoubleEndedIterator<Item = &'a str>,
@@ -125,7 +123,7 @@
     lines.rev().find_map(|line| line_servers.get(line)).cloned()
 }
 
-/// Notes at the home, or for it, where the line of a turn was placed.
+/// Records at the home, or in the hold for a remote home, where the line of a turn was placed.
 pub(crate) fn record_placement(
     shared: &Shared,
     hold: &mut BudgetHold,
@@ -141,7 +139,7 @@
     }
 }
 
-/// Sets a turn's maximum aside from what is held, from peers while the store is away, or from the
+/// Reserves a turn's maximum from slices held here, from peers during a store outage, or from the
 /// store.
 async fn reserve_hold(
     shared: &Rc<Shared>,
@@ -174,12 +172,12 @@
             trace.add_field("budget_from", &"store");
             Ok(hold)
         }
-        Err(err) => borrow_or(shared, trace, request, err).await,
+        Err(err) => borrow_if_spent(shared, trace, request, err).await,
     }
 }
 
-/// Borrows from peers where the budget is given out to the end; other errors stay.
-async fn borrow_or(
+/// Borrows from peers if the budget is fully reserved; returns all other errors.
+async fn borrow_if_spent(
     shared: &Rc<Shared>,
     trace: &Trace,
     request: &BudgetRequest<'_>,
@@ -188,10 +186,10 @@
     let LedgerError::Spent { holders, .. } = &err else {
         return Err(err);
     };
-    // What was borrowed before lies at processes that the ledger does not name as holders.
+    // Borrowed tokens are held by processes that the ledger does not name as holders.
     let others = shared.directory().peers;
-    let asked = holders.iter().chain(others.iter()).copied();
-    let borrowed = borrow_budget(shared, request, asked).await;
+    let lenders = holders.iter().chain(others.iter()).copied();
+    let borrowed = borrow_budget(shared, request, lenders).await;
     if borrowed.is_some() {
         trace.add_field("budget_from", &"peers");
     }
@@ -209,12 +207,12 @@
     shared.log(&event);
 }
 
-/// Asks the home of the program's partition; none where it can't say.
-async fn ask_homes(
+/// Reserves a turn's maximum at the home of the program's partition; `None` if no home can decide.
+async fn reserve_from_home(
     shared: &Rc<Shared>,
     request: &BudgetRequest<'_>,
 ) -> Option<Result<Reserved, LedgerError>> {
-    let ask = ReserveRequest {
+    let reserve_request = ReserveRequest {
         turn_id: request.turn_id.to_owned(),
         previous_id: request.previous_id.map(str::to_owned),
         keeps_context: request.keeps_context,
@@ -226,20 +224,20 @@
         mean_turn: shared.budgets.mean_turn(),
         retention: request.retention,
     };
-    let body = to_cbor(&ask);
+    let body = to_cbor(&reserve_request);
     for _ in 0..MAX_HOMES {
         let now = Instant::now();
         let address = shared.homes.remote_home(request.program, now)?;
         let call = PeerCall {
             path: RESERVE_PATH,
             body: body.clone(),
-            limit: RESERVE_LIMIT,
+            limit: RESERVE_TIMEOUT,
         };
-        let answer = call_peer::<ReserveResponse>(shared, address, call).await;
-        if answer.is_none() {
+        let response = call_peer::<ReserveResponse>(shared, address, call).await;
+        if response.is_none() {
             shared.homes.record_peer_timeout(address, now);
         }
-        match answer {
+        match response {
             Some(ReserveResponse::Lent {
                 writer,
                 tokens,
@@ -272,76 +270,77 @@
     None
 }
 
-/// Asks peers for a part of a program's budget, until one turn can start.
+/// Borrows parts of a program's budget from peers until one turn can start.
 ///
-/// Without this, a program whose turns come to several gateways would be refused while its budget
-/// lies unused at another one, or as long as the store is away.
+/// Without this, a program whose turns arrive at several gateways would be refused while another
+/// gateway holds unused tokens of its budget, or for the whole of a store outage.
 async fn borrow_budget(
     shared: &Rc<Shared>,
     request: &BudgetRequest<'_>,
     peers: impl IntoIterator<Item = SocketAddr>,
 ) -> Option<BudgetHold> {
-    let ask = LendRequest {
+    let lend_request = LendRequest {
         program: request.program.to_owned(),
         tokens: request.turn,
     };
-    let body = to_cbor(&ask);
-    let mut asked: Vec<SocketAddr> = Vec::new();
+    let body = to_cbor(&lend_request);
+    let mut lenders: Vec<SocketAddr> = Vec::new();
     for peer in peers {
-        if !asked.contains(&peer) && peer != shared.peer_address {
-            asked.push(peer);
+        if !lenders.contains(&peer) && peer != shared.peer_address {
+            lenders.push(peer);
         }
     }
-    let asks = asked.into_iter().take(MAX_LENDERS).map(|peer| {
+    let lend_calls = lenders.into_iter().take(MAX_LENDERS).map(|peer| {
         let call = PeerCall {
             path: LEND_PATH,
             body: body.clone(),
-            limit: LEND_LIMIT,
+            limit: LEND_TIMEOUT,
         };
         call_peer::<Tokens>(shared, peer, call)
     });
-    let lent = join_all(asks).await;
-    let sum: Tokens = lent.into_iter().flatten().sum();
-    if sum == Tokens(0) {
+    let lent = join_all(lend_calls).await;
+    let total: Tokens = lent.into_iter().flatten().sum();
+    if total == Tokens(0) {
         return None;
     }
-    shared.budgets.start_borrowed(request, sum)
+    shared.budgets.start_borrowed(request, total)
 }
 
-/// Sends back what turns here did not need of what homes lent, until the sender is gone.
+/// Returns unused tokens to the homes that lent them, until the sender is dropped.
 pub(crate) async fn send_token_returns(
     shared: Rc<Shared>,
     mut returned: mpsc::Receiver<TokenReturn>,
 ) {
-    let mut batch = Vec::with_capacity(RETURN_BATCH);
-    while returned.recv_many(&mut batch, RETURN_BATCH).await > 0 {
+    let mut batch = Vec::with_capacity(RETURN_BATCH_SIZE);
+    while returned.recv_many(&mut batch, RETURN_BATCH_SIZE).await > 0 {
         let mut by_lender: BTreeMap<SocketAddr, Vec<ReturnedTokens>> = BTreeMap::new();
-        for back in batch.drain(..) {
-            let to = by_lender.entry(back.lender.address).or_default();
-            to.push(ReturnedTokens {
-                writer: back.lender.writer,
-                program: back.program,
-                tokens: back.tokens,
-                placed: back.placed,
+        for unused in batch.drain(..) {
+            let lender_returns = by_lender.entry(unused.lender.address).or_default();
+            lender_returns.push(ReturnedTokens {
+                writer: unused.lender.writer,
+                program: unused.program,
+                tokens: unused.tokens,
+                placed: unused.placed,
             });
         }
         let calls = by_lender.into_iter().map(|(address, returned)| {
             let call = PeerCall {
                 path: RETURN_PATH,
                 body: to_cbor(&returned),
-                limit: LEND_LIMIT,
+                limit: LEND_TIMEOUT,
             };
             call_peer::<()>(&shared, address, call)
         });
-        // Tokens whose return fails are lost to their program: a repeat might count them twice.
+        // A failed return is not repeated: a repeat might count its tokens twice. The program loses
+        // them.
         join_all(calls).await;
     }
 }
 
-/// Keeps this process the home of its share of the partitions, until it is dropped.
+/// Keeps this process the home of its share of the partitions.
 pub(crate) async fn maintain_homes(shared: Rc<Shared>) {
     loop {
-        sleep(HOMES_PAUSE).await;
+        sleep(HOMES_UPDATE_INTERVAL).await;
         let directory = shared.directory();
         if let Some(config) = &directory.config {
             let retention = config.longest_retention_us();
@@ -354,7 +353,7 @@
     }
 }
 
-/// Logs which peers are lost since `before`, and which are no more.
+/// Logs which peers were lost since `before`, and which of those in it are reachable again.
 fn log_lost(shared: &Shared, before: &BTreeSet<SocketAddr>) {
     let lost = shared.homes.lost();
     for address in lost.difference(before) {
--- a/clementinepickd/src/gateway_budget_peer.rs
+++ b/clementinepickd/src/gateway_budget_peer.rs
@@ -1,4 +1,5 @@
-//! What a gateway answers as the home of a program's budget, or as one that holds a part of it.
+//! Handles peers' budget requests: as the home of a program's partition, or as the holder of a
+//! slice.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -16,29 +17,29 @@
 use crate::ledger::{LedgerError, from_cbor, to_cbor};
 use crate::ledger_budgets::BudgetRequest;
 
-/// How long a home tries the store for another process, which tries it itself after that.
-const HOME_STORE_LIMIT: Duration = Duration::from_millis(200);
+/// How long a home tries to reserve a slice for a peer, which tries the store itself afterwards.
+const HOME_STORE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Answers what a peer asks of this process as a home.
-async fn answer_reserve(shared: &Rc<Shared>, ask: &ReserveRequest) -> ReserveResponse {
+/// Reserves a turn's maximum for a peer, as the home of the program's partition.
+async fn handle_reserve(shared: &Rc<Shared>, peer_request: &ReserveRequest) -> ReserveResponse {
     let request = BudgetRequest {
-        program: &ask.program,
-        budget: ask.budget,
-        turn: ask.turn,
-        retention: ask.retention,
-        turn_id: &ask.turn_id,
-        previous_id: ask.previous_id.as_deref(),
-        keeps_context: ask.keeps_context,
+        program: &peer_request.program,
+        budget: peer_request.budget,
+        turn: peer_request.turn,
+        retention: peer_request.retention,
+        turn_id: &peer_request.turn_id,
+        previous_id: peer_request.previous_id.as_deref(),
+        keeps_context: peer_request.keeps_context,
         lines: &[],
     };
     let lent = |tokens: Tokens| ReserveResponse::Lent {
         writer: shared.budgets.writer.clone(),
         tokens: Some(tokens),
-        previous_at: record_runner(shared, &request, ask.runner),
-        line_server: line_server(shared, ask.lines.iter().map(String::as_str)),
+        previous_at: record_runner(shared, &request, peer_request.runner),
+        line_server: line_server(shared, peer_request.lines.iter().map(String::as_str)),
     };
-    if shared.budgets.held_home(&ask.program).is_none() {
-        let home = shared.homes.known_home(&ask.program);
+    if shared.budgets.held_home(&peer_request.program).is_none() {
+        let home = shared.homes.known_home(&peer_request.program);
         return ReserveResponse::Elsewhere { home };
     }
     if let Some(hold) = shared.budgets.start_held(&request, Instant::now()) {
@@ -51,7 +52,7 @@
             let budgets = &shared.budgets;
             budgets.start_rest(&request, least, Instant::now())
         };
-        return ask
+        return peer_request
             .mean_turn
             .and_then(start)
             .map_or(ReserveResponse::Away, |hold| {
@@ -60,7 +61,7 @@
                 lent(tokens)
             });
     }
-    let deadline = Instant::now() + HOME_STORE_LIMIT;
+    let deadline = Instant::now() + HOME_STORE_TIMEOUT;
     match shared.budgets.reserve(&request, deadline).await {
         Ok(hold) => {
             if let Some(grant) = hold.grant {
@@ -76,26 +77,26 @@
     }
 }
 
-/// Answers a peer's call on one of the paths of budgets; none for other paths.
+/// Handles a peer's call on one of the budget paths; `None` for other paths.
 pub(crate) async fn handle_budget_call(
     shared: &Rc<Shared>,
     path: &str,
     body: &[u8],
 ) -> Option<(u16, Bytes)> {
     const BAD_REQUEST: (u16, Bytes) = (400, Bytes::new());
-    let answer = match path {
+    let response = match path {
         RESERVE_PATH => match from_cbor::<ReserveRequest>(body) {
-            Some(ask) => (200, to_cbor(&answer_reserve(shared, &ask).await)),
+            Some(peer_request) => (200, to_cbor(&handle_reserve(shared, &peer_request).await)),
             None => BAD_REQUEST,
         },
         RETURN_PATH => match from_cbor::<Vec<ReturnedTokens>>(body) {
             Some(returned) => {
-                for back in returned {
-                    let tokens = back.tokens;
+                for unused in returned {
+                    let tokens = unused.tokens;
                     shared
                         .budgets
-                        .take_back(&back.writer, &back.program, tokens);
-                    if let Some((line, server)) = back.placed {
+                        .take_back(&unused.writer, &unused.program, tokens);
+                    if let Some((line, server)) = unused.placed {
                         let mut line_servers = shared.homes.line_servers.borrow_mut();
                         line_servers.insert(&line, server);
                     }
@@ -105,14 +106,16 @@
             None => BAD_REQUEST,
         },
         LEND_PATH => match from_cbor::<LendRequest>(body) {
-            Some(ask) => {
+            Some(peer_request) => {
                 let now = Instant::now();
-                let lent = shared.budgets.lend(&ask.program, ask.tokens, now);
+                let lent = shared
+                    .budgets
+                    .lend(&peer_request.program, peer_request.tokens, now);
                 (200, to_cbor(&lent))
             }
             None => BAD_REQUEST,
         },
         _ => return None,
     };
-    Some(answer)
+    Some(response)
 }
--- a/clementinepickd/src/gateway_call.rs
+++ b/clementinepickd/src/gateway_call.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services: one request, one answer.
+//! Forwards calls to plain services: one request, one response.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -17,58 +17,58 @@
 use crate::leave_out::Safeguard;
 use crate::link::duration;
 
-/// The largest body of an answer, in bytes. It is held whole, so that an answer that is cut off
-/// never looks complete and an idempotent call can be made again.
-const MAX_ANSWER_BYTES: usize = 4_194_304;
-/// An idempotent call that has no answer after this many times the route's latency target is sent
-/// to another server. A server that lost the answer gives none at all; one that is merely busy
-/// answers within the target in 95 of 100 cases, so that few calls are sent twice in vain.
-const PATIENCE_TARGETS: u32 = 2;
+/// The largest body of a response, in bytes. It is buffered in full, so that a truncated response
+/// never looks complete and an idempotent call can be sent again.
+const MAX_RESPONSE_BYTES: usize = 4_194_304;
+/// An idempotent call without a response after this many times the route's latency target is sent
+/// to another server. A busy server responds within the target in 95 % of cases, so that few calls
+/// are sent twice in vain.
+const TIMEOUT_LATENCY_TARGETS: u32 = 2;
 
-/// The name of calls in metrics.
+/// The kind of calls in metrics.
 pub(crate) const CALL: &str = "call";
 
-/// What a whole answer is made of.
-struct WholeAnswer {
+/// A response that was received in full.
+struct FullResponse {
     status: StatusCode,
     headers: actix_http::header::HeaderMap,
     body: Bytes,
 }
 
-/// Makes the call and answers the caller.
+/// Forwards the call and sends the response to the caller.
 pub(crate) async fn run(
     shared: &Rc<Shared>,
-    job: &RoutedRequest<'_>,
+    routed: &RoutedRequest<'_>,
     trace: &Trace,
     reply: &mut Reply<'_>,
 ) -> Result<Result<(), Refusal>, CallerDisconnected> {
-    let answer = match call(shared, job, trace).await {
-        Ok(answer) => answer,
+    let full = match call(shared, routed, trace).await {
+        Ok(full) => full,
         Err(refusal) => return Ok(Err(refusal)),
     };
     reply
-        .send_full(answer.status, answer.headers, answer.body)
+        .send_full(full.status, full.headers, full.body)
         .await?;
     Ok(Ok(()))
 }
 
 async fn call(
     shared: &Rc<Shared>,
-    job: &RoutedRequest<'_>,
+    routed: &RoutedRequest<'_>,
     trace: &Trace,
-) -> Result<WholeAnswer, Refusal> {
-    let is_idempotent = job.route.kind == RequestKind::Idempotent;
+) -> Result<FullResponse, Refusal> {
+    let is_idempotent = routed.route.kind == RequestKind::Idempotent;
     let may_repeat = is_idempotent || Safeguard::BookingOnce.is_left_out();
-    let mut attempts = Attempts::new(shared, job, trace, may_repeat);
+    let mut attempts = Attempts::new(shared, routed, trace, may_repeat);
     while let Some(slot) = attempts.next_slot(None) {
-        let patience = if may_repeat && !attempts.is_last() {
-            patience(job)
+        let response_timeout = if may_repeat && !attempts.is_last() {
+            response_timeout(routed)
         } else {
-            job.beyond_deadline(Instant::now())
+            routed.beyond_deadline(Instant::now())
         };
-        match exchange(shared, job, trace, slot, patience).await {
-            Ok(answer) => return Ok(answer),
-            Err(end) => attempts.record_error(end),
+        match exchange(shared, routed, trace, slot, response_timeout).await {
+            Ok(full) => return Ok(full),
+            Err(err) => attempts.record_error(err),
         }
     }
     Err(attempts.refusal())
@@ -76,32 +76,32 @@
 
 async fn exchange(
     shared: &Rc<Shared>,
-    job: &RoutedRequest<'_>,
+    routed: &RoutedRequest<'_>,
     trace: &Trace,
     slot: ServerSlot,
-    patience: Duration,
-) -> Result<WholeAnswer, AttemptError> {
-    let body = job.received.body.clone();
-    let sent = job
-        .send_with_timeout(patience, shared, slot, body, None)
+    response_timeout: Duration,
+) -> Result<FullResponse, AttemptError> {
+    let body = routed.received.body.clone();
+    let sent = routed
+        .send_with_timeout(response_timeout, shared, slot, body, None)
         .await;
-    let mut answering = sent?;
+    let mut response = sent?;
     trace.record_first_byte(Instant::now());
-    let reading = answering.connection.body(MAX_ANSWER_BYTES);
-    let Ok(Ok(body)) = timeout(patience, reading).await else {
-        answering.slot.record_failure();
+    let read_body = response.connection.body(MAX_RESPONSE_BYTES);
+    let Ok(Ok(body)) = timeout(response_timeout, read_body).await else {
+        response.slot.record_failure();
         return Err(AttemptError::ResponseLost);
     };
-    let answer = WholeAnswer {
-        status: answering.head.status,
-        headers: platform::answer::forwarded(&answering.head.headers),
+    let full = FullResponse {
+        status: response.head.status,
+        headers: platform::answer::forwarded(&response.head.headers),
         body,
     };
-    answering.release_connection(shared);
-    Ok(answer)
+    response.release_connection(shared);
+    Ok(full)
 }
 
-fn patience(job: &RoutedRequest<'_>) -> Duration {
-    let target = duration(job.route.target_latency_us) * PATIENCE_TARGETS;
-    target.min(job.time_left(Instant::now()))
+fn response_timeout(routed: &RoutedRequest<'_>) -> Duration {
+    let target = duration(routed.route.target_latency_us) * TIMEOUT_LATENCY_TARGETS;
+    target.min(routed.time_left(Instant::now()))
 }
--- a/clementinepickd/src/gateway_connection.rs
+++ b/clementinepickd/src/gateway_connection.rs
@@ -1,4 +1,5 @@
-//! One caller's connection: reads requests, hands them on, and watches for the caller's leaving.
+//! Serves one caller's connection: reads requests, passes them to a handler and detects that the
+//! caller disconnects.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -19,28 +20,28 @@
 use crate::gateway_shared::{BodyReservation, Shared};
 use crate::link::duration;
 
-/// How many bytes of a next request are taken while one is answered; a caller that sends more is
-/// made to wait by its connection.
-const MAX_AHEAD_BYTES: usize = 65_536;
-/// How much room a read has, in bytes; heads and the bodies of most requests are smaller.
-const READ_BYTES: usize = 2_048;
-/// The name in metrics of requests that were not read whole.
+/// How many bytes of the next request are buffered while one is served; beyond this, TCP flow
+/// control makes the caller wait.
+const MAX_PIPELINED_BYTES: usize = 65_536;
+/// The buffer space reserved for one read, in bytes; request heads and most bodies are smaller.
+const READ_BUFFER_BYTES: usize = 2_048;
+/// The kind in metrics of requests that were not read in full.
 const UNREAD: &str = "unread";
-/// How long a caller may take to read the answer to a request that was not accepted.
-const REFUSAL_LIMIT: Duration = Duration::from_secs(1);
+/// How long a caller may take to read the refusal of a request.
+const REFUSAL_WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A request that was read in full.
+/// A request that was received in full.
 pub(crate) struct ReceivedRequest<'a> {
     pub(crate) head: Request,
     pub(crate) body: Bytes,
-    _hold: Option<BodyReservation<'a>>,
-    /// When its first byte was there.
+    _reservation: Option<BodyReservation<'a>>,
+    /// When its first byte was received.
     pub(crate) arrived: Instant,
 }
 
-/// What takes the requests of a listener.
+/// Handles the requests of a listener.
 pub(crate) trait Handler {
-    /// Answers a request. A reply that is left incomplete ends the connection.
+    /// Handles a request. An incomplete reply closes the connection.
     fn handle<'a>(
         &'a self,
         request: &'a ReceivedRequest<'_>,
@@ -48,11 +49,11 @@
     ) -> std::pin::Pin<Box<dyn Future<Output = ()> + 'a>>;
 }
 
-/// Why reading ended without a request.
-enum ReadEnd {
-    /// The caller closed, or the connection was idle for too long.
+/// Why no request was received.
+enum ReceiveError {
+    /// The caller closed the connection, or it was idle for too long.
     Closed,
-    /// The request can't be accepted.
+    /// The request is not accepted.
     Refused(Refusal),
 }
 
@@ -77,20 +78,20 @@
     loop {
         let request = match receive(&shared, &mut reader, &mut codec, &mut write).await {
             Ok(request) => request,
-            Err(ReadEnd::Closed) => return,
-            Err(ReadEnd::Refused(refusal)) => {
-                refuse(&shared, refusal, &mut codec, &mut write).await;
+            Err(ReceiveError::Closed) => return,
+            Err(ReceiveError::Refused(refusal)) => {
+                write_refusal(&shared, refusal, &mut codec, &mut write).await;
                 return;
             }
         };
         let closes = !codec.keep_alive() || shared.is_draining();
         let mut reply = Reply::new(&mut codec, &mut write, closes);
-        let running = shared.start_request();
+        let running_guard = shared.start_request();
         tokio::select! {
             () = handler.handle(&request, &mut reply) => {}
-            () = reader.caller_left() => return,
+            () = reader.wait_for_disconnect() => return,
         }
-        drop(running);
+        drop(running_guard);
         let is_complete = reply.state() == ReplyState::Complete;
         if !is_complete || reply.closes {
             return;
@@ -98,14 +99,20 @@
     }
 }
 
-async fn refuse(shared: &Shared, refusal: Refusal, codec: &mut Codec, write: &mut OwnedWriteHalf) {
+async fn write_refusal(
+    shared: &Shared,
+    refusal: Refusal,
+    codec: &mut Codec,
+    write: &mut OwnedWriteHalf,
+) {
     shared
         .metrics
         .count(UNREAD, refusal.answer().code, Duration::ZERO);
     let mut reply = Reply::new(codec, write, true);
-    let answer = reply.send_refusal(refusal.answer(), None);
-    if timeout(REFUSAL_LIMIT, answer).await.is_ok() {
-        // Closing with unread bytes would reset the connection and take the answer with it.
+    let sending = reply.send_refusal(refusal.answer(), None);
+    if timeout(REFUSAL_WRITE_TIMEOUT, sending).await.is_ok() {
+        // Closing with unread bytes would reset the connection, and the caller would not get the
+        // refusal.
         let _ = write.shutdown().await;
     }
 }
@@ -115,49 +122,49 @@
     reader: &mut Reader,
     codec: &mut Codec,
     write: &mut OwnedWriteHalf,
-) -> Result<ReceivedRequest<'a>, ReadEnd> {
+) -> Result<ReceivedRequest<'a>, ReceiveError> {
     let limits = shared.limits();
     if reader.buffer.is_empty() {
-        let first = timeout(duration(limits.idle_us), reader.fill());
+        let first_read = timeout(duration(limits.idle_us), reader.fill());
         let closing = shared.wait_for_close();
         tokio::select! {
             biased;
-            filled = first => match filled {
+            filled = first_read => match filled {
                 Ok(true) => {}
-                Ok(false) | Err(_) => return Err(ReadEnd::Closed),
+                Ok(false) | Err(_) => return Err(ReceiveError::Closed),
             },
-            () = closing => return Err(ReadEnd::Closed),
+            () = closing => return Err(ReceiveError::Closed),
         }
     }
     let arrived = Instant::now();
     let head = read_head(reader, codec, &limits);
-    let head = in_time(limits.head_us, head).await?;
+    let head = with_receive_timeout(limits.head_us, head).await?;
     let body = receive_body(shared, reader, codec, write, &head, &limits);
-    let body = in_time(limits.idle_us, body).await?;
-    let hold = match body.len() {
+    let body = with_receive_timeout(limits.idle_us, body).await?;
+    let reservation = match body.len() {
         0 => None,
         bytes => Some(shared.reserve_body(bytes).ok_or(overloaded())?),
     };
     Ok(ReceivedRequest {
         head,
         body,
-        _hold: hold,
+        _reservation: reservation,
         arrived,
     })
 }
 
-fn overloaded() -> ReadEnd {
-    ReadEnd::Refused(Refusal::Overloaded)
+fn overloaded() -> ReceiveError {
+    ReceiveError::Refused(Refusal::Overloaded)
 }
 
-async fn in_time<T>(
+async fn with_receive_timeout<T>(
     limit_us: SpanUs,
-    reading: impl Future<Output = Result<T, ReadEnd>>,
-) -> Result<T, ReadEnd> {
-    let late = || ReadEnd::Refused(Refusal::ReceiveTimeout);
+    reading: impl Future<Output = Result<T, ReceiveError>>,
+) -> Result<T, ReceiveError> {
+    let timed_out = || ReceiveError::Refused(Refusal::ReceiveTimeout);
     timeout(duration(limit_us), reading)
         .await
-        .map_err(|_| late())?
+        .map_err(|_| timed_out())?
 }
 
 async fn receive_body(
@@ -167,11 +174,11 @@
     write: &mut OwnedWriteHalf,
     head: &Request,
     limits: &CallerLimits,
-) -> Result<Bytes, ReadEnd> {
+) -> Result<Bytes, ReceiveError> {
     let length = head.head().headers.get("content-length");
     let length = length.and_then(|v| v.to_str().ok()?.trim().parse::<usize>().ok());
     if length.is_some_and(|length| length > limits.body_bytes) {
-        return Err(ReadEnd::Refused(Refusal::BodyTooLarge));
+        return Err(ReceiveError::Refused(Refusal::BodyTooLarge));
     }
     if !has_body(head) {
         return Ok(Bytes::new());
@@ -180,8 +187,8 @@
         return Err(overloaded());
     }
     if head.head().expect() && reader.buffer.is_empty() {
-        let go_on = write.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await;
-        go_on.map_err(|_| ReadEnd::Closed)?;
+        let sent = write.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await;
+        sent.map_err(|_| ReceiveError::Closed)?;
     }
     read_body(reader, codec, limits).await
 }
@@ -199,7 +206,7 @@
     reader: &mut Reader,
     codec: &mut Codec,
     limits: &CallerLimits,
-) -> Result<Request, ReadEnd> {
+) -> Result<Request, ReceiveError> {
     loop {
         let before = reader.buffer.len();
         let decoded = codec.decode(&mut reader.buffer);
@@ -207,26 +214,27 @@
             Ok(Some(Message::Item(head))) => {
                 let head_bytes = before - reader.buffer.len();
                 if head_bytes > limits.head_bytes {
-                    return Err(ReadEnd::Refused(Refusal::HeadTooLarge));
+                    return Err(ReceiveError::Refused(Refusal::HeadTooLarge));
                 }
                 if head.method() == Method::CONNECT || !is_origin_form(&head) {
-                    return Err(ReadEnd::Refused(Refusal::Malformed));
+                    return Err(ReceiveError::Refused(Refusal::Malformed));
                 }
                 return Ok(head);
             }
             Ok(Some(Message::Chunk(_))) | Err(_) => {
-                return Err(ReadEnd::Refused(Refusal::Malformed));
+                return Err(ReceiveError::Refused(Refusal::Malformed));
             }
             Ok(None) if reader.buffer.len() > limits.head_bytes => {
-                return Err(ReadEnd::Refused(Refusal::HeadTooLarge));
+                return Err(ReceiveError::Refused(Refusal::HeadTooLarge));
             }
-            Ok(None) if !reader.fill().await => return Err(ReadEnd::Closed),
+            Ok(None) if !reader.fill().await => return Err(ReceiveError::Closed),
             Ok(None) => {}
         }
     }
 }
 
-/// Whether the target is a path, and not the address of a proxy's request.
+/// Returns whether the request target is in origin form (a path), not in the absolute form of a
+/// proxy request.
 fn is_origin_form(head: &Request) -> bool {
     let uri = head.uri();
     uri.scheme().is_none() && uri.authority().is_none() && uri.path().starts_with('/')
@@ -236,30 +244,31 @@
     reader: &mut Reader,
     codec: &mut Codec,
     limits: &CallerLimits,
-) -> Result<Bytes, ReadEnd> {
+) -> Result<Bytes, ReceiveError> {
     let mut body = BytesMut::new();
     loop {
         match codec.decode(&mut reader.buffer) {
             Ok(Some(Message::Chunk(Some(bytes)))) => {
                 body.extend_from_slice(&bytes);
                 if body.len() > limits.body_bytes {
-                    return Err(ReadEnd::Refused(Refusal::BodyTooLarge));
+                    return Err(ReceiveError::Refused(Refusal::BodyTooLarge));
                 }
             }
             Ok(Some(Message::Chunk(None))) => return Ok(body.freeze()),
             Ok(Some(Message::Item(_))) | Err(_) => {
-                return Err(ReadEnd::Refused(Refusal::Malformed));
+                return Err(ReceiveError::Refused(Refusal::Malformed));
             }
-            Ok(None) if !reader.fill().await => return Err(ReadEnd::Closed),
+            Ok(None) if !reader.fill().await => return Err(ReceiveError::Closed),
             Ok(None) => {}
         }
     }
 }
 
 impl Reader {
-    /// Reads more; false when the caller closed.
+    /// Reads more bytes; returns false once the caller has closed the connection.
     ///
-    /// Hundreds of connections rest between two requests, so that one without bytes holds no buffer.
+    /// An empty buffer is released while waiting, because hundreds of connections are idle between
+    /// two requests.
     async fn fill(&mut self) -> bool {
         if self.buffer.is_empty() {
             self.buffer = BytesMut::new();
@@ -267,17 +276,17 @@
                 return false;
             }
         }
-        self.buffer.reserve(READ_BYTES);
+        self.buffer.reserve(READ_BUFFER_BYTES);
         matches!(self.read.read_buf(&mut self.buffer).await, Ok(count) if count > 0)
     }
 
-    /// Returns when the caller has closed its connection.
+    /// Returns once the caller has closed its connection or its sending side.
     ///
-    /// A caller that closes has no use for its answer, also if it closed only its sending side; the
-    /// backend server's work for it is stopped by dropping the request.
-    async fn caller_left(&mut self) {
+    /// Such a caller does not use the response; dropping the request also stops the backend
+    /// server's work for it.
+    async fn wait_for_disconnect(&mut self) {
         while self.fill().await {
-            if self.buffer.len() > MAX_AHEAD_BYTES {
+            if self.buffer.len() > MAX_PIPELINED_BYTES {
                 std::future::pending::<()>().await;
             }
         }
--- a/clementinepickd/src/gateway_exchange.rs
+++ b/clementinepickd/src/gateway_exchange.rs
@@ -1,4 +1,4 @@
-//! Sends a request to one backend server, for calls and streams alike.
+//! Sends a request to one backend server and reads the head of the response, for calls and streams.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -16,34 +16,34 @@
 use crate::leave_out::Safeguard;
 use crate::outbound::{Connection, Outgoing};
 
-/// How long a connection to a backend server may take to open. Zones are milliseconds apart, and
-/// one lost packet of the handshake is sent again only after a second.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
+/// How long opening a connection to a backend server may take. A lost packet of the handshake is
+/// retransmitted only after a second, so that waiting for longer gains little.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long after a request's deadline a wait would end that the deadline ends first.
-const BEYOND_DEADLINE: Duration = Duration::from_secs(1);
+/// How long after a request's deadline a timeout fires that must not fire before the deadline.
+const DEADLINE_MARGIN: Duration = Duration::from_secs(1);
 
-/// A request that is on its way through this process.
+/// A request with its route and deadline.
 pub(crate) struct RoutedRequest<'a> {
     pub(crate) received: &'a ReceivedRequest<'a>,
     pub(crate) info: &'a RequestInfo,
     pub(crate) route: &'a TrafficRoute,
-    /// The service that the route gave it to.
+    /// The service that the route selected.
     pub(crate) service: &'a str,
-    /// When the caller or the route stops waiting.
+    /// The earlier of the caller's deadline and the route's timeout.
     pub(crate) deadline: Instant,
 }
 
-/// A server's answer whose head was read.
+/// A server's response whose head was received.
 pub(crate) struct ServerResponse {
     pub(crate) head: ResponseHead,
     pub(crate) connection: Connection,
-    /// Counts the request as running at the server until this is dropped.
+    /// Counts the request as in flight at the server until dropped.
     pub(crate) slot: ServerSlot,
 }
 
 impl ServerResponse {
-    /// Keeps the connection for another request, after the answer was read to its end.
+    /// Returns the connection to the pool, after the body was read to its end.
     pub(crate) fn release_connection(self, shared: &Shared) {
         let address = self.slot.server.address;
         let now = shared.now_us(Instant::now());
@@ -57,16 +57,16 @@
     }
 }
 
-/// A request that counts as running at a server.
+/// A request that counts as in flight at a server until this is dropped.
 pub(crate) struct ServerSlot {
     shared: Rc<Shared>,
     pub(crate) server: BackendServer,
-    /// Why it was chosen.
+    /// Why this server was chosen.
     pub(crate) reason: PlacingReason,
 }
 
 impl ServerSlot {
-    /// Passes the server over for a while.
+    /// Records a failure, so that the server is avoided for a while.
     pub(crate) fn record_failure(&self) {
         self.shared.record_failure(&self.server.id);
     }
@@ -79,21 +79,22 @@
 }
 
 impl RoutedRequest<'_> {
-    /// A patience that ends after the request itself does, for a server that none can replace.
+    /// Returns a timeout that fires only after the request's deadline, for a server that none can
+    /// replace.
     pub(crate) fn beyond_deadline(&self, now: Instant) -> Duration {
-        self.time_left(now) + BEYOND_DEADLINE
+        self.time_left(now) + DEADLINE_MARGIN
     }
 
-    /// How long the caller still waits.
+    /// Returns the time left until the deadline.
     pub(crate) fn time_left(&self, now: Instant) -> Duration {
         self.deadline.saturating_duration_since(now)
     }
 
-    /// Takes a place at the best server that was not tried.
+    /// Selects the best server that was not tried and counts the request as in flight there.
     pub(crate) fn select_server(
         &self,
         shared: &Rc<Shared>,
-        tried: &[String],
+        tried_servers: &[String],
         last_server: Option<&str>,
     ) -> Option<ServerSlot> {
         let directory = shared.directory();
@@ -109,7 +110,8 @@
             last_server,
         };
         let now = shared.now_us(Instant::now());
-        let (server, reason) = choice.choose_with_reason(now, &candidates, tried, affinity)?;
+        let (server, reason) =
+            choice.choose_with_reason(now, &candidates, tried_servers, affinity)?;
         let server = server.clone();
         choice.start(&server.id, affinity);
         drop(choice);
@@ -120,13 +122,13 @@
         })
     }
 
-    /// Sends the request and waits for the head of the answer for `patience`; a server that says
-    /// nothing for longer is passed over for a while, like one that breaks off.
+    /// Sends the request and waits for the head of the response for `response_timeout`; a server
+    /// that sends none in time is avoided for a while.
     ///
-    /// Its health checks may be good all the while, so that nothing else shows it.
+    /// Such a server may still pass its health checks, so that nothing else detects it.
     pub(crate) async fn send_with_timeout(
         &self,
-        patience: Duration,
+        response_timeout: Duration,
         shared: &Shared,
         slot: ServerSlot,
         body: bytes::Bytes,
@@ -134,14 +136,14 @@
     ) -> Result<ServerResponse, AttemptError> {
         let server = slot.server.id.clone();
         let sending = self.send(shared, slot, body, last_event_id);
-        let sent = timeout(patience, sending).await;
-        sent.unwrap_or_else(|_| {
+        let result = timeout(response_timeout, sending).await;
+        result.unwrap_or_else(|_| {
             shared.record_failure(&server);
             Err(AttemptError::ResponseLost)
         })
     }
 
-    /// Sends the request with `body` to the server of `slot` and reads the head of the answer.
+    /// Sends the request with `body` to the server of `slot` and reads the head of the response.
     async fn send(
         &self,
         shared: &Shared,
@@ -149,9 +151,12 @@
         body: bytes::Bytes,
         last_event_id: Option<u64>,
     ) -> Result<ServerResponse, AttemptError> {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let address = slot.server.address;
-        let opened = shared.pool.connection(address, CONNECT_LIMIT, begun).await;
+        let opened = shared
+            .pool
+            .connection(address, CONNECT_TIMEOUT, started_at)
+            .await;
         let Ok(mut connection) = opened else {
             slot.record_failure();
             return Err(AttemptError::ConnectFailed);
@@ -163,7 +168,7 @@
         };
         let request = Outgoing {
             method: self.received.head.method().clone(),
-            target: target(self.received),
+            target: request_target(self.received),
             headers: forwarded(&self.received.head.head().headers, &send),
             body,
         };
@@ -171,10 +176,11 @@
             slot.record_failure();
             return Err(AttemptError::ResponseLost);
         };
-        self.judge(shared, slot, connection, head).await
+        self.check_response(shared, slot, connection, head).await
     }
 
-    async fn judge(
+    /// Rejects a response that belongs to another request or that refuses the request.
+    async fn check_response(
         &self,
         shared: &Shared,
         slot: ServerSlot,
@@ -183,7 +189,7 @@
     ) -> Result<ServerResponse, AttemptError> {
         let is_own = platform::answer::belongs_to(&head.headers, &self.info.id);
         if !is_own && !Safeguard::OwnAnswer.is_left_out() {
-            // A late answer to an earlier request, or one that can't be told from it.
+            // The response may belong to an earlier request on this connection.
             let is_refusal = platform::answer::says_not_run(head.status.as_u16(), &head.headers);
             slot.record_failure();
             return if is_refusal && !platform::answer::has_request_id(&head.headers) {
@@ -209,10 +215,10 @@
     }
 }
 
-/// The largest body of a server's refusal that is read in order to keep the connection.
+/// The largest body of a server's refusal, in bytes, that is read in order to reuse the connection.
 const MAX_REFUSAL_BYTES: usize = 16_384;
 
-/// Path and query as the caller sent them.
-fn target(received: &ReceivedRequest<'_>) -> Uri {
+/// Returns the path and query as the caller sent them.
+fn request_target(received: &ReceivedRequest<'_>) -> Uri {
     received.head.uri().clone()
 }
--- a/clementinepickd/src/gateway_ledger_query.rs
+++ b/clementinepickd/src/gateway_ledger_query.rs
@@ -1,4 +1,4 @@
-//! What the ledger says of a program or a turn, for operators.
+//! Answers operators' queries for the ledger's state of a program or a turn.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -12,18 +12,18 @@
 use crate::gateway_shared::Shared;
 use crate::ledger::LedgerError;
 
-/// How long the store may take for an operator's question.
-const ASK_LIMIT: Duration = Duration::from_secs(2);
+/// How long the store may take for an operator's query.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Answers `/ledger?program=ID` and `/ledger?turn=ID`, with the id percent-encoded.
+/// Handles `/ledger?program=ID` and `/ledger?turn=ID`, with the id percent-encoded.
 pub(crate) async fn handle_query(shared: &Rc<Shared>, query: &str) -> (StatusCode, String) {
     let Some((name, id)) = query.split_once('=') else {
         return (StatusCode::BAD_REQUEST, String::new());
     };
     let id = percent_decode_str(id).decode_utf8_lossy();
     let found = match name {
-        "program" => program(shared, &id).await,
-        "turn" => turn(shared, &id).await,
+        "program" => query_program(shared, &id).await,
+        "turn" => query_turn(shared, &id).await,
         _ => return (StatusCode::BAD_REQUEST, String::new()),
     };
     match found {
@@ -35,14 +35,16 @@
     }
 }
 
-async fn program(shared: &Rc<Shared>, id: &str) -> Result<Value, LedgerError> {
+async fn query_program(shared: &Rc<Shared>, id: &str) -> Result<Value, LedgerError> {
     let now = Instant::now();
     let partition = shared.ledger.budget_partition(id);
     let state = shared.budgets.partition(partition, now);
-    let in_use = state.in_use.lock().await;
-    let read = shared.budgets.catch_up(partition, &state, now + ASK_LIMIT);
-    read.await?;
-    drop(in_use);
+    let guard = state.access.lock().await;
+    let update = shared
+        .budgets
+        .catch_up(partition, &state, now + QUERY_TIMEOUT);
+    update.await?;
+    drop(guard);
     let view = state.view.borrow();
     let held = shared.budgets.held_slices(id);
     if held.is_none() && !view.knows(id) {
@@ -60,14 +62,14 @@
         "program": id,
         "partition": format!("{}/{}", partition.topic, partition.number),
         "end": view.end,
-        "slices": slices(&view, id),
+        "slices": slices_json(&view, id),
         "standing_tokens": view.standing(id).map(|tokens| tokens.0),
-        "homes": homes(&view),
+        "homes": homes_json(&view),
         "held_here": held,
     }))
 }
 
-fn slices(view: &BudgetView, id: &str) -> Vec<Value> {
+fn slices_json(view: &BudgetView, id: &str) -> Vec<Value> {
     let slices = view.slices(id).map(|(tokens, holder)| {
         let holder = holder.map(|address| address.to_string());
         json!({ "tokens": tokens.0, "holder": holder })
@@ -75,7 +77,7 @@
     slices.collect()
 }
 
-fn homes(view: &BudgetView) -> Vec<Value> {
+fn homes_json(view: &BudgetView) -> Vec<Value> {
     let homes = view.homes().into_iter().map(|home| {
         json!({
             "address": home.address.to_string(),
@@ -88,8 +90,8 @@
     homes.collect()
 }
 
-async fn turn(shared: &Rc<Shared>, id: &str) -> Result<Value, LedgerError> {
-    let deadline = Instant::now() + ASK_LIMIT;
+async fn query_turn(shared: &Rc<Shared>, id: &str) -> Result<Value, LedgerError> {
+    let deadline = Instant::now() + QUERY_TIMEOUT;
     let record = shared.turns.read(id, deadline).await?;
     let record: TurnRecord = record.ok_or(LedgerError::UnknownTurn)?;
     let partition = shared.ledger.turn_partition(id);
--- a/clementinepickd/src/gateway_maintenance.rs
+++ b/clementinepickd/src/gateway_maintenance.rs
@@ -1,5 +1,5 @@
-//! What a gateway does now and then: closes idle connections, forgets old state, looks whether the
-//! store is back, and drops old records.
+//! Runs a gateway's periodic maintenance: closes idle connections, drops unused state, probes the
+//! store and drops expired records.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -13,21 +13,20 @@
 use crate::ledger_sweep::Sweep;
 use crate::unix_time::unix_ms;
 
-/// The time between two rounds of housekeeping: closing idle connections, forgetting old state,
-/// looking whether the store is back.
-const HOUSEKEEPING: Duration = Duration::from_millis(250);
+/// The interval between two rounds of maintenance.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Keeps house until it is dropped.
+/// Runs maintenance periodically and logs when the process becomes ready.
 pub(crate) async fn run_maintenance(shared: Rc<Shared>, vm: String) {
-    let event = Event::new(EventKind::ProcessReady).with("vm", vm);
-    let mut said_ready = false;
+    let ready_event = Event::new(EventKind::ProcessReady).with("vm", vm);
+    let mut is_ready_logged = false;
     let mut store_log = StoreLog::default();
     let mut sweep = Sweep::starting_at(rand::random());
     loop {
         let now = Instant::now();
-        if !said_ready && shared.is_ready(now) {
-            shared.log(&event);
-            said_ready = true;
+        if !is_ready_logged && shared.is_ready(now) {
+            shared.log(&ready_event);
+            is_ready_logged = true;
         }
         shared.pool.close_stale(now);
         shared.store.close_stale(now);
@@ -38,17 +37,17 @@
             shared.store.set_relays(directory.peers.to_vec());
         }
         shared.store.probe().await;
-        store_log.look(&shared, now);
+        store_log.log_changes(&shared, now);
         let processes = directory.peers.len() + 1;
         sweep.step(&shared.ledger, processes, now, unix_ms()).await;
         let servers = &directory.servers.servers;
-        note_servers(&shared, servers);
-        sleep(HOUSEKEEPING).await;
+        update_servers(&shared, servers);
+        sleep(MAINTENANCE_INTERVAL).await;
     }
 }
 
-/// Takes up which servers are registered and when they started.
-fn note_servers(shared: &Shared, servers: &BTreeMap<String, BackendServer>) {
+/// Passes the registered servers and their start times to the server selection.
+fn update_servers(shared: &Shared, servers: &BTreeMap<String, BackendServer>) {
     let mut choice = shared.choice.borrow_mut();
     for server in servers.values() {
         choice.note_start(&server.id, server.started_unix_ms);
@@ -56,17 +55,18 @@
     choice.retain(|id| servers.contains_key(id));
 }
 
-/// What was last said of the store.
+/// The last logged state of the store.
 #[derive(Default)]
 struct StoreLog {
-    is_away: bool,
-    is_direct_down: bool,
+    was_unavailable: bool,
+    was_direct_down: bool,
 }
 
 impl StoreLog {
-    /// Logs what has changed.
-    fn look(&mut self, shared: &Shared, now: Instant) {
-        let (away, down) = (shared.store.is_unavailable(), shared.store.is_direct_down());
+    /// Logs changes since the last call.
+    fn log_changes(&mut self, shared: &Shared, now: Instant) {
+        let (unavailable, direct_down) =
+            (shared.store.is_unavailable(), shared.store.is_direct_down());
         let counts = shared.store.counts();
         let with_counts = |kind| {
             Event::new(kind)
@@ -74,17 +74,17 @@
                 .with("failures", counts.failures)
                 .with("relayed", counts.relayed)
         };
-        if away != std::mem::replace(&mut self.is_away, away) {
-            let kind = if away {
+        if unavailable != std::mem::replace(&mut self.was_unavailable, unavailable) {
+            let kind = if unavailable {
                 EventKind::LogDown
             } else {
                 EventKind::LogUp
             };
-            let away_for = shared.store.unavailable_for(now).as_millis();
-            shared.log(&with_counts(kind).with("away_ms", away_for));
+            let unavailable_ms = shared.store.unavailable_for(now).as_millis();
+            shared.log(&with_counts(kind).with("away_ms", unavailable_ms));
         }
-        if down != std::mem::replace(&mut self.is_direct_down, down) {
-            let kind = if down {
+        if direct_down != std::mem::replace(&mut self.was_direct_down, direct_down) {
+            let kind = if direct_down {
                 EventKind::StoreDirectDown
             } else {
                 EventKind::StoreDirectUp
--- a/clementinepickd/src/gateway_metrics.rs
+++ b/clementinepickd/src/gateway_metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics and the state dump of a gateway.
+//! Records a gateway's metrics and serves them, the state dump and ledger queries.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -16,12 +16,13 @@
 use crate::gateway_reply::Reply;
 use crate::gateway_shared::Shared;
 
-/// The bounds of the latency histogram, in seconds: from a lookup to the longest timeout.
+/// The bucket bounds of the latency histograms, in seconds: from a lookup to the longest timeout.
 const LATENCY_BUCKETS_S: &[f64] = &[
     0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 30.0,
 ];
 
-/// The counters of one gateway; no global, since tests run several in one program.
+/// The metrics of one gateway. The recorder is not global, because tests run several gateways in
+/// one process.
 pub(crate) struct GatewayMetrics {
     recorder: PrometheusRecorder,
 }
@@ -34,7 +35,7 @@
         })
     }
 
-    /// Counts a request that is over.
+    /// Counts a finished request and records its duration.
     pub(crate) fn count(&self, kind: &'static str, outcome: &'static str, took: Duration) {
         with_local_recorder(&self.recorder, || {
             counter!("clementinepick_requests_total", "outcome" => outcome).increment(1);
@@ -50,7 +51,7 @@
         });
     }
 
-    /// Counts a try of a call to the store.
+    /// Counts an attempt of a store call and records its duration.
     pub(crate) fn count_store_call(
         &self,
         purpose: &'static str,
@@ -65,10 +66,10 @@
         });
     }
 
-    /// Sums the histograms' samples up.
+    /// Aggregates the histograms' samples.
     ///
-    /// The recorder keeps each sample until it is asked for; where nobody asks, a process that
-    /// serves 44 requests a second would grow by 30 MB a day.
+    /// The recorder keeps each sample until it is scraped; without this, a process that serves 44
+    /// requests a second and is not scraped would grow by 30 MB a day.
     pub(crate) fn aggregate_histograms(&self) {
         self.recorder.handle().run_upkeep();
     }
@@ -79,10 +80,10 @@
         let (turns, turn_bytes) = shared.turns.cached();
         with_local_recorder(&self.recorder, || {
             counter!("clementinepick_store_relayed_total").absolute(counts.relayed);
-            set("clementinepick_programs", programs);
-            set("clementinepick_cached_turns", turns);
-            set("clementinepick_cached_turn_bytes", turn_bytes);
-            set(
+            set_gauge("clementinepick_programs", programs);
+            set_gauge("clementinepick_cached_turns", turns);
+            set_gauge("clementinepick_cached_turn_bytes", turn_bytes);
+            set_gauge(
                 "clementinepick_store_away",
                 usize::from(shared.store.is_unavailable()),
             );
@@ -92,11 +93,11 @@
 }
 
 #[expect(clippy::cast_precision_loss, reason = "counts stay far below 2^53")]
-fn set(name: &'static str, count: usize) {
+fn set_gauge(name: &'static str, count: usize) {
     gauge!(name).set(count as f64);
 }
 
-/// Serves metrics and the state dump.
+/// Serves metrics, the state dump and ledger queries.
 pub(crate) struct MetricsHandler {
     pub(crate) shared: Rc<Shared>,
 }
@@ -111,14 +112,14 @@
             let path = request.head.uri().path();
             let (status, body) = match path {
                 "/metrics" => (StatusCode::OK, self.shared.metrics.render(&self.shared)),
-                "/state" => (StatusCode::OK, state(&self.shared)),
+                "/state" => (StatusCode::OK, state_dump(&self.shared)),
                 "/ledger" => {
                     let query = request.head.uri().query().unwrap_or_default();
                     gateway_ledger_query::handle_query(&self.shared, query).await
                 }
                 _ => (StatusCode::NOT_FOUND, String::new()),
             };
-            // If this fails, whoever asked is gone.
+            // A failure means that the client has disconnected.
             let _ = reply
                 .send_full(status, content_type(path), body.into())
                 .await;
@@ -126,7 +127,7 @@
     }
 }
 
-/// The header by which a client knows how to read an answer; clients refuse JSON without it.
+/// Returns the headers with the content type; clients reject JSON without it.
 fn content_type(path: &str) -> HeaderMap {
     let kind = if path == "/metrics" {
         "text/plain; version=0.0.4"
@@ -138,8 +139,8 @@
     headers
 }
 
-/// All that this process believes, as JSON.
-fn state(shared: &Shared) -> String {
+/// Returns the state of this process as JSON.
+fn state_dump(shared: &Shared) -> String {
     let now = Instant::now();
     let directory = shared.directory();
     let age_ms = directory
--- a/clementinepickd/src/gateway_peer.rs
+++ b/clementinepickd/src/gateway_peer.rs
@@ -1,5 +1,5 @@
-//! What gateways do for each other: calls to the store for one that can't reach it, parts of budgets,
-//! and turns.
+//! Calls peers and handles their calls: store calls for a peer that cannot reach the store,
+//! budgets, and turns.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -22,19 +22,20 @@
 use crate::outbound::Outgoing;
 use crate::store::{StoreCall, StorePurpose, host_header};
 
-/// The largest answer to a question, in bytes: a turn with the largest body that callers may send.
-const MAX_PEER_ANSWER_BYTES: usize = 8_388_608;
+/// The largest response of a peer, in bytes: a turn with the largest body that callers may send.
+const MAX_PEER_RESPONSE_BYTES: usize = 8_388_608;
 
-/// A question to a peer.
+/// A call to a peer.
 #[derive(Debug, Clone)]
 pub(crate) struct PeerCall {
     pub(crate) path: &'static str,
     pub(crate) body: Bytes,
-    /// How long the peer may take to answer.
+    /// How long the call may take.
     pub(crate) limit: Duration,
 }
 
-/// Asks a peer; none where no answer comes in time. An answer shows that the peer lives.
+/// Calls a peer; `None` if no valid response arrives in time. Any response marks the peer as
+/// reachable.
 pub(crate) async fn call_peer<T: DeserializeOwned>(
     shared: &Shared,
     peer: SocketAddr,
@@ -51,7 +52,7 @@
             body: call.body,
         };
         let head = connection.exchange(&request).await.ok()?;
-        let body = connection.body(MAX_PEER_ANSWER_BYTES).await.ok()?;
+        let body = connection.body(MAX_PEER_RESPONSE_BYTES).await.ok()?;
         shared.pool.give_back(peer, connection, Instant::now());
         Some((head.status, body))
     };
@@ -60,10 +61,10 @@
     (status == StatusCode::OK).then(|| from_cbor(&body))?
 }
 
-/// Takes peers' calls to the store and makes them once, and answers for parts of budgets and turns.
+/// Relays peers' store calls, once each, and handles calls for budgets and turns.
 ///
-/// A store that turns some processes away serves the others; without this, each of those would
-/// refuse every new program and every turn that needs one from elsewhere.
+/// The store may reject some processes while it serves others. Without the relay, a rejected
+/// process would refuse every new program and every turn whose context it does not have.
 pub(crate) struct PeerHandler {
     pub(crate) shared: Rc<Shared>,
 }
@@ -77,9 +78,9 @@
         Box::pin(async move {
             let target = request.head.uri().path_and_query();
             let target = target.map(ToString::to_string).unwrap_or_default();
-            let answer = handle_budget_call(&self.shared, &target, &request.body).await;
-            let (status, body) = if let Some(answer) = answer {
-                answer
+            let response = handle_budget_call(&self.shared, &target, &request.body).await;
+            let (status, body) = if let Some(response) = response {
+                response
             } else if target == TURN_PATH {
                 gateway_peer_turns::handle_fetch(&self.shared, &request.body)
             } else if platform::store::is_call(&target) {
@@ -89,13 +90,13 @@
                     target,
                     body: request.body.clone(),
                 };
-                let made = self.shared.store.relay_once(&call).await;
-                made.map_or((503, Bytes::new()), |reply| (reply.status, reply.body))
+                let result = self.shared.store.relay_once(&call).await;
+                result.map_or((503, Bytes::new()), |reply| (reply.status, reply.body))
             } else {
                 (404, Bytes::new())
             };
             let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
-            // If this fails, the peer is gone; it makes its call again elsewhere.
+            // A failure means that the peer has disconnected; it repeats its call elsewhere.
             let _ = reply.send_full(status, HeaderMap::new(), body).await;
         })
     }
--- a/clementinepickd/src/gateway_prefetch.rs
+++ b/clementinepickd/src/gateway_prefetch.rs
@@ -1,4 +1,4 @@
-//! Reserves slices of budgets before turns ask for them, so that programs go on while the store is away.
+//! Reserves budget slices before turns need them, so that programs continue during a store outage.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -10,12 +10,12 @@
 use crate::gateway_shared::Shared;
 use crate::ledger_budgets::BudgetRequest;
 
-/// How many programs may wait for a slice; more than wait while the store answers slowly.
+/// The capacity of the queue of programs that wait for a slice.
 pub(crate) const PREFETCH_QUEUE_CAPACITY: usize = 256;
-/// How long the store may take for a slice that nobody waits for yet.
-const AHEAD_LIMIT: Duration = Duration::from_secs(1);
+/// How long the store may take to reserve a slice that no turn waits for yet.
+const PREFETCH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A program that may need its next slice soon.
+/// A request for the next slice of a program.
 #[derive(Debug)]
 pub(crate) struct PrefetchRequest {
     program: String,
@@ -24,12 +24,13 @@
     retention: SpanUs,
 }
 
-/// Asks for the program's next slice, if what is held of it is low and the store is there.
+/// Queues a request for the program's next slice if its remaining tokens are low and the store is
+/// available.
 pub(crate) fn request_prefetch(shared: &Shared, request: &BudgetRequest<'_>) {
     if shared.store.is_unavailable() || !shared.budgets.is_low(request) {
         return;
     }
-    // Where too many wait, the turn that needs the slice reserves it.
+    // If the queue is full, the turn that needs the slice reserves it itself.
     let _ = shared.prefetch.try_send(PrefetchRequest {
         program: request.program.to_owned(),
         budget: request.budget,
@@ -38,22 +39,21 @@
     });
 }
 
-/// Reserves what was asked for, one slice at a time, until the sender is gone.
-pub(crate) async fn run_prefetch(shared: Rc<Shared>, mut asked: mpsc::Receiver<PrefetchRequest>) {
-    while let Some(ask) = asked.recv().await {
+/// Reserves queued slices one at a time until the sender is dropped.
+pub(crate) async fn run_prefetch(shared: Rc<Shared>, mut queue: mpsc::Receiver<PrefetchRequest>) {
+    while let Some(queued) = queue.recv().await {
         let request = BudgetRequest {
-            program: &ask.program,
-            budget: ask.budget,
-            turn: ask.turn,
-            retention: ask.retention,
+            program: &queued.program,
+            budget: queued.budget,
+            turn: queued.turn,
+            retention: queued.retention,
             turn_id: "-",
             previous_id: None,
             keeps_context: false,
             lines: &[],
         };
-        let deadline = Instant::now() + AHEAD_LIMIT;
-        // A budget that is given out and a store that is away are met again, and logged, by the turn
-        // that needs the slice.
+        let deadline = Instant::now() + PREFETCH_TIMEOUT;
+        // Errors are ignored: the turn that needs the slice meets the same error and logs it.
         if let Ok(Some(grant)) = shared.budgets.prefetch_slice(&request, deadline).await {
             log_grant(&shared, &request, grant);
         }
--- a/clementinepickd/src/gateway_reply.rs
+++ b/clementinepickd/src/gateway_reply.rs
@@ -1,4 +1,4 @@
-//! The answer to one request, as it is written to the caller's connection.
+//! Writes the response to one request to the caller's connection.
 
 use std::io;
 
@@ -13,32 +13,32 @@
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio_util::codec::Encoder;
 
-/// The caller's connection broke while the answer was written.
+/// The caller's connection failed while the response was written.
 #[derive(Debug, Error)]
-#[error("the caller is gone: {0}")]
+#[error("caller disconnected while the response was written: {0}")]
 pub(crate) struct CallerDisconnected(#[from] io::Error);
 
-/// How far an answer is.
+/// How much of a response was written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ReplyState {
-    /// Nothing was written.
+    /// Nothing was written yet.
     Open,
-    /// The head was written, and the body is not complete.
+    /// The head was written and the body is not complete.
     Started,
-    /// All was written.
+    /// The response was written in full.
     Complete,
 }
 
-/// Writes one answer.
+/// Writes one response.
 pub(crate) struct Reply<'a> {
     codec: &'a mut Codec,
     write: &'a mut OwnedWriteHalf,
-    /// Whether the connection ends with this answer.
+    /// Whether the connection is closed after this response.
     pub(crate) closes: bool,
-    /// The status that was written.
+    /// The status that was written; 0 before that.
     pub(crate) status: u16,
     state: ReplyState,
-    out: BytesMut,
+    buffer: BytesMut,
 }
 
 impl<'a> Reply<'a> {
@@ -49,7 +49,7 @@
             closes,
             status: 0,
             state: ReplyState::Open,
-            out: BytesMut::new(),
+            buffer: BytesMut::new(),
         }
     }
 
@@ -61,15 +61,15 @@
         &mut self,
         message: Message<(Response<()>, BodySize)>,
     ) -> Result<(), CallerDisconnected> {
-        Ok(self.codec.encode(message, &mut self.out)?)
+        Ok(self.codec.encode(message, &mut self.buffer)?)
     }
 
     async fn flush(&mut self) -> Result<(), CallerDisconnected> {
-        let out = self.out.split();
-        Ok(self.write.write_all(&out).await?)
+        let buffer = self.buffer.split();
+        Ok(self.write.write_all(&buffer).await?)
     }
 
-    fn head(
+    fn encode_head(
         &mut self,
         status: StatusCode,
         headers: HeaderMap,
@@ -87,14 +87,14 @@
         self.encode(Message::Item((response, size)))
     }
 
-    /// Writes a whole answer.
+    /// Writes a response with its full body.
     pub(crate) async fn send_full(
         &mut self,
         status: StatusCode,
         headers: HeaderMap,
         body: Bytes,
     ) -> Result<(), CallerDisconnected> {
-        self.head(status, headers, BodySize::Sized(body.len() as u64))?;
+        self.encode_head(status, headers, BodySize::Sized(body.len() as u64))?;
         if !body.is_empty() {
             self.encode(Message::Chunk(Some(body)))?;
         }
@@ -104,17 +104,17 @@
         Ok(())
     }
 
-    /// Writes the head of an answer whose length is not known yet.
+    /// Writes the head of a response of unknown length.
     pub(crate) async fn send_head(
         &mut self,
         status: StatusCode,
         headers: HeaderMap,
     ) -> Result<(), CallerDisconnected> {
-        self.head(status, headers, BodySize::Stream)?;
+        self.encode_head(status, headers, BodySize::Stream)?;
         self.flush().await
     }
 
-    /// Writes a part of the body.
+    /// Writes a chunk of the body.
     pub(crate) async fn send_chunk(&mut self, bytes: Bytes) -> Result<(), CallerDisconnected> {
         if bytes.is_empty() {
             // An empty chunk would end the body.
@@ -124,7 +124,7 @@
         self.flush().await
     }
 
-    /// Ends the body.
+    /// Ends the body of a response of unknown length.
     pub(crate) async fn finish(&mut self) -> Result<(), CallerDisconnected> {
         self.encode(Message::Chunk(None))?;
         self.flush().await?;
@@ -132,7 +132,7 @@
         Ok(())
     }
 
-    /// Answers in place of a backend server.
+    /// Writes a refusal, in place of a backend server's response.
     pub(crate) async fn send_refusal(
         &mut self,
         answer: RefusalAnswer,
--- a/clementinepickd/src/gateway_request.rs
+++ b/clementinepickd/src/gateway_request.rs
@@ -1,4 +1,5 @@
-//! The way of a request: route, deadline, call or stream, and the answer to what can't be served.
+//! Handles callers' requests: finds the route and the deadline, runs the call or stream, and
+//! refuses what cannot be served.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -24,12 +25,12 @@
 use crate::gateway_trace::Trace;
 use crate::link::duration;
 
-/// The outcome in metrics of requests that went well.
+/// The outcome in metrics of successful requests.
 const SERVED: &str = "served";
-/// The outcome of requests whose callers left, because they gave up or lost their connection.
+/// The outcome in metrics and logs of requests whose callers disconnected.
 const CALLER_LEFT: &str = "caller_left";
 
-/// Takes callers' requests.
+/// Handles callers' requests.
 pub(crate) struct CallerHandler {
     pub(crate) shared: Rc<Shared>,
 }
@@ -51,16 +52,16 @@
                 trace.add_field("previous", previous);
             }
             let id = id.as_deref().unwrap_or("-");
-            let mut leaving = Leaving {
+            let mut disconnect_guard = DisconnectGuard {
                 handler: self,
                 request,
                 id,
                 trace: &trace,
-                is_over: false,
+                is_finished: false,
             };
             let outcome = serve(&self.shared, request, info, &trace, reply).await;
-            leaving.is_over = !matches!(outcome, Err(CallerDisconnected { .. }));
-            drop(leaving);
+            disconnect_guard.is_finished = !matches!(outcome, Err(CallerDisconnected { .. }));
+            drop(disconnect_guard);
             match outcome {
                 Ok(Ok(())) => {
                     let took = request.arrived.elapsed();
@@ -77,28 +78,28 @@
                     let took = request.arrived.elapsed();
                     let code = refusal.answer().code;
                     self.shared.metrics.count(trace.kind.get(), code, took);
-                    self.refuse(refusal, id, reply).await;
+                    self.write_refusal(refusal, id, reply).await;
                 }
-                // `Leaving` has logged it.
+                // `DisconnectGuard` has logged it.
                 Err(CallerDisconnected { .. }) => {}
             }
         })
     }
 }
 
-/// Logs a request whose caller leaves before its answer is complete; the request is dropped then,
-/// wherever it is.
-struct Leaving<'a> {
+/// Logs and counts a request that is dropped because its caller disconnected before the response
+/// was complete.
+struct DisconnectGuard<'a> {
     handler: &'a CallerHandler,
     request: &'a ReceivedRequest<'a>,
     id: &'a str,
     trace: &'a Trace,
-    is_over: bool,
+    is_finished: bool,
 }
 
-impl Drop for Leaving<'_> {
+impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
-        if self.is_over {
+        if self.is_finished {
             return;
         }
         let kind = self.trace.kind.get();
@@ -112,13 +113,13 @@
 }
 
 impl CallerHandler {
-    async fn refuse(&self, refusal: Refusal, id: &str, reply: &mut Reply<'_>) {
+    async fn write_refusal(&self, refusal: Refusal, id: &str, reply: &mut Reply<'_>) {
         if reply.state() == ReplyState::Open {
-            // If this fails, the caller is gone.
+            // A failure to write means that the caller has disconnected.
             let mut answer = refusal.answer();
             if refusal == Refusal::LedgerAway {
-                let away = self.shared.store.unavailable_for(Instant::now());
-                answer.retry_after_us = Some(ledger_retry(span(away)));
+                let outage = self.shared.store.unavailable_for(Instant::now());
+                answer.retry_after_us = Some(ledger_retry(to_span(outage)));
             }
             let _ = reply.send_refusal(answer, Some(id)).await;
         }
@@ -161,20 +162,20 @@
     let Some(info) = info else {
         return Ok(Err(Refusal::Malformed));
     };
-    let job = match job(&config, request, &info) {
-        Ok(job) => job,
+    let routed = match route_request(&config, request, &info) {
+        Ok(routed) => routed,
         Err(refusal) => return Ok(Err(refusal)),
     };
-    let is_streaming = job.route.kind == RequestKind::Streaming;
+    let is_streaming = routed.route.kind == RequestKind::Streaming;
     trace.kind.set(if is_streaming { TURN } else { CALL });
     let work = async {
         if is_streaming {
-            gateway_stream::run(shared, &job, trace, reply).await
+            gateway_stream::run(shared, &routed, trace, reply).await
         } else {
-            gateway_call::run(shared, &job, trace, reply).await
+            gateway_call::run(shared, &routed, trace, reply).await
         }
     };
-    let outcome = timeout_at(job.deadline.into(), work).await;
+    let outcome = timeout_at(routed.deadline.into(), work).await;
     outcome.unwrap_or_else(|_| {
         let may_have_run = trace.may_have_run.get();
         Ok(Err(if may_have_run {
@@ -185,11 +186,11 @@
     })
 }
 
-fn span(duration: Duration) -> SpanUs {
+fn to_span(duration: Duration) -> SpanUs {
     SpanUs(u64::try_from(duration.as_micros()).unwrap_or(u64::MAX))
 }
 
-fn job<'a>(
+fn route_request<'a>(
     config: &'a TrafficConfig,
     request: &'a ReceivedRequest<'a>,
     info: &'a RequestInfo,
@@ -210,7 +211,7 @@
     })
 }
 
-/// Says whether this process takes requests.
+/// Reports whether this process is ready for requests.
 pub(crate) struct ReadyHandler {
     pub(crate) shared: Rc<Shared>,
 }
@@ -222,14 +223,14 @@
         reply: &'a mut Reply<'_>,
     ) -> Pin<Box<dyn Future<Output = ()> + 'a>> {
         Box::pin(async move {
-            let is_known = request.head.uri().path() == platform::READY_PATH;
-            let status = match (is_known, self.shared.is_ready(Instant::now())) {
+            let is_ready_path = request.head.uri().path() == platform::READY_PATH;
+            let status = match (is_ready_path, self.shared.is_ready(Instant::now())) {
                 (false, _) => StatusCode::NOT_FOUND,
                 (true, true) => StatusCode::OK,
                 (true, false) => StatusCode::SERVICE_UNAVAILABLE,
             };
             let headers = actix_http::header::HeaderMap::new();
-            // If this fails, whoever asked is gone.
+            // A failure means that the client has disconnected.
             let _ = reply.send_full(status, headers, Bytes::new()).await;
         })
     }
--- a/clementinepickd/src/gateway_settings.rs
+++ b/clementinepickd/src/gateway_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a gateway, as code or from an INI file.
+//! Defines a gateway's settings and reads them from an INI file.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -19,40 +19,41 @@
     pub vm: VmId,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// How much is logged.
+    /// The minimum level of log lines.
     pub log_level: LogLevel,
-    /// One in so many requests that went well is logged; those that did not always are. At 110,000
-    /// requests a second over 2,500 processes, one in 64 is under one line a second for each.
+    /// One in this many successful requests is logged; failed ones always are. At 110,000 requests
+    /// a second over 2,500 processes, the default is less than one line a second for each process.
     pub log_every: u64,
-    /// Where callers connect.
+    /// The address for callers' requests.
     pub callers: SocketAddr,
-    /// Where the platform asks whether the process takes requests.
+    /// The address of the platform's readiness check.
     pub ready: SocketAddr,
-    /// Where peers ask for calls to the store.
+    /// The address for peers: budget reservations, turns and relayed store calls.
     pub peers: SocketAddr,
-    /// Where metrics and the state dump are served, if at all.
+    /// The address of metrics and the state dump, if enabled.
     pub metrics: Option<SocketAddr>,
-    /// The platform's store.
+    /// The address of the platform's store.
     pub store: SocketAddr,
-    /// Peers that may be there at the start.
+    /// Peers to relay store calls through before the registered peers are read.
     pub seeds: Vec<SocketAddr>,
-    /// The shape of the ledger.
+    /// The layout and limits of the ledger.
     pub ledger: LedgerSettings,
-    /// How many bytes of request bodies are held at once; requests beyond are refused unread. Bodies
-    /// are the only thing in memory that callers choose the size of.
+    /// The maximum number of bytes of request bodies in memory; requests beyond it are refused
+    /// without reading their bodies. Callers choose the size of nothing else in memory.
     pub body_limit_bytes: usize,
-    /// How long callers are still accepted after the signal to end, so that the balancer can notice
-    /// that the process is not ready: two of its looks, a second apart, and a half.
+    /// How long callers are still accepted after the stop signal, so that the balancer can see that
+    /// the process is not ready. The default covers two of its checks, which are a second apart.
     pub drain_delay: Duration,
-    /// How long after the signal the process ends, whatever still runs; under the platform's limit.
+    /// How long after the stop signal the process ends at the latest, even with running requests;
+    /// shorter than the platform's limit.
     pub shutdown_limit: Duration,
 }
 
 impl Default for GatewaySettings {
     fn default() -> Self {
         Self {
-            vm: VmId::try_from("gateway".to_owned()).expect("a name"),
-            zone: ZoneName::try_from("zone".to_owned()).expect("a name"),
+            vm: VmId::try_from("gateway".to_owned()).expect("the default name is valid"),
+            zone: ZoneName::try_from("zone".to_owned()).expect("the default name is valid"),
             log_level: LogLevel::default(),
             log_every: 64,
             callers: ANY_PORT,
@@ -73,7 +74,7 @@
 ///
 /// # Errors
 ///
-/// The section and key at fault.
+/// Returns an error that names the section and the key.
 pub(crate) fn read(source: &mut Source<'_>) -> Result<GatewaySettings, SettingsError> {
     let mut settings = GatewaySettings {
         vm: source.need("process", "vm")?,
@@ -89,12 +90,14 @@
     source.set("process", "log_level", &mut settings.log_level)?;
     source.set("process", "log_every", &mut settings.log_every)?;
     source.set("store", "partitions", &mut settings.ledger.partitions)?;
-    settings.body_limit_bytes = bytes(source, "limits", "bodies", settings.body_limit_bytes)?;
-    settings.ledger.record_bytes = bytes(source, "store", "record", settings.ledger.record_bytes)?;
-    settings.ledger.call_bytes = bytes(source, "store", "call", settings.ledger.call_bytes)?;
-    settings.ledger.cache_bytes = bytes(source, "store", "cache", settings.ledger.cache_bytes)?;
-    settings.drain_delay = span(source, "notice", settings.drain_delay)?;
-    settings.shutdown_limit = span(source, "limit", settings.shutdown_limit)?;
+    settings.body_limit_bytes = read_bytes(source, "limits", "bodies", settings.body_limit_bytes)?;
+    settings.ledger.record_bytes =
+        read_bytes(source, "store", "record", settings.ledger.record_bytes)?;
+    settings.ledger.call_bytes = read_bytes(source, "store", "call", settings.ledger.call_bytes)?;
+    settings.ledger.cache_bytes =
+        read_bytes(source, "store", "cache", settings.ledger.cache_bytes)?;
+    settings.drain_delay = read_duration(source, "notice", settings.drain_delay)?;
+    settings.shutdown_limit = read_duration(source, "limit", settings.shutdown_limit)?;
     if settings.drain_delay >= settings.shutdown_limit {
         return Err(source.wrong("shutdown", "notice", "must be shorter than `limit`"));
     }
@@ -116,13 +119,19 @@
         .filter(|seed| !seed.is_empty());
     seeds
         .map(|seed| {
-            let bad = || source.wrong("peers", "seeds", format!("`{seed}` is no address"));
-            seed.parse().map_err(|_| bad())
+            let invalid = || {
+                source.wrong(
+                    "peers",
+                    "seeds",
+                    format!("`{seed}` is not a socket address"),
+                )
+            };
+            seed.parse().map_err(|_| invalid())
         })
         .collect()
 }
 
-fn bytes(
+fn read_bytes(
     source: &mut Source<'_>,
     section: &'static str,
     key: &'static str,
@@ -134,7 +143,7 @@
     }))
 }
 
-fn span(
+fn read_duration(
     source: &mut Source<'_>,
     key: &'static str,
     default: Duration,
--- a/clementinepickd/src/gateway_shared.rs
+++ b/clementinepickd/src/gateway_shared.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a gateway's traffic thread share, and what they may use of it.
+//! Holds the state that the tasks of a gateway's traffic thread share.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -31,44 +31,46 @@
 use crate::steady_clock::SteadyClock;
 use crate::store::StoreClient;
 
-/// A process whose lists are older than this does not say that it is ready: it would send requests
-/// to servers that have left and refuse new programs, while another process may know better.
-const MAX_LIST_AGE: Duration = Duration::from_secs(3);
-/// The share of requests that may be sent again. Troubles of the users' sheets spoil up to 5 in 100
-/// answers of 6 servers in 10; more failures than that mean that a service fails as a whole.
+/// The maximum age of the configuration and the server list of a ready process. With older ones, it
+/// would send requests to servers that have left and refuse new programs, although another process
+/// may have newer ones.
+const MAX_DIRECTORY_AGE: Duration = Duration::from_secs(3);
+/// The percentage of requests that may be retried. Faults of single servers affect fewer responses
+/// than this; more failures mean that a service fails as a whole, which retries would only load
+/// further.
 const RETRY_PERCENT: u8 = 20;
 
-/// What the tasks of the traffic thread share.
+/// The state that the tasks of the traffic thread share.
 pub(crate) struct Shared {
     pub(crate) store: Rc<StoreClient>,
     pub(crate) ledger: Rc<LedgerStore>,
     pub(crate) budgets: Rc<Budgets>,
     pub(crate) homes: Homes,
     pub(crate) turns: Turns,
-    /// Programs that may need their next slice soon.
+    /// Requests for slices that programs may need soon.
     pub(crate) prefetch: mpsc::Sender<PrefetchRequest>,
-    /// Where peers reach this process.
+    /// The address at which peers reach this process.
     pub(crate) peer_address: SocketAddr,
     pub(crate) pool: Pool,
     pub(crate) choice: RefCell<ServerChoice>,
     pub(crate) metrics: Arc<GatewayMetrics>,
     retries: RefCell<BTreeMap<String, RetryBudget>>,
-    /// The bytes of request bodies that are held.
-    body_bytes: Cell<usize>,
+    /// The bytes of request bodies in memory.
+    reserved_body_bytes: Cell<usize>,
     body_limit_bytes: usize,
     directory: watch::Receiver<Directory>,
     logger: Logger,
     log_every: u64,
     clock: SteadyClock,
-    running: Cell<usize>,
-    /// The connections to this process that are open.
-    open: Cell<usize>,
+    request_count: Cell<usize>,
+    /// The number of open connections to this process.
+    connection_count: Cell<usize>,
     is_draining: Cell<bool>,
     is_closing: Cell<bool>,
     closing: Notify,
 }
 
-/// Counts a request as running, or a connection as open, until it is dropped.
+/// Counts a request as running, or a connection as open, until dropped.
 pub(crate) struct CountGuard<'a>(&'a Cell<usize>);
 
 impl Drop for CountGuard<'_> {
@@ -77,33 +79,33 @@
     }
 }
 
-fn count(counter: &Cell<usize>) -> CountGuard<'_> {
+fn increment(counter: &Cell<usize>) -> CountGuard<'_> {
     counter.set(counter.get() + 1);
     CountGuard(counter)
 }
 
-/// Bytes of a request's body that count as held until it is dropped.
+/// Counts the bytes of a request's body as in memory until dropped.
 pub(crate) struct BodyReservation<'a> {
-    held: &'a Cell<usize>,
+    reserved: &'a Cell<usize>,
     bytes: usize,
 }
 
 impl Drop for BodyReservation<'_> {
     fn drop(&mut self) {
-        self.held.set(self.held.get() - self.bytes);
+        self.reserved.set(self.reserved.get() - self.bytes);
     }
 }
 
-/// What tasks of their own work off.
+/// The queues that background tasks process.
 pub(crate) struct BackgroundQueues {
-    /// Tokens to return to peers.
+    /// Tokens to return to the peers that lent them.
     pub(crate) returned: mpsc::Receiver<TokenReturn>,
-    /// Slices to reserve before they are needed.
+    /// Slices to reserve before turns need them.
     pub(crate) prefetch: mpsc::Receiver<PrefetchRequest>,
 }
 
 impl Shared {
-    /// The state of a gateway that has just started, and what it leaves to tasks of their own.
+    /// Creates the state of a starting gateway and the queues of its background tasks.
     pub(crate) fn new(
         settings: &GatewaySettings,
         directory: watch::Receiver<Directory>,
@@ -132,14 +134,14 @@
             choice: RefCell::default(),
             metrics,
             retries: RefCell::default(),
-            body_bytes: Cell::new(0),
+            reserved_body_bytes: Cell::new(0),
             body_limit_bytes: settings.body_limit_bytes,
             directory,
             logger,
             log_every: settings.log_every,
             clock: SteadyClock::starting_at(Instant::now()),
-            running: Cell::new(0),
-            open: Cell::new(0),
+            request_count: Cell::new(0),
+            connection_count: Cell::new(0),
             is_draining: Cell::new(false),
             is_closing: Cell::new(false),
             closing: Notify::new(),
@@ -175,42 +177,42 @@
         self.clock.at(now)
     }
 
-    /// Passes a server over for a while.
+    /// Records a failure of a server, so that it is avoided for a while.
     pub(crate) fn record_failure(&self, server: &str) {
         let now = self.now_us(Instant::now());
         self.choice.borrow_mut().failed(now, server);
     }
 
-    /// Notes that a server refused a request without running it.
+    /// Records that a server rejected a request without running it.
     pub(crate) fn record_refusal(&self, server: &str, is_another: bool) {
         let now = self.now_us(Instant::now());
         self.choice.borrow_mut().refused(now, server, is_another);
     }
 
-    /// From now on this process is not ready, and each answer ends its connection.
+    /// Makes this process report not ready and close each connection after its next response.
     pub(crate) fn start_draining(&self) {
         self.is_draining.set(true);
     }
 
-    /// From now on connections are closed as soon as no request runs on them.
+    /// Closes connections as soon as no request runs on them.
     pub(crate) fn close_idle_connections(&self) {
         self.is_closing.set(true);
         self.closing.notify_waiters();
     }
 
-    /// How many connections to this process are open.
+    /// Returns the number of open connections to this process.
     pub(crate) fn open_connections(&self) -> usize {
-        self.open.get()
+        self.connection_count.get()
     }
 
-    /// Counts a connection as open.
+    /// Counts a connection as open until the guard is dropped.
     pub(crate) fn open_connection(&self) -> CountGuard<'_> {
-        count(&self.open)
+        increment(&self.connection_count)
     }
 
-    /// How many requests run.
+    /// Returns the number of running requests.
     pub(crate) fn running_requests(&self) -> usize {
-        self.running.get()
+        self.request_count.get()
     }
 
     pub(crate) fn is_draining(&self) -> bool {
@@ -221,12 +223,13 @@
         let directory = self.directory.borrow();
         let is_fresh = directory
             .read_at()
-            .is_some_and(|at| now.saturating_duration_since(at) < MAX_LIST_AGE);
+            .is_some_and(|at| now.saturating_duration_since(at) < MAX_DIRECTORY_AGE);
         !self.is_draining() && directory.config.is_some() && is_fresh
     }
 
-    /// How many connections this process may have to one server of a service, so that all processes
-    /// together stay under what the server accepts; it resets those beyond.
+    /// Returns how many connections this process may open to one server of a service. Its share of
+    /// the server's limit keeps all processes together below it; the server resets connections
+    /// beyond it.
     pub(crate) fn connection_limit(&self, service: &str) -> u32 {
         let directory = self.directory.borrow();
         let config = directory.config.as_ref();
@@ -235,14 +238,14 @@
         service.map_or(u32::MAX, |s| (s.max_connections / processes).max(1))
     }
 
-    /// Notes a request for a service; each earns a part of a retry.
+    /// Adds one request's share to the retry budget of a service.
     pub(crate) fn deposit_retry(&self, service: &str) {
         let mut retries = self.retries.borrow_mut();
         let budget = retries.entry(service.to_owned()).or_default();
         budget.on_call(Percent::new(RETRY_PERCENT).unwrap_or_default());
     }
 
-    /// Whether a request for a service may be sent again.
+    /// Takes a retry from the budget of a service; returns false if it is empty.
     pub(crate) fn withdraw_retry(&self, service: &str, kind: &'static str) -> bool {
         let mut retries = self.retries.borrow_mut();
         let may_retry = retries.entry(service.to_owned()).or_default().take();
@@ -252,24 +255,24 @@
         may_retry
     }
 
-    /// Holds `bytes` of a request's body until dropped; none when too much is held already.
+    /// Reserves memory for a request's body until dropped; `None` if the limit would be exceeded.
     pub(crate) fn reserve_body(&self, bytes: usize) -> Option<BodyReservation<'_>> {
-        let held = self.body_bytes.get() + bytes;
-        if held > self.body_limit_bytes {
+        let reserved = self.reserved_body_bytes.get() + bytes;
+        if reserved > self.body_limit_bytes {
             return None;
         }
-        self.body_bytes.set(held);
+        self.reserved_body_bytes.set(reserved);
         Some(BodyReservation {
-            held: &self.body_bytes,
+            reserved: &self.reserved_body_bytes,
             bytes,
         })
     }
 
     pub(crate) fn start_request(&self) -> CountGuard<'_> {
-        count(&self.running)
+        increment(&self.request_count)
     }
 
-    /// Returns when idle connections are to be closed.
+    /// Returns once idle connections are to be closed.
     pub(crate) async fn wait_for_close(&self) {
         while !self.is_closing.get() {
             self.closing.notified().await;
@@ -280,7 +283,8 @@
         write_event(&self.logger, event);
     }
 
-    /// Whether the success of the request with this id is logged; all processes pick the same.
+    /// Returns whether the success of this request is logged; all processes choose the same
+    /// requests.
     pub(crate) fn is_sampled(&self, id: &str) -> bool {
         let every = self.log_every.max(1);
         xxh3_64(id.as_bytes()).is_multiple_of(every)
--- a/clementinepickd/src/gateway_stream.rs
+++ b/clementinepickd/src/gateway_stream.rs
@@ -1,4 +1,5 @@
-//! Turns of programs: event streams, with budget, context and resumption.
+//! Runs turns of programs: event streams with a budget, kept context and resumption at another
+//! server.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -29,36 +30,37 @@
 use crate::link::duration;
 use crate::unix_time::unix_ms;
 
-/// The most tokens of a turn that names none; a turn without a maximum counts as a large one.
+/// The maximum of a turn that names none; it counts as a large turn.
 const DEFAULT_TURN_TOKENS: Tokens = Tokens(1_024);
-/// The largest answer of an engine that is no stream, in bytes.
-const MAX_FAILURE_BYTES: usize = 65_536;
-/// A resumable stream that is silent for this many times the pause that callers accept goes on at
-/// another server. An engine that preempts a request is silent for about one pause.
-const PATIENCE_GAPS: u32 = 2;
-/// The least patience for the first event, which waits for a place and the reading of the prompt.
-const MIN_FIRST_PATIENCE: Duration = Duration::from_millis(1_200);
+/// The largest response of an engine that is no event stream, in bytes.
+const MAX_ERROR_BODY_BYTES: usize = 65_536;
+/// A resumable stream without an event for this many times the route's gap target is resumed at
+/// another server. An engine that preempts a request pauses for about one gap.
+const IDLE_TIMEOUT_GAPS: u32 = 2;
+/// The minimum timeout for the first event, which waits for a free slot and for the prompt to be
+/// read.
+const MIN_FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// The name of turns in metrics.
+/// The kind of turns in metrics.
 pub(crate) const TURN: &str = "turn";
 
-/// What the caller has of a stream so far.
+/// The part of a stream that was delivered to the caller.
 #[derive(Default)]
 struct Delivered {
     last_event_id: Option<u64>,
     output: BytesMut,
 }
 
-/// Runs a turn and answers the caller.
+/// Runs a turn and sends its events to the caller.
 pub(crate) async fn run(
     shared: &Rc<Shared>,
-    job: &RoutedRequest<'_>,
+    routed: &RoutedRequest<'_>,
     trace: &Trace,
     reply: &mut Reply<'_>,
 ) -> Result<Result<(), Refusal>, CallerDisconnected> {
-    let deadline = ledger_deadline(job);
+    let deadline = store_deadline(routed);
     let (hold, previous_at, line_server) =
-        match reserve(shared, job, trace, most_tokens(job), deadline).await {
+        match reserve(shared, routed, trace, max_turn_tokens(routed), deadline).await {
             Ok(Some(reserved)) => (
                 Some(reserved.hold),
                 reserved.previous_at,
@@ -67,18 +69,18 @@
             Ok(None) => (None, None, None),
             Err(refusal) => return Ok(Err(refusal)),
         };
-    let previous = match previous_turn(shared, job, previous_at, deadline).await {
+    let previous = match find_previous_turn(shared, routed, previous_at, deadline).await {
         Ok(previous) => previous,
         Err(refusal) => return Ok(Err(refusal)),
     };
     trace.record_admitted(Instant::now());
     let mut stream = TurnStream {
         shared,
-        job,
+        routed,
         trace,
-        covered: hold.as_ref().map_or(Tokens(0), BudgetHold::reserved_tokens),
+        reserved_total: hold.as_ref().map_or(Tokens(0), BudgetHold::reserved_tokens),
         hold,
-        body: prompt(previous.as_ref(), &job.received.body),
+        body: prompt(previous.as_ref(), &routed.received.body),
         last_server: previous
             .as_ref()
             .and_then(|turn| turn.server.clone())
@@ -87,7 +89,7 @@
         server: None,
         is_out_of_budget: false,
         delivered: Delivered {
-            last_event_id: job.info.last_event_id,
+            last_event_id: routed.info.last_event_id,
             output: BytesMut::new(),
         },
     };
@@ -98,13 +100,13 @@
     if reply.state() == ReplyState::Started {
         if Safeguard::RecordBeforeEnd.is_left_out() {
             reply.finish().await?;
-            // Nobody waits for it.
+            // The result is ignored, because the caller already has the end.
             let _ = stream.record().await;
             return Ok(Ok(()));
         }
-        if job.route.keeps_context && !stream.record().await {
-            // The end is withheld: a caller that saw it could continue from a turn that a loss of
-            // this process would lose.
+        if routed.route.keeps_context && !stream.record().await {
+            // The end is withheld: a caller that saw it could continue from a turn that is lost
+            // with this process.
             return Ok(Err(Refusal::LedgerAway));
         }
         reply.finish().await?;
@@ -112,25 +114,25 @@
     Ok(Ok(()))
 }
 
-/// The turn that a turn continues from; `ran_at` is the peer that ran it, if that is known.
-async fn previous_turn(
+/// Finds the turn that this one continues from; `ran_at` is the peer that ran it, if known.
+async fn find_previous_turn(
     shared: &Rc<Shared>,
-    job: &RoutedRequest<'_>,
+    routed: &RoutedRequest<'_>,
     ran_at: Option<SocketAddr>,
     deadline: Instant,
 ) -> Result<Option<Arc<Turn>>, Refusal> {
-    let Some(id) = job.info.previous_turn.as_ref() else {
+    let Some(id) = routed.info.previous_turn.as_ref() else {
         return Ok(None);
     };
-    if !job.route.keeps_context {
+    if !routed.route.keeps_context {
         return Ok(None);
     }
     let fetch = async |id: &str| gateway_peer_turns::fetch(shared, ran_at?, id).await;
     let found = shared.turns.get(id, deadline, fetch).await;
-    let found = found.map_err(|err| refusal_of(&err))?;
+    let found = found.map_err(|err| to_refusal(&err))?;
     if found.records_read > 0 {
         let event = Event::new(EventKind::TurnsRead)
-            .with("request", &job.info.id)
+            .with("request", &routed.info.id)
             .with("previous", id)
             .with("records", found.records_read);
         shared.log(&event);
@@ -140,24 +142,28 @@
 
 async fn reserve(
     shared: &Rc<Shared>,
-    job: &RoutedRequest<'_>,
+    routed: &RoutedRequest<'_>,
     trace: &Trace,
     tokens: Tokens,
     deadline: Instant,
 ) -> Result<Option<Reserved>, Refusal> {
-    let (Some(program), Some(budget)) = (&job.info.program, job.info.budget_tokens) else {
+    let (Some(program), Some(budget)) = (&routed.info.program, routed.info.budget_tokens) else {
         return Ok(None);
     };
-    let keeps_context = job.route.keeps_context;
+    let keeps_context = routed.route.keeps_context;
     let request = BudgetRequest {
         program,
         budget: Tokens(budget),
         turn: tokens,
-        retention: job.route.retention_us,
-        turn_id: &job.info.id,
-        previous_id: job.info.previous_turn.as_deref().filter(|_| keeps_context),
+        retention: routed.route.retention_us,
+        turn_id: &routed.info.id,
+        previous_id: routed
+            .info
+            .previous_turn
+            .as_deref()
+            .filter(|_| keeps_context),
         keeps_context,
-        lines: job.info.parts.get(1..).unwrap_or_default(),
+        lines: routed.info.parts.get(1..).unwrap_or_default(),
     };
     match gateway_budget::reserve(shared, trace, &request, deadline).await {
         Ok(reserved) => Ok(Some(reserved)),
@@ -166,25 +172,25 @@
                 trace.add_field("budget", &request.budget);
                 trace.add_field("reserved", reserved);
             }
-            Err(refusal_of(&err))
+            Err(to_refusal(&err))
         }
     }
 }
 
-/// What the turn generates at most.
-fn most_tokens(job: &RoutedRequest<'_>) -> Tokens {
-    job.info.most_tokens.map_or(DEFAULT_TURN_TOKENS, Tokens)
+/// Returns the maximum number of tokens that the turn generates.
+fn max_turn_tokens(routed: &RoutedRequest<'_>) -> Tokens {
+    routed.info.most_tokens.map_or(DEFAULT_TURN_TOKENS, Tokens)
 }
 
-/// Until when the store is waited for before a request is refused. A caller that comes back is
-/// served by whichever process the store answers, so that waiting for longer than a try and a
-/// repeat takes gains nothing.
-fn ledger_deadline(job: &RoutedRequest<'_>) -> Instant {
-    const LEDGER_PATIENCE: Duration = Duration::from_millis(1_200);
-    job.deadline.min(Instant::now() + LEDGER_PATIENCE)
+/// Returns the deadline of store calls, after which the request is refused. Waiting for longer than
+/// an attempt and a repeat take gains nothing, because a caller that repeats its request is served
+/// by any process that reaches the store.
+fn store_deadline(routed: &RoutedRequest<'_>) -> Instant {
+    const STORE_TIMEOUT: Duration = Duration::from_millis(1_200);
+    routed.deadline.min(Instant::now() + STORE_TIMEOUT)
 }
 
-fn refusal_of(err: &LedgerError) -> Refusal {
+fn to_refusal(err: &LedgerError) -> Refusal {
     match err {
         LedgerError::Unavailable => Refusal::LedgerAway,
         LedgerError::Spent { .. } => Refusal::BudgetSpent,
@@ -194,36 +200,36 @@
 
 struct TurnStream<'a, 'j> {
     shared: &'a Rc<Shared>,
-    job: &'a RoutedRequest<'j>,
+    routed: &'a RoutedRequest<'j>,
     trace: &'a Trace,
     hold: Option<BudgetHold>,
-    /// How much was set aside for the turn in all.
-    covered: Tokens,
+    /// The total number of tokens reserved for the turn.
+    reserved_total: Tokens,
     previous: Option<Arc<Turn>>,
-    /// The server that ran the turn before, as far as it is known.
+    /// The server that ran the previous turn, if known.
     last_server: Option<String>,
-    /// The server of the last run.
+    /// The server of the current attempt.
     server: Option<String>,
-    /// Whether the budget that is set aside is used up, and no more can be had now.
+    /// Whether the reserved tokens are used up and no more can be reserved now.
     is_out_of_budget: bool,
     body: Bytes,
     delivered: Delivered,
 }
 
 impl TurnStream<'_, '_> {
-    /// Records the turn; false when the store did not take the record in time.
+    /// Records the turn; returns false if the store did not take the record in time.
     async fn record(self) -> bool {
         let turn = Turn {
-            id: self.job.info.id.clone(),
+            id: self.routed.info.id.clone(),
             parent: self.previous,
             server: self.server,
-            input: self.job.received.body.clone(),
+            input: self.routed.received.body.clone(),
             output: self.delivered.output.freeze(),
             recorded_unix_ms: unix_ms(),
         };
-        let retention = self.job.route.retention_us;
+        let retention = self.routed.route.retention_us;
         let turns = &self.shared.turns;
-        let recorded = turns.record(turn, retention, self.job.deadline);
+        let recorded = turns.record(turn, retention, self.routed.deadline);
         recorded.await.is_ok()
     }
 
@@ -231,14 +237,14 @@
         &mut self,
         reply: &mut Reply<'_>,
     ) -> Result<Result<(), Refusal>, CallerDisconnected> {
-        let may_repeat = self.job.route.is_resumable;
-        let mut attempts = Attempts::new(self.shared, self.job, self.trace, may_repeat);
+        let may_repeat = self.routed.route.is_resumable;
+        let mut attempts = Attempts::new(self.shared, self.routed, self.trace, may_repeat);
         while let Some(slot) = attempts.next_slot(self.last_server.as_deref()) {
             self.record_placement(&slot.server.id);
             match self.run_once(slot, reply).await? {
                 Ok(()) => return Ok(Ok(())),
                 Err(_) if self.is_out_of_budget => return Ok(Err(Refusal::LedgerAway)),
-                Err(end) => attempts.record_error(end),
+                Err(error) => attempts.record_error(error),
             }
         }
         Ok(Err(attempts.refusal()))
@@ -246,14 +252,15 @@
 
     fn record_placement(&mut self, server: &str) {
         self.server = Some(server.to_owned());
-        let info = self.job.info;
+        let info = self.routed.info;
         let line = info.parts.get(1..).and_then(<[PromptPart]>::last);
         if let (Some(hold), Some(program), Some(line)) = (&mut self.hold, &info.program, line) {
             gateway_budget::record_placement(self.shared, hold, program, &line.id, server);
         }
     }
 
-    /// One run at one server; done when the stream, or a failure of the server's own, was passed on.
+    /// Runs the turn at one server. Succeeds once the stream, or an error response of the server,
+    /// was delivered.
     async fn run_once(
         &mut self,
         slot: ServerSlot,
@@ -261,60 +268,60 @@
     ) -> Result<Result<(), AttemptError>, CallerDisconnected> {
         let body = self.body.clone();
         let last_event_id = self.delivered.last_event_id;
-        let patience = self.first_patience();
-        let sent = self
-            .job
-            .send_with_timeout(patience, self.shared, slot, body, last_event_id);
-        let answering = match sent.await {
-            Ok(answering) => answering,
-            Err(end) => return Ok(Err(end)),
+        let event_timeout = self.first_event_timeout();
+        let sent =
+            self.routed
+                .send_with_timeout(event_timeout, self.shared, slot, body, last_event_id);
+        let response = match sent.await {
+            Ok(response) => response,
+            Err(error) => return Ok(Err(error)),
         };
-        if answering.head.status != StatusCode::OK {
-            return self.deliver_failure(answering, reply).await;
+        if response.head.status != StatusCode::OK {
+            return self.deliver_error_response(response, reply).await;
         }
         if reply.state() == ReplyState::Open {
-            let headers = platform::answer::forwarded(&answering.head.headers);
+            let headers = platform::answer::forwarded(&response.head.headers);
             reply.send_head(StatusCode::OK, headers).await?;
             self.trace.status.set(StatusCode::OK.as_u16());
         }
-        self.deliver_events(answering, reply).await
+        self.deliver_events(response, reply).await
     }
 
-    /// Passes on an engine's own failure, or ends a stream that is under way.
-    async fn deliver_failure(
+    /// Delivers an engine's error response, unless events were delivered before.
+    async fn deliver_error_response(
         &mut self,
-        mut answering: ServerResponse,
+        mut response: ServerResponse,
         reply: &mut Reply<'_>,
     ) -> Result<Result<(), AttemptError>, CallerDisconnected> {
         if reply.state() != ReplyState::Open {
             return Ok(Err(AttemptError::ResponseLost));
         }
-        let Ok(body) = answering.connection.body(MAX_FAILURE_BYTES).await else {
+        let Ok(body) = response.connection.body(MAX_ERROR_BODY_BYTES).await else {
             return Ok(Err(AttemptError::ResponseLost));
         };
-        let headers = platform::answer::forwarded(&answering.head.headers);
-        let status = answering.head.status;
-        answering.release_connection(self.shared);
+        let headers = platform::answer::forwarded(&response.head.headers);
+        let status = response.head.status;
+        response.release_connection(self.shared);
         reply.send_full(status, headers, body).await?;
         Ok(Ok(()))
     }
 
     async fn deliver_events(
         &mut self,
-        mut answering: ServerResponse,
+        mut response: ServerResponse,
         reply: &mut Reply<'_>,
     ) -> Result<Result<(), AttemptError>, CallerDisconnected> {
         let mut splitter = EventSplitter::default();
-        let mut patience = self.first_patience();
+        let mut event_timeout = self.first_event_timeout();
         loop {
-            let chunk = match timeout(patience, answering.connection.chunk()).await {
+            let chunk = match timeout(event_timeout, response.connection.chunk()).await {
                 Ok(Ok(Some(chunk))) => chunk,
                 Ok(Ok(None)) if splitter.is_empty() => {
-                    answering.release_connection(self.shared);
+                    response.release_connection(self.shared);
                     return Ok(Ok(()));
                 }
                 Ok(Ok(None) | Err(_)) | Err(_) => {
-                    answering.slot.record_failure();
+                    response.slot.record_failure();
                     return Ok(Err(AttemptError::ResponseLost));
                 }
             };
@@ -323,34 +330,35 @@
                 return Ok(Err(AttemptError::ResponseLost));
             }
             while let Some(event) = splitter.next_event() {
-                if !self.cover_event().await {
+                if !self.reserve_for_event().await {
                     self.is_out_of_budget = true;
                     return Ok(Err(AttemptError::ResponseLost));
                 }
                 self.deliver(event, reply).await?;
-                patience = self.gap_patience();
+                event_timeout = self.idle_timeout();
             }
         }
     }
 
-    /// Sees to it that one more event is within the program's budget; false if that can't be known.
+    /// Ensures that one more event is within the program's budget; returns false if no more tokens
+    /// can be reserved now.
     ///
-    /// A turn that was started with less than its maximum may reach the end of what was set aside. The
-    /// rest is asked for then, and its events wait meanwhile.
-    async fn cover_event(&mut self) -> bool {
-        let tokens = self.shared.tokens_per_event(self.job.service);
-        let most = most_tokens(self.job);
+    /// A turn that started with less than its maximum may use up its reservation. The rest is
+    /// reserved then, and its events wait until that is done.
+    async fn reserve_for_event(&mut self) -> bool {
+        let tokens = self.shared.tokens_per_event(self.routed.service);
+        let max_tokens = max_turn_tokens(self.routed);
         let Some(hold) = self.hold.as_ref() else {
             return true;
         };
-        if hold.reserved_tokens() >= most || hold.covers(tokens) {
+        if hold.reserved_tokens() >= max_tokens || hold.covers(tokens) {
             return true;
         }
-        let rest = most.saturating_sub(self.covered).max(tokens);
-        let deadline = ledger_deadline(self.job);
-        match reserve(self.shared, self.job, self.trace, rest, deadline).await {
+        let rest = max_tokens.saturating_sub(self.reserved_total).max(tokens);
+        let deadline = store_deadline(self.routed);
+        match reserve(self.shared, self.routed, self.trace, rest, deadline).await {
             Ok(Some(reserved)) => {
-                self.covered.0 += reserved.hold.reserved_tokens().0;
+                self.reserved_total.0 += reserved.hold.reserved_tokens().0;
                 self.hold = Some(reserved.hold);
                 true
             }
@@ -363,41 +371,42 @@
         event: StreamEvent,
         reply: &mut Reply<'_>,
     ) -> Result<(), CallerDisconnected> {
-        let has = self.delivered.last_event_id;
-        if event.id.is_some() && has.is_some() && event.id <= has {
-            // A run that goes on may begin with what the caller has.
+        let last_id = self.delivered.last_event_id;
+        if event.id.is_some() && last_id.is_some() && event.id <= last_id {
+            // A resumed stream may repeat events that the caller already has.
             return Ok(());
         }
         if event.id.is_some() {
             self.delivered.last_event_id = event.id;
         }
-        if self.job.route.keeps_context {
+        if self.routed.route.keeps_context {
             self.delivered.output.extend_from_slice(&event.data);
             self.delivered.output.extend_from_slice(b"\n");
         }
         if let Some(hold) = &mut self.hold {
-            hold.consume(self.shared.tokens_per_event(self.job.service));
+            hold.consume(self.shared.tokens_per_event(self.routed.service));
         }
         self.trace.record_first_byte(Instant::now());
         reply.send_chunk(event.raw).await
     }
 
-    fn first_patience(&self) -> Duration {
-        let target = duration(self.job.route.target_latency_us);
-        self.patience((target * 4).max(MIN_FIRST_PATIENCE))
+    fn first_event_timeout(&self) -> Duration {
+        let target = duration(self.routed.route.target_latency_us);
+        self.event_timeout((target * 4).max(MIN_FIRST_EVENT_TIMEOUT))
     }
 
-    fn gap_patience(&self) -> Duration {
-        let gap = duration(self.job.route.gap_target_us);
-        self.patience(gap * PATIENCE_GAPS)
+    fn idle_timeout(&self) -> Duration {
+        let gap = duration(self.routed.route.gap_target_us);
+        self.event_timeout(gap * IDLE_TIMEOUT_GAPS)
     }
 
-    /// Silence ends a run only where another can take its place.
-    fn patience(&self, silence: Duration) -> Duration {
-        if self.job.route.is_resumable {
-            silence
+    /// Returns the timeout for the next event. A stream is given up before the deadline only if
+    /// another server can resume it.
+    fn event_timeout(&self, idle: Duration) -> Duration {
+        if self.routed.route.is_resumable {
+            idle
         } else {
-            self.job.beyond_deadline(Instant::now())
+            self.routed.beyond_deadline(Instant::now())
         }
     }
 }
--- a/clementinepickd/src/gateway_trace.rs
+++ b/clementinepickd/src/gateway_trace.rs
@@ -1,4 +1,4 @@
-//! What happened to one request, for its log line.
+//! Collects the steps of one request for its log line.
 
 use std::cell::{Cell, RefCell};
 use std::fmt::Display;
@@ -7,32 +7,32 @@
 use clementinepick::event::Event;
 use clementinepick::server_choice::PlacingReason;
 
-/// The steps of a request as they are reached.
+/// The steps that a request has reached.
 #[derive(Debug, Default)]
 pub(crate) struct Trace {
-    /// What the request is, for metrics; empty before its route is known.
+    /// The kind of the request in metrics; empty before its route is known.
     pub(crate) kind: Cell<&'static str>,
-    /// Whether a server may be running it or may have run it.
+    /// Whether a server may be running the request or may have run it.
     pub(crate) may_have_run: Cell<bool>,
-    /// The status that the caller has got so far; 0 before the head of an answer was passed on.
+    /// The status that was sent to the caller; 0 before the head of a response was sent.
     pub(crate) status: Cell<u16>,
     servers: RefCell<Vec<String>>,
-    /// Why each of them was chosen.
+    /// Why each of these servers was chosen.
     reasons: RefCell<Vec<PlacingReason>>,
     admitted: Cell<Option<Instant>>,
     placed: Cell<Option<Instant>>,
     first_byte: Cell<Option<Instant>>,
     generated: Cell<Option<Instant>>,
-    inputs: RefCell<Vec<(&'static str, String)>>,
+    fields: RefCell<Vec<(&'static str, String)>>,
 }
 
 impl Trace {
-    /// Budget and context are there.
+    /// Records when the budget was reserved and the context was read.
     pub(crate) fn record_admitted(&self, now: Instant) {
         self.admitted.set(Some(now));
     }
 
-    /// The request is about to be sent to a server.
+    /// Records that the request is about to be sent to a server.
     pub(crate) fn record_send(&self, server: &str, reason: PlacingReason, now: Instant) {
         self.may_have_run.set(true);
         self.placed.set(Some(now));
@@ -40,32 +40,33 @@
         self.reasons.borrow_mut().push(reason);
     }
 
-    /// The last server that it was sent to brought no answer.
-    pub(crate) fn record_error(&self, how: &str) {
+    /// Records why the last server brought no response.
+    pub(crate) fn record_error(&self, label: &str) {
         if let Some(server) = self.servers.borrow_mut().last_mut() {
             server.push(':');
-            server.push_str(how);
+            server.push_str(label);
         }
     }
 
-    /// The first event or the head of the answer came.
+    /// Records when the first event or the head of the response arrived.
     pub(crate) fn record_first_byte(&self, now: Instant) {
         if self.first_byte.get().is_none() {
             self.first_byte.set(Some(now));
         }
     }
 
-    /// The last event came; the turn's record may still have to be written.
+    /// Records when the last event arrived; the turn's record may still have to be written.
     pub(crate) fn record_generated(&self, now: Instant) {
         self.generated.set(Some(now));
     }
 
-    /// An input of the decision that ended the request.
+    /// Adds a field to the log line.
     pub(crate) fn add_field(&self, name: &'static str, value: &dyn Display) {
-        self.inputs.borrow_mut().push((name, value.to_string()));
+        self.fields.borrow_mut().push((name, value.to_string()));
     }
 
-    /// Adds the steps to an event, in milliseconds after the request's arrival.
+    /// Adds the fields and the steps to an event; times are in milliseconds after the request's
+    /// arrival.
     pub(crate) fn describe(&self, mut event: Event, arrived: Instant) -> Event {
         let steps = [
             ("admitted_ms", &self.admitted),
@@ -78,7 +79,7 @@
                 event = event.with(name, at.duration_since(arrived).as_millis());
             }
         }
-        for (name, value) in self.inputs.borrow().iter() {
+        for (name, value) in self.fields.borrow().iter() {
             event = event.with(name, value);
         }
         let servers = self.servers.borrow();
--- a/clementinepickd/src/ledger_budgets.rs
+++ b/clementinepickd/src/ledger_budgets.rs
@@ -172,7 +172,7 @@
         }
         let partition = self.store.budget_partition(request.program);
         let state = self.partition(partition, Instant::now());
-        let _in_use = state.in_use.lock().await;
+        let _guard = state.access.lock().await;
         // A turn that waited for the lock before this one may have brought a slice for both.
         if let Some(hold) = self.start_held(request, Instant::now()) {
             return Ok(hold);
@@ -204,7 +204,7 @@
     ) -> Result<Option<SliceGrant>, LedgerError> {
         let partition = self.store.budget_partition(request.program);
         let state = self.partition(partition, Instant::now());
-        let _in_use = state.in_use.lock().await;
+        let _guard = state.access.lock().await;
         if !self.is_low(request) {
             return Ok(None);
         }
--- a/clementinepickd/src/ledger_homes.rs
+++ b/clementinepickd/src/ledger_homes.rs
@@ -204,7 +204,7 @@
     /// Makes this process the home of a partition, unless another one that lives is.
     async fn take(&self, partition: Partition, deadline: Instant) -> Result<(), LedgerError> {
         let state = self.budgets.partition(partition, Instant::now());
-        let _in_use = state.in_use.lock().await;
+        let _guard = state.access.lock().await;
         if state.home.get().is_some() {
             return Ok(());
         }
@@ -265,11 +265,11 @@
         state: &Rc<PartitionState>,
         deadline: Instant,
     ) -> Result<(), LedgerError> {
-        let in_use = state.in_use.lock().await;
+        let guard = state.access.lock().await;
         self.budgets.catch_up(partition, state, deadline).await?;
         let latest = state.view.borrow().home().map(|home| home.number);
         let held = state.home.get().map(|home| home.number);
-        drop(in_use);
+        drop(guard);
         if latest != held {
             self.release(partition, state, deadline).await?;
         }
@@ -287,7 +287,7 @@
         state: &Rc<PartitionState>,
         deadline: Instant,
     ) -> Result<(), LedgerError> {
-        let _in_use = state.in_use.lock().await;
+        let _guard = state.access.lock().await;
         let Some(held) = state.home.take() else {
             return Ok(());
         };
--- a/clementinepickd/src/ledger_partitions.rs
+++ b/clementinepickd/src/ledger_partitions.rs
@@ -18,7 +18,7 @@
     pub(crate) view: RefCell<BudgetView>,
     /// Held while the partition is read or written: two turns of one process would only fail each
     /// other's conditions.
-    pub(crate) in_use: Mutex<()>,
+    pub(crate) access: Mutex<()>,
     pub(crate) used_at: Cell<Option<Instant>>,
     /// Set while this process is a home of the partition.
     pub(crate) home: Cell<Option<HeldHome>>,
--- a/clementinepickd/tests/gateway_settings.rs
+++ b/clementinepickd/tests/gateway_settings.rs
@@ -68,7 +68,7 @@
         ),
         (
             ("127.0.0.1:9083", "next"),
-            "g.ini: [peers] seeds: `next` is no address",
+            "g.ini: [peers] seeds: `next` is not a socket address",
         ),
         (
             ("partitions = 24", "partitions = 0"),
