--- a/clementinepickd/src/budget_messages.rs
+++ b/clementinepickd/src/budget_messages.rs
@@ -1,4 +1,4 @@
-//! What gateways say to each other of programs' budgets.
+//! Defines the messages between gateways about programs' budgets.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -6,30 +6,30 @@
 use clementinepick::units::{SpanUs, Tokens};
 use serde::{Deserialize, Serialize};
 
-/// Where a home is asked for a turn's part of a budget.
+/// The path of reservations at a home.
 pub(crate) const RESERVE_PATH: &str = "/reserve";
 
-/// Where a home takes back what turns did not need.
+/// The path of returns of unused tokens to a home.
 pub(crate) const RETURN_PATH: &str = "/return";
 
-/// Where a gateway is asked for a part of a budget that it does not need.
+/// The path of requests to lend unused tokens.
 pub(crate) const LEND_PATH: &str = "/lend";
 
-/// Asks a home for a turn's part of its program's budget.
+/// Requests a turn's maximum from its program's budget at the home.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct ReserveRequest {
     #[serde(rename = "q")]
     pub(crate) turn_id: String,
-    /// The turn that it continues from.
+    /// The turn that this one continues from.
     #[serde(rename = "c", default, skip_serializing_if = "Option::is_none")]
     pub(crate) previous_id: Option<String>,
     /// Whether other turns may continue from this one.
     #[serde(rename = "k")]
     pub(crate) keeps_context: bool,
-    /// The line of turns, and those that it branched off from, its own last.
+    /// The turn's line (conversation branch), preceded by those that it branched off from.
     #[serde(rename = "l", default, skip_serializing_if = "Vec::is_empty")]
     pub(crate) lines: Vec<String>,
-    /// Who runs the turn.
+    /// The gateway that runs the turn.
     #[serde(rename = "f")]
     pub(crate) runner: SocketAddr,
     #[serde(rename = "p")]
@@ -38,59 +38,59 @@
     pub(crate) budget: Tokens,
     #[serde(rename = "t")]
     pub(crate) turn: Tokens,
-    /// What turns hand out on average, by those that the asker ran.
+    /// The average number of tokens per turn, over turns that the requester ran.
     #[serde(rename = "m", default, skip_serializing_if = "Option::is_none")]
     pub(crate) mean_turn: Option<Tokens>,
     #[serde(rename = "r")]
     pub(crate) retention: SpanUs,
 }
 
-/// What a home answers.
+/// A home's response to a reservation.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) enum ReserveResponse {
     /// The turn's maximum is lent, or what is left if that is less.
     Lent {
         writer: String,
-        /// How much it is; the maximum where this is not said.
+        /// The number of lent tokens; the turn's maximum if absent.
         #[serde(default)]
         tokens: Option<Tokens>,
-        /// Who ran the turn that this one continues from.
+        /// The gateway that ran the turn that this one continues from.
         previous_at: Option<SocketAddr>,
-        /// The server that ran the line last.
+        /// The server that ran the last turn of the line.
         line_server: Option<String>,
     },
-    /// The budget is given out to the end.
+    /// The budget is fully reserved.
     Spent {
         reserved: Tokens,
         holders: BTreeSet<SocketAddr>,
     },
-    /// The process is not the home, and may know who is.
+    /// The process is not the home; it may know which one is.
     Elsewhere { home: Option<SocketAddr> },
-    /// The store would have to be asked and does not answer.
+    /// A slice from the store is needed, and the store is unavailable.
     Away,
 }
 
-/// Tokens that come back to the process that lent them.
+/// Unused tokens that are returned to the process that lent them.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct ReturnedTokens {
-    /// The start of the process that lent them.
+    /// The id of the process instance that lent them.
     #[serde(rename = "i")]
     pub(crate) writer: String,
     #[serde(rename = "p")]
     pub(crate) program: String,
     #[serde(rename = "t")]
     pub(crate) tokens: Tokens,
-    /// The line of the turn, and the server that it was sent to.
+    /// The turn's line and the server that it was sent to.
     #[serde(rename = "l", default, skip_serializing_if = "Option::is_none")]
     pub(crate) placed: Option<(String, String)>,
 }
 
-/// Asks for a part of a program's budget that the peer does not need.
+/// Requests tokens of a program's budget that the peer does not need.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct LendRequest {
     #[serde(rename = "p")]
     pub(crate) program: String,
-    /// What the turn that waits generates at most.
+    /// The maximum of the turn that needs them.
     #[serde(rename = "t")]
     pub(crate) tokens: Tokens,
 }
--- a/clementinepickd/src/config_follower.rs
+++ b/clementinepickd/src/config_follower.rs
@@ -1,4 +1,4 @@
-//! Follows the configuration in the store.
+//! Follows the configuration in the store and publishes new versions.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -11,7 +11,7 @@
 use crate::logging::write_event;
 use crate::topic_watch::TopicWatch;
 
-/// Publishes each newer configuration.
+/// Follows the configuration.
 pub(crate) struct ConfigFollower<'a> {
     context: FollowerContext<'a>,
     watch: TopicWatch,
@@ -31,24 +31,26 @@
     /// Follows the configuration until this is dropped.
     pub(crate) async fn run(mut self) {
         loop {
-            let reading = self.watch.next(self.context.store, false).await;
-            let Ok(has_changed) = reading.result else {
-                // The client counts the failure, and the process is not ready while this goes on.
+            let poll = self.watch.next(self.context.store, false).await;
+            let Ok(has_changed) = poll.result else {
+                // The store client counts the failure; a process with an outdated configuration is
+                // not ready.
                 continue;
             };
-            let newer = if has_changed { self.newer() } else { None };
+            let new_config = if has_changed { self.new_config() } else { None };
             let now = Instant::now();
             self.context.publish.send_modify(|directory| {
                 directory.config_read_at = Some(now);
-                if let Some(config) = newer {
+                if let Some(config) = new_config {
                     directory.config = Some(Arc::new(config));
                 }
             });
         }
     }
 
-    /// The configuration that was read, if it is newer than the one known; it never goes back.
-    fn newer(&mut self) -> Option<TrafficConfig> {
+    /// Returns the configuration that was read, if its version is higher than the last published
+    /// one.
+    fn new_config(&mut self) -> Option<TrafficConfig> {
         let value = self.watch.topic.records().get(CONFIG_KEY)?;
         let config = match platform::config::decode(value) {
             Ok(config) => config,
--- a/clementinepickd/src/directory.rs
+++ b/clementinepickd/src/directory.rs
@@ -1,7 +1,7 @@
-//! What a gateway believes: the configuration, the backend servers and its peers.
+//! Holds the configuration, the backend servers and the peers as read from the store.
 //!
-//! One thread follows the store and publishes each change; the thread that carries traffic reads
-//! the newest value and never waits for it.
+//! One thread follows the store and publishes each change; the thread that serves traffic reads the
+//! newest value without waiting.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,23 +17,23 @@
 use crate::server_follower::ServerFollower;
 use crate::store::StoreClient;
 
-/// One start of a process, as its entry names it.
+/// A process instance, as registered in the store.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct PeerEntry {
     pub(crate) address: SocketAddr,
     pub(crate) writer: String,
 }
 
-/// What is believed at one moment.
+/// The state of the store's lists as last read.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Directory {
-    /// The newest configuration that was read; it never goes back.
+    /// The configuration with the highest version that was read.
     pub(crate) config: Option<Arc<TrafficConfig>>,
     /// The registered servers.
     pub(crate) servers: Arc<ServerList>,
-    /// Where peers take calls to the store.
+    /// The addresses at which peers take calls.
     pub(crate) peers: Arc<Vec<SocketAddr>>,
-    /// The processes whose entries are recent, this one among them, by address.
+    /// The processes with valid entries, including this one, sorted by address.
     pub(crate) processes: Arc<Vec<PeerEntry>>,
     /// When the configuration was last read, changed or not.
     pub(crate) config_read_at: Option<Instant>,
@@ -42,22 +42,23 @@
 }
 
 impl Directory {
-    /// When the list that was read longer ago was last read; none before both were.
+    /// Returns the earlier time of the last reads of the configuration and the servers; `None`
+    /// before both were read.
     pub(crate) fn read_at(&self) -> Option<Instant> {
         Some(self.config_read_at?.min(self.servers_read_at?))
     }
 }
 
-/// Who this process is, for its entry in the store.
+/// This process's identity, for its entry in the store.
 #[derive(Debug, Clone)]
 pub(crate) struct Identity {
     pub(crate) vm: String,
-    /// A name that no other start of any process has.
+    /// A unique id of this process instance; a restart has another one.
     pub(crate) writer: String,
     pub(crate) peer_address: SocketAddr,
 }
 
-/// What all followers use.
+/// The resources that all followers use.
 #[derive(Clone, Copy)]
 pub(crate) struct FollowerContext<'a> {
     pub(crate) store: &'a StoreClient,
@@ -65,9 +66,9 @@
     pub(crate) publish: &'a watch::Sender<Directory>,
 }
 
-/// Follows the store until `stop` turns true or its sender is gone.
+/// Follows the store until `stop` becomes true or its sender is dropped.
 ///
-/// The followers share their context and nothing else, so that none waits for another.
+/// The followers run independently, so that none waits for another.
 pub(crate) async fn follow(
     identity: Identity,
     seeds: Vec<SocketAddr>,
@@ -86,7 +87,7 @@
     let servers = ServerFollower::new(context, now);
     let processes = ProcessRegistry::new(identity, seeds, context);
     tokio::select! {
-        // If its sender is gone, the process ends.
+        // The sender is dropped only when the process ends.
         _ = stop.wait_for(|stop| *stop) => {}
         () = config.run() => {}
         () = servers.run() => {}
--- a/clementinepickd/src/followed_topic.rs
+++ b/clementinepickd/src/followed_topic.rs
@@ -1,7 +1,7 @@
-//! A topic of the store that is followed: read whole once, then only what is new.
+//! Keeps a local copy of a topic of the store: reads it in full once and then only new records.
 //!
-//! Read whole each time, the list of 3,000 servers is 1 MB; 300 processes that do so twice a second
-//! ask the store for more than it gives, and learn of changes seconds late.
+//! A full read of 3,000 servers is 1 MB. If 300 processes read it twice a second, they would exceed
+//! the store's limits and learn of changes seconds late.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -13,17 +13,17 @@
 use crate::partition_reader::{PartitionReader, records_from};
 use crate::store::{StoreCall, StoreClient, StorePurpose, StoreUnavailable};
 
-/// How often the topic is read whole all the same: what went wrong unnoticed is mended after this
-/// time, and costs a twentieth of reading it whole each time.
-const READ_ALL: Duration = Duration::from_secs(10);
+/// The interval of full reads, which repair an undetected error in the local copy, at a twentieth
+/// of the cost of full reads alone.
+const FULL_READ_INTERVAL: Duration = Duration::from_secs(10);
 
-/// A followed topic of one partition.
+/// A local copy of a topic with one partition.
 #[derive(Debug)]
 pub(crate) struct FollowedTopic {
     partition: Partition,
     records: BTreeMap<String, Bytes>,
     end: Option<u64>,
-    read_all_at: Option<Instant>,
+    last_full_read: Option<Instant>,
 }
 
 impl FollowedTopic {
@@ -32,16 +32,17 @@
             partition: Partition { topic, number: 0 },
             records: BTreeMap::new(),
             end: None,
-            read_all_at: None,
+            last_full_read: None,
         }
     }
 
-    /// The newest record of each key.
+    /// Returns the newest record of each key.
     pub(crate) fn records(&self) -> &BTreeMap<String, Bytes> {
         &self.records
     }
 
-    /// Reads what is new; true if there was anything. After an error, what was read before stands.
+    /// Reads new records; returns whether there were any. After an error, the local copy is
+    /// unchanged or holds some of them.
     pub(crate) async fn poll(
         &mut self,
         store: &StoreClient,
@@ -59,19 +60,19 @@
         {
             return Ok(changed);
         }
-        let changed = self.read_all(&reader).await?;
-        self.read_all_at = Some(now);
+        let changed = self.read_full(&reader).await?;
+        self.last_full_read = Some(now);
         Ok(changed)
     }
 
-    /// Whether the topic should be read whole, for the first time or again.
+    /// Returns whether a full read is due.
     pub(crate) fn is_full_read_due(&self, now: Instant) -> bool {
-        let is_due = |at: Instant| now.saturating_duration_since(at) >= READ_ALL;
-        self.end.is_none() || self.read_all_at.is_none_or(is_due)
+        let is_due = |at: Instant| now.saturating_duration_since(at) >= FULL_READ_INTERVAL;
+        self.end.is_none() || self.last_full_read.is_none_or(is_due)
     }
 
-    /// Waits at the store, not through a peer, until there is something new, for `wait` at most;
-    /// true if there was.
+    /// Long-polls the store directly for new records, for up to `wait`; returns whether there were
+    /// any.
     pub(crate) async fn long_poll(
         &mut self,
         store: &StoreClient,
@@ -88,10 +89,10 @@
             return Ok(false);
         };
         self.end = Some(from + read.records.len() as u64);
-        Ok(take_records(&mut self.records, read.records))
+        Ok(apply_records(&mut self.records, read.records))
     }
 
-    /// Reads from the end on; none where the records from there are gone.
+    /// Reads new records; `None` if the records since the last read are no longer kept.
     async fn read_new(
         &mut self,
         reader: &PartitionReader<'_>,
@@ -99,18 +100,18 @@
     ) -> Result<Option<bool>, StoreUnavailable> {
         let records = &mut self.records;
         let mut changed = false;
-        let take = |new: Vec<KeyedRecord>| changed |= take_records(records, new);
-        self.end = reader.read_from(self.partition, from, take).await?;
+        let apply = |new: Vec<KeyedRecord>| changed |= apply_records(records, new);
+        self.end = reader.read_from(self.partition, from, apply).await?;
         Ok(self.end.map(|_| changed))
     }
 
-    async fn read_all(&mut self, reader: &PartitionReader<'_>) -> Result<bool, StoreUnavailable> {
+    async fn read_full(&mut self, reader: &PartitionReader<'_>) -> Result<bool, StoreUnavailable> {
         let mut records = BTreeMap::new();
-        let take = |page: Vec<KeyedRecord>| {
+        let collect = |page: Vec<KeyedRecord>| {
             let page = page.into_iter();
             records.extend(page.filter_map(|record| Some((record.key, record.value?))));
         };
-        let end = reader.read_newest(self.partition, take).await?;
+        let end = reader.read_newest(self.partition, collect).await?;
         let changed = records != self.records;
         self.records = records;
         self.end = Some(end);
@@ -118,14 +119,14 @@
     }
 }
 
-/// Applies new records; true if there are any.
-fn take_records(records: &mut BTreeMap<String, Bytes>, new: Vec<KeyedRecord>) -> bool {
-    let has_news = !new.is_empty();
+/// Applies new records; returns whether there are any.
+fn apply_records(records: &mut BTreeMap<String, Bytes>, new: Vec<KeyedRecord>) -> bool {
+    let has_new = !new.is_empty();
     for record in new {
         match record.value {
             Some(value) => records.insert(record.key, value),
             None => records.remove(&record.key),
         };
     }
-    has_news
+    has_new
 }
--- a/clementinepickd/src/ledger.rs
+++ b/clementinepickd/src/ledger.rs
@@ -1,8 +1,8 @@
-//! What programs' budgets and turns have in common: where their records lie in the platform's store,
-//! and how they are read and written.
+//! Maps budgets and turns to partitions of the platform's store, and reads and writes their
+//! records.
 //!
-//! The store alone remembers: a process that is lost takes nothing with it but time, and any other
-//! goes on from what it reads.
+//! The store is the only durable state: if a process is lost, any other continues from what it
+//! reads there.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -18,63 +18,64 @@
 use crate::partition_reader::PartitionReader;
 use crate::store::{StoreCall, StoreClient, StorePurpose, StoreReply, StoreUnavailable};
 
-/// The longest id that is used as a key as it is, in bytes.
-const MAX_PLAIN_ID_BYTES: usize = 64;
+/// The longest id that is used as a key without hashing, in bytes.
+const MAX_KEY_ID_BYTES: usize = 64;
 
-/// The shape of the topics in the store; all processes must use the same.
+/// The layout of the topics in the store, which must be the same in all processes, and the limits
+/// of records and the cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LedgerSettings {
-    /// How many topics hold budget slices.
+    /// The number of topics for budget slices.
     pub budget_topics: u8,
-    /// How many topics hold turns.
+    /// The number of topics for turns.
     pub turn_topics: u8,
-    /// The partitions of each topic, as the platform sets them.
+    /// The number of partitions of each topic, as configured in the platform.
     pub partitions: u32,
-    /// The largest value of one record, in bytes.
+    /// The maximum size of a record's value, in bytes.
     pub record_bytes: usize,
-    /// The largest append, in bytes.
+    /// The maximum size of an append, in bytes.
     pub call_bytes: usize,
-    /// How many bytes of turns are cached.
+    /// The maximum size of the cached turns, in bytes.
     pub cache_bytes: usize,
-    /// How often each partition is looked at for records to drop.
+    /// The period in which each partition is checked for expired records.
     pub sweep_period: Duration,
 }
 
 impl Default for LedgerSettings {
     fn default() -> Self {
         Self {
-            // Of the 100 topics that the platform allows. Turns have one record each and lie
-            // evenly. Slices are mostly written by one home a partition, so that few partitions
-            // suffice, and a start takes few calls: 96 at 24 partitions a topic.
+            // The platform allows 100 topics. Turns have one record each and spread evenly. Most
+            // slices of a partition are written by its home, so that few partitions suffice; a
+            // starting gateway then needs few calls to read all 96 of them.
             budget_topics: 4,
             turn_topics: 92,
             partitions: 24,
             record_bytes: 262_144,
             call_bytes: 2_097_152,
             cache_bytes: 8_388_608,
-            // Records live for three retentions, three minutes on the users' sheets; with this
-            // period, half as many again lie in the store on average.
+            // Records are kept for three retention periods, typically three minutes; with this
+            // period, expired records add half as many on average.
             sweep_period: Duration::from_mins(8),
         }
     }
 }
 
-/// Why the ledger gives no answer that lets a request go on.
+/// Why the ledger cannot admit a request.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub(crate) enum LedgerError {
-    /// The store can't be reached, so that nothing is certain.
-    #[error("the store is away")]
+    /// The store is unavailable, so that the state of the ledger is unknown.
+    #[error("the store is unavailable")]
     Unavailable,
-    /// The budget is reserved to the end.
-    #[error("the budget is spent: {reserved} are reserved")]
+    /// The budget is fully reserved.
+    #[error("the budget is fully reserved: {reserved} tokens")]
     Spent {
-        /// The sum of all slices.
+        /// The tokens of all slices.
         reserved: Tokens,
-        /// Who holds slices.
+        /// The processes that hold slices.
         holders: BTreeSet<SocketAddr>,
     },
-    /// The turn does not exist.
-    #[error("no such turn")]
+    /// The store has no record of the turn.
+    #[error("the turn has no record in the store")]
     UnknownTurn,
 }
 
@@ -91,24 +92,24 @@
     pub(crate) number: u32,
 }
 
-/// Reads and writes records of the ledger.
+/// Reads and writes the ledger's records.
 pub(crate) struct LedgerStore {
     pub(crate) settings: LedgerSettings,
     pub(crate) client: Rc<StoreClient>,
 }
 
 impl LedgerStore {
-    /// The partition of a program's slices.
+    /// Returns the partition of a program's slices.
     pub(crate) fn budget_partition(&self, program: &str) -> Partition {
         self.partition(program, self.settings.budget_topics, Topic::Budgets)
     }
 
-    /// The partition of a turn's record.
+    /// Returns the partition of a turn's record.
     pub(crate) fn turn_partition(&self, turn: &str) -> Partition {
         self.partition(turn, self.settings.turn_topics, Topic::Turns)
     }
 
-    /// All partitions of slices.
+    /// Returns all partitions of slices.
     pub(crate) fn budget_partitions(&self) -> impl Iterator<Item = Partition> {
         let partitions = self.settings.partitions.max(1);
         let topics = 0..self.settings.budget_topics.max(1);
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Reads partitions for `purpose`.
+    /// Returns a reader of partitions for `purpose`.
     pub(crate) fn reader(&self, purpose: StorePurpose, deadline: Instant) -> PartitionReader<'_> {
         PartitionReader {
             client: &self.client,
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Appends records, under the condition that the partition ends at `at` if that is given.
+    /// Appends records; if `at` is given, only if the partition ends at that offset.
     pub(crate) async fn append(
         &self,
         purpose: StorePurpose,
@@ -154,11 +155,11 @@
     }
 }
 
-/// The key for an id that a caller chose: the id itself if it is plain, else its hash, since the
-/// key also stands in the targets of calls.
+/// Returns the record key for an id that a caller chose: the id itself if it is safe in the target
+/// of a call, else its hash.
 pub(crate) fn key_of(id: &str) -> String {
-    let is_plain = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
-    if !id.is_empty() && id.len() <= MAX_PLAIN_ID_BYTES && id.bytes().all(is_plain) {
+    let is_safe = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
+    if !id.is_empty() && id.len() <= MAX_KEY_ID_BYTES && id.bytes().all(is_safe) {
         id.to_owned()
     } else {
         format!("h_{:032x}", xxh3_128(id.as_bytes()))
@@ -167,7 +168,8 @@
 
 pub(crate) fn to_cbor<T: serde::Serialize>(value: &T) -> Bytes {
     let mut bytes = Vec::new();
-    // Writing to a vector can't fail, and the types have no maps with keys that CBOR lacks.
+    // Writing to a vector cannot fail, and the types have no maps with keys that CBOR does not
+    // support.
     let written = ciborium::into_writer(value, &mut bytes);
     debug_assert!(written.is_ok(), "{written:?}");
     bytes.into()
--- a/clementinepickd/src/ledger_budgets.rs
+++ b/clementinepickd/src/ledger_budgets.rs
@@ -1,4 +1,5 @@
-//! Programs' budgets: slices reserved in the store and spent from memory.
+//! Manages programs' budgets: reserves slices in the store and grants turns their maxima from
+//! memory.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -23,82 +24,82 @@
 use crate::link::duration;
 use crate::unix_time::unix_ms;
 
-/// How often a slice is decided anew after another process wrote first. Each round means that
-/// another process got its slice, so that more than a few are rare.
-const MAX_RESERVE_ROUNDS: u32 = 16;
-/// How long a partition's view stays in memory after its last use, and a program at the least.
-const IDLE: Duration = Duration::from_mins(5);
-/// How many returns of tokens wait to be sent; more are given up, which costs programs a part of
-/// their budgets.
-const MAX_RETURNS: usize = 1_024;
+/// How often the reservation of a slice is retried after another process wrote to the partition
+/// first. Each retry means that another process succeeded, so that more than a few are rare.
+const MAX_RESERVE_ATTEMPTS: u32 = 16;
+/// How long a partition's view stays in memory after its last use; the minimum for programs.
+const IDLE_RETENTION: Duration = Duration::from_mins(5);
+/// The capacity of the queue of token returns; returns beyond it are dropped, which costs programs
+/// a part of their budgets.
+const RETURN_QUEUE_CAPACITY: usize = 1_024;
 
-/// Over how many turns the mean goes, about.
-const MEAN_OVER: u64 = 16;
+/// The divisor of the moving average of tokens per turn.
+const MEAN_TURN_DIVISOR: u64 = 16;
 
-/// A turn that asks for a part of its program's budget.
+/// A request for a turn's maximum from its program's budget.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct BudgetRequest<'a> {
     pub(crate) program: &'a str,
-    /// What all turns of the program may generate.
+    /// The maximum of all turns of the program together.
     pub(crate) budget: Tokens,
-    /// What this turn generates at most.
+    /// The maximum of this turn.
     pub(crate) turn: Tokens,
-    /// How long the budget must count on after the program's last turn.
+    /// How long the budget must be kept after the program's last turn.
     pub(crate) retention: SpanUs,
     /// The id of the turn's request.
     pub(crate) turn_id: &'a str,
-    /// The turn that it continues from, if its context is kept.
+    /// The turn that this one continues from, if context is kept.
     pub(crate) previous_id: Option<&'a str>,
     /// Whether other turns may continue from this one.
     pub(crate) keeps_context: bool,
-    /// The line of turns, and those that it branched off from, its own last.
+    /// The turn's line (conversation branch), preceded by those that it branched off from.
     pub(crate) lines: &'a [PromptPart],
 }
 
-/// What a slice is reserved for.
+/// Why a slice is reserved.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Need {
-    /// A turn that waits for it.
+enum ReservePurpose {
+    /// A turn waits for it.
     Turn,
-    /// Turns that are still to come.
-    Ahead,
+    /// Future turns will need it.
+    Prefetch,
 }
 
 #[derive(Default)]
-struct ProgramState {
+struct ProgramBudget {
     slices: ProgramSlices,
-    /// The home of this process whose standing slice is in `slices`.
+    /// The number of the home of this process whose standing slice is in `slices`.
     standing_home: Option<u64>,
     used_at: Option<Instant>,
     retention: Duration,
     budget: Tokens,
-    /// When this process last wrote a record for the program, or began it without one.
+    /// When this process last wrote a record for the program, or started the program without one.
     recorded_at: Option<Instant>,
 }
 
-/// The budgets as one process uses them.
+/// The programs' budgets as known to this process.
 pub(crate) struct Budgets {
     pub(crate) store: Rc<LedgerStore>,
-    /// A name that no other start of any process has.
+    /// A unique id of this process instance; a restart has another one.
     pub(crate) writer: String,
-    /// Where this process can be asked for what it does not need.
+    /// The address at which peers can borrow unused tokens.
     pub(crate) address: SocketAddr,
-    programs: RefCell<BTreeMap<String, ProgramState>>,
+    programs: RefCell<BTreeMap<String, ProgramBudget>>,
     pub(crate) partitions: RefCell<BTreeMap<Partition, Rc<PartitionState>>>,
     sequence: Cell<u64>,
-    /// What a turn hands out on average, the latest ones counting most; none before the first.
+    /// The moving average of tokens per turn; `None` before the first turn.
     mean_turn: Cell<Option<Tokens>>,
     returns: mpsc::Sender<TokenReturn>,
 }
 
 impl Budgets {
-    /// The budgets of a process that has just started, and what it is to return to others.
+    /// Creates the budgets of a starting process and the queue of tokens to return to lenders.
     pub(crate) fn new(
         store: Rc<LedgerStore>,
         writer: String,
         address: SocketAddr,
     ) -> (Self, mpsc::Receiver<TokenReturn>) {
-        let (returns, returned) = mpsc::channel(MAX_RETURNS);
+        let (returns, return_queue) = mpsc::channel(RETURN_QUEUE_CAPACITY);
         let budgets = Self {
             store,
             writer,
@@ -109,31 +110,32 @@
             mean_turn: Cell::new(None),
             returns,
         };
-        (budgets, returned)
+        (budgets, return_queue)
     }
 
-    /// Sets a turn's maximum aside from the slices that are held, if they suffice.
+    /// Reserves a turn's maximum from the slices held here, if they suffice.
     pub(crate) fn start_held(
         self: &Rc<Self>,
         request: &BudgetRequest<'_>,
         now: Instant,
     ) -> Option<BudgetHold> {
-        self.take_standing(request, now);
+        self.grant_standing(request, now);
         if !self.is_record_fresh(request, now) {
             return None;
         }
         self.try_start(request, now)
     }
 
-    /// What a turn hands out on average, by those that ran here.
+    /// Returns the average number of tokens per turn, over turns that ran here.
     pub(crate) fn mean_turn(&self) -> Option<Tokens> {
         self.mean_turn.get()
     }
 
-    /// Sets all that is held of a program aside for a turn, if it is at least `least`.
+    /// Reserves all tokens held of a program for a turn, if there are at least `least`.
     ///
-    /// Turns need less than half of their maxima. While the store is away, a program that has less left
-    /// than a maximum would be refused; started with the rest, most of its turns end.
+    /// Turns use less than half of their maxima on average. Without this, a program with less than
+    /// a maximum left would be refused during a store outage, although most of its turns would
+    /// complete.
     pub(crate) fn start_rest(
         self: &Rc<Self>,
         request: &BudgetRequest<'_>,
@@ -150,18 +152,18 @@
         }
         let turn = state.slices.start_rest(least)?;
         state.used_at = Some(now);
-        let rest = BudgetRequest { turn, ..*request };
-        Some(BudgetHold::new(self, &rest, None))
+        let partial = BudgetRequest { turn, ..*request };
+        Some(BudgetHold::new(self, &partial, None))
     }
 
-    /// Notes what a turn handed out.
+    /// Updates the average with the tokens of a finished turn.
     pub(crate) fn update_mean_turn(&self, consumed: Tokens) {
         let mean = self.mean_turn.get().unwrap_or(consumed);
-        let next = mean.0 - mean.0 / MEAN_OVER + consumed.0 / MEAN_OVER;
+        let next = mean.0 - mean.0 / MEAN_TURN_DIVISOR + consumed.0 / MEAN_TURN_DIVISOR;
         self.mean_turn.set(Some(Tokens(next)));
     }
 
-    /// Sets a turn's maximum aside, with a new slice from the store if those held do not suffice.
+    /// Reserves a turn's maximum, with a new slice from the store if those held do not suffice.
     pub(crate) async fn reserve(
         self: &Rc<Self>,
         request: &BudgetRequest<'_>,
@@ -173,14 +175,15 @@
         let partition = self.store.budget_partition(request.program);
         let state = self.partition(partition, Instant::now());
         let _guard = state.access.lock().await;
-        // A turn that waited for the lock before this one may have brought a slice for both.
+        // A turn that held the lock before may have reserved a slice that suffices for both.
         if let Some(hold) = self.start_held(request, Instant::now()) {
             return Ok(hold);
         }
-        // What is left of a budget may be less than the turn; then the next slice is refused.
+        // A slice may be smaller than the turn if the budget is nearly used up; the next one is
+        // refused then.
         loop {
             let grant = self
-                .append_slice(partition, &state, request, Need::Turn, deadline)
+                .append_slice(partition, &state, request, ReservePurpose::Turn, deadline)
                 .await?;
             if let Some(mut hold) = self.try_start(request, Instant::now()) {
                 hold.grant = Some(grant);
@@ -189,14 +192,15 @@
         }
     }
 
-    /// Whether a slice should be reserved before the program's next turn asks for it.
+    /// Returns whether the next slice should be reserved before a turn needs it.
     pub(crate) fn is_low(&self, request: &BudgetRequest<'_>) -> bool {
         let programs = self.programs.borrow();
         let state = programs.get(request.program);
         state.is_some_and(|state| state.slices.is_low(request.turn))
     }
 
-    /// Reserves a slice that no turn waits for; none where enough came meanwhile.
+    /// Reserves a slice that no turn waits for yet; `None` if another task reserved enough in the
+    /// meantime.
     pub(crate) async fn prefetch_slice(
         &self,
         request: &BudgetRequest<'_>,
@@ -208,22 +212,28 @@
         if !self.is_low(request) {
             return Ok(None);
         }
-        let grant = self.append_slice(partition, &state, request, Need::Ahead, deadline);
+        let grant = self.append_slice(
+            partition,
+            &state,
+            request,
+            ReservePurpose::Prefetch,
+            deadline,
+        );
         grant.await.map(Some)
     }
 
-    /// Reserves one slice; the partition is in use by the caller.
+    /// Reserves one slice; the caller holds the partition's lock.
     async fn append_slice(
         &self,
         partition: Partition,
         state: &PartitionState,
         request: &BudgetRequest<'_>,
-        need: Need,
+        purpose: ReservePurpose,
         deadline: Instant,
     ) -> Result<SliceGrant, LedgerError> {
         let key = self.slice_key(request.program);
-        for _ in 0..MAX_RESERVE_ROUNDS {
-            let record = self.next_slice(state, request, need)?;
+        for _ in 0..MAX_RESERVE_ATTEMPTS {
+            let record = self.next_slice(state, request, purpose)?;
             let records = [KeyedRecord {
                 key: key.clone(),
                 value: Some(to_cbor(&BudgetRecord::Slice(record))),
@@ -245,28 +255,29 @@
         Err(LedgerError::Unavailable)
     }
 
-    /// The next slice's record; without tokens where those held suffice and only the record that
-    /// the program runs is due.
+    /// Returns the record of the next slice. It has no tokens if the held slices suffice and only a
+    /// new record of activity is due.
     fn next_slice(
         &self,
         state: &PartitionState,
         request: &BudgetRequest<'_>,
-        need: Need,
+        purpose: ReservePurpose,
     ) -> Result<SliceRecord, LedgerError> {
         let view = state.view.borrow();
-        let tokens = if need == Need::Turn && self.is_enough(request, Instant::now()) {
-            Tokens(0)
-        } else {
-            match view.decide(request.program, request.budget, request.turn) {
-                SliceDecision::Spent => {
-                    return Err(LedgerError::Spent {
-                        reserved: view.reserved(request.program, request.budget),
-                        holders: view.holders(request.program),
-                    });
+        let tokens =
+            if purpose == ReservePurpose::Turn && self.is_sufficient(request, Instant::now()) {
+                Tokens(0)
+            } else {
+                match view.decide(request.program, request.budget, request.turn) {
+                    SliceDecision::Spent => {
+                        return Err(LedgerError::Spent {
+                            reserved: view.reserved(request.program, request.budget),
+                            holders: view.holders(request.program),
+                        });
+                    }
+                    SliceDecision::Reserve { tokens } => tokens,
                 }
-                SliceDecision::Reserve { tokens } => tokens,
-            }
-        };
+            };
         Ok(SliceRecord {
             holder: Some(self.address),
             recorded_unix_ms: unix_ms(),
@@ -275,8 +286,8 @@
         })
     }
 
-    /// Whether the slices that are held suffice for the turn.
-    fn is_enough(&self, request: &BudgetRequest<'_>, now: Instant) -> bool {
+    /// Returns whether the held slices suffice for the turn.
+    fn is_sufficient(&self, request: &BudgetRequest<'_>, now: Instant) -> bool {
         let programs = self.programs.borrow();
         let state = programs.get(request.program);
         state.is_some_and(|state| {
@@ -285,11 +296,11 @@
         })
     }
 
-    /// Whether this process has written a record for the program within its retention, or began
-    /// it in that time.
+    /// Returns whether this process wrote a record for the program, or started it, within its
+    /// retention.
     ///
-    /// Slices of programs without such a record are dropped in time. Without this look, a program
-    /// that runs for long on one slice would lose it from the store and get its budget anew.
+    /// Slices of programs without a recent record are dropped. Without this check, a program that
+    /// uses one slice for long would lose its records in the store and get its full budget again.
     fn is_record_fresh(&self, request: &BudgetRequest<'_>, now: Instant) -> bool {
         let retention = duration(request.retention);
         let programs = self.programs.borrow();
@@ -298,15 +309,15 @@
         recorded_at.is_some_and(|at| now.saturating_duration_since(at) < retention)
     }
 
-    /// This process as the home of a program's partition.
+    /// Returns this process's home of the program's partition, if it is the home.
     pub(crate) fn held_home(&self, program: &str) -> Option<HeldHome> {
         let partition = self.store.budget_partition(program);
         let partitions = self.partitions.borrow();
         partitions.get(&partition)?.home.get()
     }
 
-    /// Takes the standing slice of a program, once, if this process is its home.
-    fn take_standing(&self, request: &BudgetRequest<'_>, now: Instant) {
+    /// Grants the standing slice of a program, once for each home, if this process is the home.
+    fn grant_standing(&self, request: &BudgetRequest<'_>, now: Instant) {
         let partition = self.store.budget_partition(request.program);
         let partitions = self.partitions.borrow();
         let Some(state) = partitions.get(&partition) else {
@@ -316,8 +327,8 @@
             return;
         };
         let view = state.view.borrow();
-        let counts = view.has_standing(request.program, home.number);
-        if !counts && !Safeguard::StandingCount.is_left_out() {
+        let is_counted = view.has_standing(request.program, home.number);
+        if !is_counted && !Safeguard::StandingCount.is_left_out() {
             return;
         }
         let mut programs = self.programs.borrow_mut();
@@ -335,9 +346,9 @@
         }
     }
 
-    /// Whether the slices held of a program may be used: a standing slice only within the lease,
-    /// since later ones may think that it has ended.
-    fn is_usable(&self, program: &str, state: &ProgramState, now: Instant) -> bool {
+    /// Returns whether the held slices of a program may be used. Standing slices may be used only
+    /// within the lease, because a later home may assume that it has expired.
+    fn is_usable(&self, program: &str, state: &ProgramBudget, now: Instant) -> bool {
         state.slices.standing == Tokens(0)
             || self
                 .held_home(program)
@@ -367,7 +378,7 @@
         starts.then(|| BudgetHold::new(self, request, None))
     }
 
-    /// Takes over what a turn that ends leaves of its maximum.
+    /// Takes the unused part of a finished turn's maximum back into the program's slices.
     pub(crate) fn finish(&self, program: &str, turn: Tokens, consumed: Tokens) {
         let mut programs = self.programs.borrow_mut();
         if let Some(state) = programs.get_mut(program) {
@@ -375,7 +386,7 @@
         }
     }
 
-    /// Gives a turn's whole maximum to another process.
+    /// Removes a turn's maximum that is lent to another process.
     pub(crate) fn hand_over(&self, program: &str, turn: Tokens) {
         let mut programs = self.programs.borrow_mut();
         if let Some(state) = programs.get_mut(program) {
@@ -383,14 +394,15 @@
         }
     }
 
-    /// Sends tokens back to their lender, unless too many wait; then they are lost to the program,
-    /// and never spent twice.
-    pub(crate) fn queue_return(&self, back: TokenReturn) {
-        // The receiver is gone only when the process ends.
-        let _ = self.returns.try_send(back);
+    /// Queues tokens for return to their lender. If the queue is full, the program loses them; they
+    /// are never spent twice.
+    pub(crate) fn queue_return(&self, unused: TokenReturn) {
+        // The receiver is dropped only when the process ends.
+        let _ = self.returns.try_send(unused);
     }
 
-    /// Takes back what a turn elsewhere did not need; nothing if this start did not lend it.
+    /// Takes back unused tokens that were lent to another process; ignored unless this process
+    /// instance lent them.
     pub(crate) fn take_back(&self, writer: &str, program: &str, tokens: Tokens) {
         let mut programs = self.programs.borrow_mut();
         if let Some(state) = programs.get_mut(program).filter(|_| writer == self.writer) {
@@ -405,10 +417,10 @@
         state.recorded_at = Some(Instant::now());
     }
 
-    /// Gives up what this process holds of a program and does not need, for another process.
+    /// Lends unused tokens of a program to another process and returns their number.
     ///
-    /// The slice is smaller here before the answer is sent: if that is lost, the tokens are lost to
-    /// the program, and never spent twice.
+    /// The slice is reduced before the response is sent: if that is lost, the program loses the
+    /// tokens, and they are never spent twice.
     pub(crate) fn lend(&self, program: &str, wanted: Tokens, now: Instant) -> Tokens {
         let mut programs = self.programs.borrow_mut();
         let state = programs.get_mut(program);
@@ -416,10 +428,10 @@
         state.map_or(Tokens(0), |state| state.slices.lend(wanted))
     }
 
-    /// Takes what another process gave up, and starts a turn with it.
+    /// Adds borrowed tokens and starts a turn with them.
     ///
-    /// The lender has written a record for the program within a retention, or it would not hold a
-    /// slice that it uses; so the program's slices stay for two more.
+    /// The lender wrote a record for the program within one retention, or it could not use its
+    /// slice; so the program's records are kept for two more.
     pub(crate) fn start_borrowed(
         self: &Rc<Self>,
         request: &BudgetRequest<'_>,
@@ -429,15 +441,15 @@
         self.try_start(request, Instant::now())
     }
 
-    /// Ends the standing slices of a partition; gives the programs that have no record in it, and
-    /// how much of their standing slices was used.
+    /// Ends the standing slices of a partition; returns the programs without a record in it that
+    /// used theirs.
     pub(crate) fn end_standing(&self, partition: Partition) -> Vec<UsedStanding> {
         let state = self.partition(partition, Instant::now());
         let view = state.view.borrow();
         let mut used = Vec::new();
         for (name, program) in self.programs.borrow_mut().iter_mut() {
-            let is_here = self.store.budget_partition(name) == partition;
-            if !is_here || program.slices.standing == Tokens(0) {
+            let is_in_partition = self.store.budget_partition(name) == partition;
+            if !is_in_partition || program.slices.standing == Tokens(0) {
                 continue;
             }
             let tokens = program.slices.end_standing();
@@ -454,41 +466,41 @@
         used
     }
 
-    /// Forgets programs and partitions that were not used for long.
+    /// Drops programs and partitions that were not used for long.
     ///
-    /// A program stays for as long as its records would: a home that forgot one earlier would give
-    /// it its standing slice again.
+    /// A program is kept as long as its records would be: a home that dropped it earlier would
+    /// grant its standing slice again.
     pub(crate) fn forget_idle(&self, now: Instant) {
-        let idle = |at: Option<Instant>| at.map(|at| now.saturating_duration_since(at));
-        let kept = u32::try_from(KEPT_RETENTIONS).unwrap_or(u32::MAX);
+        let idle_for = |at: Option<Instant>| at.map(|at| now.saturating_duration_since(at));
+        let kept_retentions = u32::try_from(KEPT_RETENTIONS).unwrap_or(u32::MAX);
         self.programs.borrow_mut().retain(|_, state| {
-            let limit = IDLE.max(state.retention.saturating_mul(kept));
+            let limit = IDLE_RETENTION.max(state.retention.saturating_mul(kept_retentions));
             state.slices.outstanding > Tokens(0)
-                || idle(state.used_at).is_none_or(|idle| idle < limit)
+                || idle_for(state.used_at).is_none_or(|idle| idle < limit)
         });
         self.partitions.borrow_mut().retain(|_, state| {
             Rc::strong_count(state) > 1
                 || state.home.get().is_some()
-                || idle(state.used_at.get()).is_none_or(|idle| idle < IDLE)
+                || idle_for(state.used_at.get()).is_none_or(|idle| idle < IDLE_RETENTION)
         });
     }
 
-    /// What this process holds of a program.
+    /// Returns the tokens that this process holds of a program.
     pub(crate) fn held_slices(&self, program: &str) -> Option<ProgramSlices> {
         Some(self.programs.borrow().get(program)?.slices)
     }
 
-    /// How many programs are in memory.
+    /// Returns the number of programs in memory.
     pub(crate) fn program_count(&self) -> usize {
         self.programs.borrow().len()
     }
 }
 
-/// What a program used of a standing slice and no record says yet.
+/// The used part of a program's standing slice that no record counts yet.
 #[derive(Debug, Clone)]
 pub(crate) struct UsedStanding {
     pub(crate) program: String,
-    /// A key for the record.
+    /// The key for the record.
     pub(crate) key: String,
     pub(crate) budget: Tokens,
     pub(crate) tokens: Tokens,
--- a/clementinepickd/src/ledger_holds.rs
+++ b/clementinepickd/src/ledger_holds.rs
@@ -1,4 +1,4 @@
-//! What a turn holds of its program's budget while it runs.
+//! Defines a running turn's hold on its program's budget.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -7,49 +7,49 @@
 
 use crate::ledger_budgets::{BudgetRequest, Budgets};
 
-/// Tokens that go back to the process that lent them.
+/// Tokens to return to the process that lent them.
 #[derive(Debug)]
 pub(crate) struct TokenReturn {
     pub(crate) lender: Lender,
     pub(crate) program: String,
     pub(crate) tokens: Tokens,
-    /// The line of the turn, and the server that it was sent to.
+    /// The turn's line and the server that it was sent to.
     pub(crate) placed: Option<(String, String)>,
 }
 
-/// A process that lent the maximum of one turn.
+/// A process that lent a turn's maximum.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Lender {
     pub(crate) address: SocketAddr,
-    /// Its start: another start of it knows nothing of the loan.
+    /// The id of its instance; after a restart, it does not know of the loan.
     pub(crate) writer: String,
 }
 
-/// A turn's maximum, set aside until the turn ends; dropped, it returns what was not handed out.
+/// A turn's reserved maximum; when dropped, the unused part is returned.
 pub(crate) struct BudgetHold {
     budgets: Rc<Budgets>,
     program: String,
     turn: Tokens,
     consumed: Tokens,
-    /// Who lent the maximum; none if it is from this process's slices.
+    /// The process that lent the maximum; `None` if it comes from slices held here.
     lender: Option<Lender>,
     placed: Option<(String, String)>,
-    /// The slice that was reserved for this turn, if one was.
+    /// The slice that was reserved for this turn, if any.
     pub(crate) grant: Option<SliceGrant>,
 }
 
-/// A slice that was just reserved.
+/// A slice that was reserved in the store.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct SliceGrant {
     pub(crate) tokens: Tokens,
-    /// What of the program's budget is given out after it.
+    /// The reserved part of the program's budget, including this slice.
     pub(crate) reserved: Tokens,
-    /// Where the partition ended then.
+    /// The end offset of the partition after the reservation.
     pub(crate) end: u64,
 }
 
 impl BudgetHold {
-    /// A turn's maximum that was set aside here, or lent for just this turn.
+    /// Creates a hold on a turn's maximum that was reserved here, or lent for this turn.
     pub(crate) fn new(
         budgets: &Rc<Budgets>,
         request: &BudgetRequest<'_>,
@@ -66,32 +66,32 @@
         }
     }
 
-    /// How much is set aside.
+    /// Returns the number of reserved tokens.
     pub(crate) fn reserved_tokens(&self) -> Tokens {
         self.turn
     }
 
-    /// Whether so many more tokens are set aside.
+    /// Returns whether `tokens` more are within the reservation.
     pub(crate) fn covers(&self, tokens: Tokens) -> bool {
         self.consumed.0 + tokens.0 <= self.turn.0
     }
 
-    /// Counts tokens that are about to be handed to the caller.
+    /// Counts tokens that are about to be sent to the caller.
     pub(crate) fn consume(&mut self, tokens: Tokens) {
         self.consumed.0 += tokens.0;
     }
 
-    /// Notes where the turn's line is now; the home that lent learns it with what comes back.
+    /// Records the server of the turn's line, to be sent to the lending home with the token return.
     pub(crate) fn record_placement(&mut self, line: &str, server: &str) {
         self.placed = Some((line.to_owned(), server.to_owned()));
     }
 
-    /// Whether the maximum is lent by another process.
+    /// Returns whether another process lent the maximum.
     pub(crate) fn is_borrowed(&self) -> bool {
         self.lender.is_some()
     }
 
-    /// Gives the whole maximum to another process, which runs the turn.
+    /// Lends the whole maximum to another process, which runs the turn.
     pub(crate) fn lend_out(mut self) {
         self.budgets.hand_over(&self.program, self.turn);
         self.turn = Tokens(0);
--- a/clementinepickd/src/ledger_homes.rs
+++ b/clementinepickd/src/ledger_homes.rs
@@ -1,7 +1,8 @@
-//! The homes of partitions of budgets: which partitions this process is the home of, and whom to
-//! ask for the others.
+//! Manages the homes of budget partitions: acquires and releases this process's homes, and finds
+//! the homes of other partitions.
 //!
-//! A home is a short way, not an owner: any process that can't reach it decides by the store.
+//! The home of a partition is the process that others ask first for budgets in it. It does not own
+//! the partition: a process that cannot reach the home reserves in the store itself.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -23,24 +24,24 @@
 use crate::steady_clock::SteadyClock;
 use crate::unix_time::unix_ms;
 
-/// How long a call for one partition may take.
-const CALL_LIMIT: Duration = Duration::from_millis(400);
-/// How many partitions are looked at in one step, of which there are four a second: a process that
-/// has started is the home of its share of 96 partitions within two seconds.
-const PARTITIONS_A_STEP: usize = 8;
-/// How often a home looks whether it still is the latest where it has nothing to write: four times
-/// in its lease.
-const LOOK_AGAIN: Duration = Duration::from_secs(30);
-/// The least retention that a home's record has, in milliseconds: a configuration that comes later
-/// may let programs rest for longer than the one of now.
+/// How long the store calls for one partition may take.
+const CALL_TIMEOUT: Duration = Duration::from_millis(400);
+/// The maximum number of partitions handled in one step. With four steps a second, a starting
+/// process becomes the home of its share of 96 partitions within two seconds.
+const PARTITIONS_PER_STEP: usize = 8;
+/// The interval at which a home that writes nothing checks whether it still is the latest: four
+/// times in its lease.
+const CHECK_INTERVAL: Duration = Duration::from_secs(30);
+/// The minimum retention of a home's record, in milliseconds, since a later configuration may allow
+/// longer retentions than the current one.
 const MIN_RETAIN_MS: u64 = 300_000;
-/// How many turns' runners, and how many lines' servers, a home remembers: those of half a minute at
-/// the size that is designed for, in 400 kB each.
-const MAX_RECENT: usize = 2_048;
-/// How often a release is tried where others write to the partition at the same time.
-const MAX_RELEASE_ROUNDS: u32 = 4;
+/// The capacity of the caches of turns' runners and lines' servers: half a minute of turns at the
+/// design load, 400 kB each.
+const FIFO_CAPACITY: usize = 2_048;
+/// How often a release is retried when other processes write to the partition at the same time.
+const MAX_RELEASE_ATTEMPTS: u32 = 4;
 
-/// What was noted lately by name; the oldest is forgotten first.
+/// A map of limited size; the oldest entry is evicted first.
 pub(crate) struct FifoCache<V> {
     values: BTreeMap<String, V>,
     by_age: VecDeque<String>,
@@ -61,11 +62,11 @@
     }
 
     pub(crate) fn insert(&mut self, name: &str, value: V) {
-        let before = self.values.insert(name.to_owned(), value);
-        if before.is_none() {
+        let previous = self.values.insert(name.to_owned(), value);
+        if previous.is_none() {
             self.by_age.push_back(name.to_owned());
         }
-        if self.by_age.len() > MAX_RECENT
+        if self.by_age.len() > FIFO_CAPACITY
             && let Some(oldest) = self.by_age.pop_front()
         {
             self.values.remove(&oldest);
@@ -73,26 +74,26 @@
     }
 }
 
-/// Which process is the home of what, as one process knows it.
+/// The homes of all partitions as known to this process.
 pub(crate) struct Homes {
     budgets: Rc<Budgets>,
-    /// The processes by which `wanted` was found.
+    /// The registered processes at the last step.
     processes: RefCell<Vec<PeerEntry>>,
-    /// Those of them that were lost then.
+    /// Those of them that were unreachable then.
     lost: RefCell<BTreeSet<SocketAddr>>,
-    /// Partitions whose home this process should be and that were not looked at yet.
-    wanted: RefCell<Vec<Partition>>,
-    /// Homes that answers named.
-    known: RefCell<BTreeMap<Partition, SocketAddr>>,
+    /// Partitions whose home this process should be and that were not handled yet.
+    pending: RefCell<Vec<Partition>>,
+    /// Homes named by peers or by records in the store.
+    by_partition: RefCell<BTreeMap<Partition, SocketAddr>>,
     liveness: RefCell<PeerLiveness>,
     clock: SteadyClock,
-    /// Who ran the turns that this home lent for.
+    /// The gateways that ran the turns that this home lent for, by turn.
     pub(crate) runners: RefCell<FifoCache<SocketAddr>>,
-    /// The servers that ran the last turns of lines.
+    /// The servers that ran the last turns, by line.
     pub(crate) line_servers: RefCell<FifoCache<String>>,
     /// The longest retention of any program, in milliseconds.
     retain_ms: Cell<u64>,
-    is_released: Cell<bool>,
+    is_shutting_down: Cell<bool>,
 }
 
 impl Homes {
@@ -101,108 +102,112 @@
             budgets,
             processes: RefCell::default(),
             lost: RefCell::default(),
-            wanted: RefCell::default(),
-            known: RefCell::default(),
+            pending: RefCell::default(),
+            by_partition: RefCell::default(),
             liveness: RefCell::default(),
             clock: SteadyClock::starting_at(Instant::now()),
             runners: RefCell::default(),
             line_servers: RefCell::default(),
             retain_ms: Cell::new(MIN_RETAIN_MS),
-            is_released: Cell::new(false),
+            is_shutting_down: Cell::new(false),
         }
     }
 
-    /// Whom to ask for a program's budget; none if that is this process, or nobody is known who
-    /// has answered lately.
+    /// Returns the home to ask for a program's budget; `None` if it is this process, is unknown or
+    /// lately did not respond.
     pub(crate) fn remote_home(&self, program: &str, now: Instant) -> Option<SocketAddr> {
         let partition = self.budgets.store.budget_partition(program);
-        let known = self.known.borrow().get(&partition).copied();
+        let known = self.by_partition.borrow().get(&partition).copied();
         let known = known.filter(|home| !self.lost.borrow().contains(home));
-        let first = || first_rank(partition, &self.processes.borrow(), &self.lost.borrow());
-        let home = known.or_else(first)?;
+        let preferred = || preferred_home(partition, &self.processes.borrow(), &self.lost.borrow());
+        let home = known.or_else(preferred)?;
         (home != self.budgets.address && !self.is_silent(home, now)).then_some(home)
     }
 
-    /// Whether a peer lately did not answer.
+    /// Returns whether a peer lately did not respond.
     pub(crate) fn is_silent(&self, peer: SocketAddr, now: Instant) -> bool {
         let now = self.clock.at(now);
         self.liveness.borrow().is_silent(now, peer)
     }
 
-    /// Notes that a peer did not answer.
+    /// Records that a peer did not respond in time.
     pub(crate) fn record_peer_timeout(&self, peer: SocketAddr, now: Instant) {
         let now = self.clock.at(now);
         self.liveness.borrow_mut().failed(now, peer);
     }
 
-    /// Notes that a peer answered.
+    /// Records that a peer responded.
     pub(crate) fn record_peer_response(&self, peer: SocketAddr) {
         self.liveness.borrow_mut().answered(peer);
     }
 
-    /// Notes which process is the home of a program's partition.
+    /// Sets the known home of a program's partition.
     pub(crate) fn set_known_home(&self, program: &str, home: SocketAddr) {
         let partition = self.budgets.store.budget_partition(program);
-        self.known.borrow_mut().insert(partition, home);
+        self.by_partition.borrow_mut().insert(partition, home);
     }
 
-    /// Forgets which process is the home of a program's partition.
+    /// Clears the known home of a program's partition.
     pub(crate) fn clear_known_home(&self, program: &str) {
         let partition = self.budgets.store.budget_partition(program);
-        self.known.borrow_mut().remove(&partition);
+        self.by_partition.borrow_mut().remove(&partition);
     }
 
-    /// Becomes the home of a few partitions, and looks whether it still is of others.
+    /// Becomes the home of up to [`PARTITIONS_PER_STEP`] pending partitions, and checks held ones
+    /// that are due.
     ///
-    /// `retention` is the longest that any program's budget must count on.
+    /// `retention` is the longest retention of any program's budget.
     pub(crate) async fn step(&self, processes: &[PeerEntry], retention: SpanUs, now: Instant) {
         self.retain_ms.set(retention.as_ms().max(MIN_RETAIN_MS));
-        if self.is_released.get() || self.budgets.store.client.is_unavailable() {
+        if self.is_shutting_down.get() || self.budgets.store.client.is_unavailable() {
             return;
         }
-        self.note_processes(processes, now);
-        for _ in 0..PARTITIONS_A_STEP {
-            let Some(partition) = self.wanted.borrow_mut().pop() else {
+        self.update_processes(processes, now);
+        for _ in 0..PARTITIONS_PER_STEP {
+            let Some(partition) = self.pending.borrow_mut().pop() else {
                 break;
             };
-            let taken = self.take(partition, now + CALL_LIMIT).await;
-            if taken.is_err() {
-                // The store did not answer; the partition's turn comes again.
-                self.wanted.borrow_mut().push(partition);
+            let acquired = self.acquire(partition, now + CALL_TIMEOUT).await;
+            if acquired.is_err() {
+                // The store did not respond; the next step tries the partition again.
+                self.pending.borrow_mut().push(partition);
                 return;
             }
         }
         let is_due = |state: &PartitionState| {
             let home = state.home.get();
-            home.is_some_and(|home| now.saturating_duration_since(home.confirmed_at) >= LOOK_AGAIN)
+            home.is_some_and(|home| {
+                now.saturating_duration_since(home.confirmed_at) >= CHECK_INTERVAL
+            })
         };
         let held = self.budgets.homes();
         let due = held.iter().filter(|(_, state)| is_due(state));
-        for (partition, state) in due.take(PARTITIONS_A_STEP) {
-            // A look that fails is made again; without one, the lease ends.
-            let _ = self.look(*partition, state, now + CALL_LIMIT).await;
+        for (partition, state) in due.take(PARTITIONS_PER_STEP) {
+            // A failed check is repeated in the next step; without a successful one, the lease
+            // expires.
+            let _ = self.check(*partition, state, now + CALL_TIMEOUT).await;
         }
     }
 
-    fn note_processes(&self, processes: &[PeerEntry], now: Instant) {
-        let before = self.processes.replace(processes.to_vec());
-        for process in processes.iter().filter(|p| !before.contains(p)) {
+    fn update_processes(&self, processes: &[PeerEntry], now: Instant) {
+        let previous = self.processes.replace(processes.to_vec());
+        for process in processes.iter().filter(|p| !previous.contains(p)) {
             self.record_peer_response(process.address);
         }
         let lost = self.liveness.borrow().lost(self.clock.at(now));
         let lost_before = self.lost.replace(lost.clone());
-        if before == processes && lost_before == lost {
+        if previous == processes && lost_before == lost {
             return;
         }
-        self.known.borrow_mut().clear();
+        self.by_partition.borrow_mut().clear();
         let own = Some(self.budgets.address);
-        let is_ours = |p: &Partition| first_rank(*p, processes, &lost) == own;
+        let is_ours = |p: &Partition| preferred_home(*p, processes, &lost) == own;
         let all = self.budgets.store.budget_partitions();
-        *self.wanted.borrow_mut() = all.filter(is_ours).collect();
+        *self.pending.borrow_mut() = all.filter(is_ours).collect();
     }
 
-    /// Makes this process the home of a partition, unless another one that lives is.
-    async fn take(&self, partition: Partition, deadline: Instant) -> Result<(), LedgerError> {
+    /// Makes this process the home of a partition, unless a reachable process already is.
+    async fn acquire(&self, partition: Partition, deadline: Instant) -> Result<(), LedgerError> {
         let state = self.budgets.partition(partition, Instant::now());
         let _guard = state.access.lock().await;
         if state.home.get().is_some() {
@@ -220,9 +225,9 @@
                     }));
                     return Ok(());
                 }
-                Some(home) if self.lives(&home) => {
-                    let mut known = self.known.borrow_mut();
-                    known.insert(partition, home.address);
+                Some(home) if self.is_live(&home) => {
+                    let mut by_partition = self.by_partition.borrow_mut();
+                    by_partition.insert(partition, home.address);
                     return Ok(());
                 }
                 _ => {}
@@ -232,22 +237,22 @@
                 key: record.key(),
                 value: Some(to_cbor(&BudgetRecord::Home(record))),
             }];
-            let begun = Instant::now();
+            let started_at = Instant::now();
             let append = self
                 .budgets
                 .append_next(partition, &state, &records, deadline);
             append.await?;
             let is_written = state.view.borrow().has_key(&records[0].key);
-            written_at = is_written.then_some(begun);
+            written_at = is_written.then_some(started_at);
         }
     }
 
-    /// Whether the process that is a home still runs, as far as its entry says.
-    fn lives(&self, home: &HomeRecord) -> bool {
+    /// Returns whether the process of a home record is registered and reachable.
+    fn is_live(&self, home: &HomeRecord) -> bool {
         let processes = self.processes.borrow();
-        let is_it = |p: &PeerEntry| p.address == home.address && p.writer == home.writer;
+        let is_same_process = |p: &PeerEntry| p.address == home.address && p.writer == home.writer;
         let is_lost = self.lost.borrow().contains(&home.address);
-        home.address != self.budgets.address && !is_lost && processes.iter().any(is_it)
+        home.address != self.budgets.address && !is_lost && processes.iter().any(is_same_process)
     }
 
     fn next_record(&self, view: &BudgetView) -> HomeRecord {
@@ -258,8 +263,8 @@
         }
     }
 
-    /// Looks whether this process still is the latest home; if not, it ends being one.
-    async fn look(
+    /// Checks whether this process is still the latest home; releases the partition if not.
+    async fn check(
         &self,
         partition: Partition,
         state: &Rc<PartitionState>,
@@ -276,11 +281,12 @@
         Ok(())
     }
 
-    /// Ends being the home of a partition: what was used of standing slices is recorded, and the
-    /// home's record goes with the same append.
+    /// Stops being the home of a partition: records the used parts of standing slices and deletes
+    /// the home's record in one append.
     ///
     /// Without this, each planned restart would cost each program of the partition a standing
-    /// slice. If the append fails, the home's record stays, and its standing slices count as used.
+    /// slice. If the append fails, the home's record stays, and its standing slices count as fully
+    /// used.
     async fn release(
         &self,
         partition: Partition,
@@ -292,7 +298,7 @@
             return Ok(());
         };
         let used = self.budgets.end_standing(partition);
-        for _ in 0..MAX_RELEASE_ROUNDS {
+        for _ in 0..MAX_RELEASE_ATTEMPTS {
             let records = self.release_records(&state.view.borrow(), &held, &used);
             let append = self
                 .budgets
@@ -306,7 +312,7 @@
         Err(LedgerError::Unavailable)
     }
 
-    /// The slices that take the place of this home's standing slices, and the end of its record.
+    /// Returns the slices that replace this home's standing slices, and the deletion of its record.
     fn release_records(
         &self,
         view: &BudgetView,
@@ -314,49 +320,49 @@
         used: &[UsedStanding],
     ) -> Vec<KeyedRecord> {
         let key = held.key(&self.budgets.writer);
-        let mut after = view.clone();
-        after.drop_key(&key);
-        // A program that has records by now counts the whole standing slice there.
-        let used = used.iter().filter(|used| !after.knows(&used.program));
+        let mut view_after = view.clone();
+        view_after.drop_key(&key);
+        // The records of a program that has any by now count the whole standing slice.
+        let used = used.iter().filter(|used| !view_after.knows(&used.program));
         let slices = used.map(|used| KeyedRecord {
             key: used.key.clone(),
             value: Some(to_cbor(&BudgetRecord::Slice(SliceRecord {
                 holder: Some(self.budgets.address),
                 recorded_unix_ms: unix_ms(),
                 retain_ms: used.retain_ms,
-                ..after.slice(&used.program, used.budget, used.tokens)
+                ..view_after.slice(&used.program, used.budget, used.tokens)
             }))),
         });
-        let end = KeyedRecord { key, value: None };
-        slices.chain([end]).collect()
+        let deletion = KeyedRecord { key, value: None };
+        slices.chain([deletion]).collect()
     }
 
-    /// Ends being the home of all partitions, before this process ends.
+    /// Stops being the home of all partitions, before this process ends.
     pub(crate) async fn release_all(&self, deadline: Instant) {
-        self.is_released.set(true);
+        self.is_shutting_down.set(true);
         let held = self.budgets.homes();
         let releases = held
             .iter()
             .map(|(partition, state)| self.release(*partition, state, deadline));
-        // Where one fails, the home's record stays, and counts all of its standing slices.
+        // If a release fails, the home's record stays, and its standing slices count as fully used.
         let _ = join_all(releases).await;
     }
 
-    /// The peers that were lost at the last step.
+    /// Returns the peers that were unreachable at the last step.
     pub(crate) fn lost(&self) -> BTreeSet<SocketAddr> {
         self.lost.borrow().clone()
     }
 
-    /// The home that this process knows of for a program.
+    /// Returns the known home of a program's partition.
     pub(crate) fn known_home(&self, program: &str) -> Option<SocketAddr> {
         let partition = self.budgets.store.budget_partition(program);
-        self.known.borrow().get(&partition).copied()
+        self.by_partition.borrow().get(&partition).copied()
     }
 }
 
-/// The process that should be the home of a partition, by rendezvous hashing: all find the same,
-/// and a process that is gone moves only its own partitions.
-fn first_rank(
+/// Returns the process that should be the home of a partition, by rendezvous hashing: all processes
+/// agree, and a lost process moves only its own partitions.
+fn preferred_home(
     partition: Partition,
     processes: &[PeerEntry],
     lost: &BTreeSet<SocketAddr>,
@@ -364,6 +370,6 @@
     let name = format!("{}/{}", partition.topic, partition.number);
     let seed = xxh3_64(name.as_bytes());
     let score = |p: &&PeerEntry| xxh3_64_with_seed(p.address.to_string().as_bytes(), seed);
-    let living = processes.iter().filter(|p| !lost.contains(&p.address));
-    living.max_by_key(score).map(|p| p.address)
+    let live = processes.iter().filter(|p| !lost.contains(&p.address));
+    live.max_by_key(score).map(|p| p.address)
 }
--- a/clementinepickd/src/ledger_partitions.rs
+++ b/clementinepickd/src/ledger_partitions.rs
@@ -1,4 +1,4 @@
-//! The partitions of budgets: what is known of one, how it is read on and appended to.
+//! Keeps this process's view of each budget partition, and reads from and appends to it.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -12,12 +12,12 @@
 use crate::ledger_budgets::Budgets;
 use crate::store::StorePurpose;
 
-/// What this process knows of a partition.
+/// The state of a partition as known to this process.
 #[derive(Default)]
 pub(crate) struct PartitionState {
     pub(crate) view: RefCell<BudgetView>,
-    /// Held while the partition is read or written: two turns of one process would only fail each
-    /// other's conditions.
+    /// Held while the partition is read or written, since concurrent appends of one process would
+    /// only fail each other's conditions.
     pub(crate) access: Mutex<()>,
     pub(crate) used_at: Cell<Option<Instant>>,
     /// Set while this process is a home of the partition.
@@ -29,12 +29,12 @@
 pub(crate) struct HeldHome {
     pub(crate) number: u64,
     pub(crate) halvings: u32,
-    /// Before the last call that showed that no later home is there.
+    /// A time before the last call that showed this home to be the latest.
     pub(crate) confirmed_at: Instant,
 }
 
 impl HeldHome {
-    /// The key of its record.
+    /// Returns the key of the home's record.
     pub(crate) fn key(&self, writer: &str) -> String {
         home_key(writer, self.number)
     }
@@ -45,8 +45,9 @@
 }
 
 impl Budgets {
-    /// Appends records where the view ends, or reads on if another process wrote first; the view
-    /// has the records then if they were written now or by an earlier copy of the call.
+    /// Appends records at the view's end, or reads new records if another process wrote first. The
+    /// view contains the records afterwards if they were written, also by an earlier copy of the
+    /// call.
     pub(crate) async fn append_next(
         &self,
         partition: Partition,
@@ -54,7 +55,7 @@
         records: &[KeyedRecord],
         deadline: Instant,
     ) -> Result<(), LedgerError> {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let end = state.view.borrow().end;
         let purpose = StorePurpose::ReserveSlice;
         let append = self
@@ -67,34 +68,35 @@
             apply_records(&mut view, records);
             view.end = end;
             drop(view);
-            renew(state, begun);
+            renew_lease(state, started_at);
             return Ok(());
         }
         self.catch_up(partition, state, deadline).await
     }
 
-    /// Reads what was written since the view's end, or all where that is no longer kept.
+    /// Reads the records since the view's end, or the newest record of each key if those are no
+    /// longer kept.
     pub(crate) async fn catch_up(
         &self,
         partition: Partition,
         state: &PartitionState,
         deadline: Instant,
     ) -> Result<(), LedgerError> {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let reader = self.store.reader(StorePurpose::ReadSlices, deadline);
-        let take =
+        let apply_page =
             |records: Vec<KeyedRecord>| apply_records(&mut state.view.borrow_mut(), &records);
         let from = state.view.borrow().end;
-        let end = match reader.read_from(partition, from, take).await? {
+        let end = match reader.read_from(partition, from, apply_page).await? {
             Some(end) => end,
-            None => reader.read_newest(partition, take).await?,
+            None => reader.read_newest(partition, apply_page).await?,
         };
         state.view.borrow_mut().end = end;
-        renew(state, begun);
+        renew_lease(state, started_at);
         Ok(())
     }
 
-    /// What is known of a partition.
+    /// Returns the state of a partition and marks it as used.
     pub(crate) fn partition(&self, partition: Partition, now: Instant) -> Rc<PartitionState> {
         let mut partitions = self.partitions.borrow_mut();
         let state = partitions.entry(partition).or_default();
@@ -102,7 +104,7 @@
         Rc::clone(state)
     }
 
-    /// The partitions whose home this process is.
+    /// Returns the partitions whose home this process is.
     pub(crate) fn homes(&self) -> Vec<(Partition, Rc<PartitionState>)> {
         let partitions = self.partitions.borrow();
         let held = partitions.iter().filter(|(_, s)| s.home.get().is_some());
@@ -110,8 +112,8 @@
     }
 }
 
-/// Notes that at `at` no later home was there, if the view says so.
-fn renew(state: &PartitionState, at: Instant) {
+/// Extends the lease from `at` if the view shows no later home.
+fn renew_lease(state: &PartitionState, at: Instant) {
     let latest = state.view.borrow().home().map(|home| home.number);
     if let Some(home) = state.home.get()
         && latest == Some(home.number)
--- a/clementinepickd/src/ledger_sweep.rs
+++ b/clementinepickd/src/ledger_sweep.rs
@@ -1,8 +1,8 @@
-//! Drops records of programs and turns that ended long ago.
+//! Deletes expired records of programs and turns.
 //!
-//! The processes share the work without speaking: each looks at one partition after the other in an
-//! order of its own, so often that all of them together see each partition once in a period. A
-//! process that is lost leaves nothing behind for good.
+//! The processes share the work without coordination: each sweeps the partitions in its own order,
+//! at an interval at which all processes together sweep each partition once in a period. A lost
+//! process leaves no partition unswept.
 
 use std::time::{Duration, Instant};
 
@@ -15,26 +15,27 @@
 use crate::ledger_turns::is_part_of;
 use crate::store::StorePurpose;
 
-/// How long one look may take.
-const LOOK_LIMIT: Duration = Duration::from_secs(2);
+/// How long the sweep of one partition may take.
+const SWEEP_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Where one process is in its round.
+/// The progress of this process's sweep.
 #[derive(Debug, Default)]
 pub(crate) struct Sweep {
     position: u64,
-    looked_at: Option<Instant>,
+    swept_at: Option<Instant>,
 }
 
 impl Sweep {
-    /// A sweep that begins anywhere, so that processes that start together spread out.
+    /// Creates a sweep that starts at any position, so that processes that start together spread
+    /// out.
     pub(crate) fn starting_at(position: u64) -> Self {
         Self {
             position,
-            looked_at: None,
+            swept_at: None,
         }
     }
 
-    /// Looks at the next partition if it is time; `processes` share the work.
+    /// Sweeps the next partition if it is due; `processes` processes share the work.
     pub(crate) async fn step(
         &mut self,
         store: &LedgerStore,
@@ -42,16 +43,16 @@
         now: Instant,
         now_unix_ms: u64,
     ) {
-        let first = *self.looked_at.get_or_insert(now);
+        let first = *self.swept_at.get_or_insert(now);
         let interval = interval(store, processes);
         if now.saturating_duration_since(first) < interval || store.client.is_unavailable() {
             return;
         }
-        self.looked_at = Some(now);
+        self.swept_at = Some(now);
         self.position = self.position.wrapping_add(1);
         let partition = partition_at(store, self.position);
-        // A look that fails is made again in the next round; nothing depends on it but space.
-        let _ = sweep(store, partition, now + LOOK_LIMIT, now_unix_ms).await;
+        // A failed sweep is repeated in the next round; it costs only space.
+        let _ = sweep_partition(store, partition, now + SWEEP_TIMEOUT, now_unix_ms).await;
     }
 }
 
@@ -83,7 +84,7 @@
     }
 }
 
-async fn sweep(
+async fn sweep_partition(
     store: &LedgerStore,
     partition: Partition,
     deadline: Instant,
@@ -101,11 +102,11 @@
     if keys.is_empty() {
         return Ok(());
     }
-    let drops: Vec<KeyedRecord> = keys
+    let deletions: Vec<KeyedRecord> = keys
         .into_iter()
         .map(|key| KeyedRecord { key, value: None })
         .collect();
-    let append = store.append(StorePurpose::Sweep, partition, None, &drops, deadline);
+    let append = store.append(StorePurpose::Sweep, partition, None, &deletions, deadline);
     append.await?;
     Ok(())
 }
@@ -118,8 +119,9 @@
     decoded.collect()
 }
 
-/// The keys of expired turns and of their parts. A turn in parts is written parts first, so that
-/// parts without a turn may belong to one that is just being written; they stay.
+/// Returns the keys of expired turns and of their parts. The parts of a turn are written before its
+/// record, so that parts without a record may belong to a turn that is being written; they are
+/// kept.
 fn expired_turns(records: &[KeyedRecord], now_unix_ms: u64) -> Vec<String> {
     let mut expired: Vec<String> = Vec::new();
     for record in records {
--- a/clementinepickd/src/ledger_turns.rs
+++ b/clementinepickd/src/ledger_turns.rs
@@ -1,4 +1,4 @@
-//! Ended turns: recorded in the store before their callers see the end, and cached.
+//! Records finished turns in the store before their callers see the end, and caches them.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -14,26 +14,27 @@
 use crate::ledger::{LedgerError, LedgerStore, from_cbor, key_of, to_cbor};
 use crate::store::StorePurpose;
 
-/// The longest chain of records that is followed. A chain is written whole at the latest after two
-/// retentions, so that only programs with more turns than this in that time come near it.
+/// The longest chain of records that is followed. A chain is written in full after two retention
+/// periods at the latest, so that only programs with more turns than this in that time reach the
+/// limit.
 const MAX_CHAIN_TURNS: usize = 10_000;
-/// What a record has beside its body, in bytes: key, lengths and names of fields.
+/// The maximum size of a record without its body, in bytes: key, lengths and names of fields.
 const RECORD_OVERHEAD_BYTES: usize = 1_024;
 
-/// The turns as one process knows them.
+/// Reads, records and caches turns.
 pub(crate) struct Turns {
     store: Rc<LedgerStore>,
     cache: RefCell<TurnCache>,
 }
 
-/// A turn with all before it.
+/// A turn with all its predecessors.
 pub(crate) struct FoundTurn {
     pub(crate) turn: Arc<Turn>,
-    /// How many records were read from the store for it.
+    /// The number of records read from the store for it.
     pub(crate) records_read: usize,
 }
 
-/// Turns in memory, the least recently used dropped first.
+/// An LRU cache of turns.
 #[derive(Default)]
 struct TurnCache {
     turns: BTreeMap<String, (Arc<Turn>, u64)>,
@@ -84,9 +85,9 @@
         }
     }
 
-    /// The turn with this id and all before it, from memory, from a peer or from the store.
+    /// Returns a turn with all its predecessors, from memory, from a peer or from the store.
     ///
-    /// `fetch` asks the peer that may have them; once it has not, it is not asked again.
+    /// `fetch` asks the peer that may have them; after its first miss it is not called again.
     pub(crate) async fn get(
         &self,
         id: &str,
@@ -111,8 +112,8 @@
                 None => self.read(&id, deadline).await?,
             };
             let Some(record) = record else {
-                // The newest turn may be one that never was. An older one was written before a
-                // newer one that names it, so its absence means that something is wrong here.
+                // The requested turn may never have existed. A predecessor was recorded before the
+                // turn that names it, so that its absence is a fault of the store.
                 let is_first = records.is_empty();
                 return Err(if is_first {
                     LedgerError::UnknownTurn
@@ -131,14 +132,14 @@
             let turn = record
                 .into_turn(id, base)
                 .map_err(|_| LedgerError::Unavailable)?;
-            base = Some(self.keep(turn));
+            base = Some(self.insert_into_cache(turn));
         }
         let turn = base.ok_or(LedgerError::UnknownTurn)?;
         Ok(FoundTurn { turn, records_read })
     }
 
-    fn keep(&self, mut turn: Turn) -> Arc<Turn> {
-        // Buffers that were read into have up to as much room again.
+    fn insert_into_cache(&self, mut turn: Turn) -> Arc<Turn> {
+        // Copied, because the capacity of read buffers is up to twice their length.
         turn.input = Bytes::copy_from_slice(&turn.input);
         turn.output = Bytes::copy_from_slice(&turn.output);
         let turn = Arc::new(turn);
@@ -147,7 +148,7 @@
         turn
     }
 
-    /// The record of a turn; none only if the store says that there is none.
+    /// Reads the record of a turn; `None` only if the store says that there is none.
     pub(crate) async fn read(
         &self,
         id: &str,
@@ -188,7 +189,7 @@
         Ok(Some(record))
     }
 
-    /// Records an ended turn; once this returns, no loss of processes can lose the turn.
+    /// Records a finished turn; after success, no loss of processes can lose it.
     pub(crate) async fn record(
         &self,
         mut turn: Turn,
@@ -212,12 +213,12 @@
                 return Err(LedgerError::Unavailable);
             }
         }
-        self.keep(turn);
+        self.insert_into_cache(turn);
         Ok(())
     }
 
-    /// The appends of a turn. A body that exceeds a record goes in parts before the record itself,
-    /// so that a reader that finds the record finds all of it.
+    /// Returns the appends of a turn. A body larger than a record is split into parts that are
+    /// written before the record itself, so that a reader that finds the record finds all parts.
     fn batches(&self, turn: &Turn, retain_ms: u64) -> Vec<Vec<KeyedRecord>> {
         let settings = &self.store.settings;
         let key = key_of(&turn.id);
@@ -245,32 +246,32 @@
         batches
     }
 
-    /// The record of a turn that is cached.
+    /// Returns the record of a cached turn.
     pub(crate) fn cached_record(&self, id: &str) -> Option<TurnRecord> {
         let turn = self.cache.borrow_mut().get(id)?;
-        // How long it is kept is only of use in the store.
+        // The retention only matters in the store.
         Some(TurnRecord::of(&turn, 0))
     }
 
-    /// How many turns are cached, and their bytes.
+    /// Returns the number of cached turns and their size in bytes.
     pub(crate) fn cached(&self) -> (usize, usize) {
         let cache = self.cache.borrow();
         (cache.turns.len(), cache.bytes)
     }
 }
 
-/// The key of one part of a turn's body; it sorts right after the turn's own key.
+/// Returns the key of a part of a turn's body; it sorts right after the turn's own key.
 fn part_key(key: &str, number: usize) -> String {
     format!("{key}!{number:04}")
 }
 
-/// Whether `part` is the key of a part of the turn with `key`.
+/// Returns whether `part` is the key of a part of the turn with `key`.
 pub(crate) fn is_part_of(part: &str, key: &str) -> bool {
     part.strip_prefix(key)
         .is_some_and(|rest| rest.starts_with('!'))
 }
 
-/// A key that sorts before `key` with few keys between them.
+/// Returns a key that sorts before `key` with few keys between them.
 fn key_before(key: &str) -> Option<String> {
     let mut before = key.to_owned();
     before.pop();
--- a/clementinepickd/src/partition_reader.rs
+++ b/clementinepickd/src/partition_reader.rs
@@ -1,4 +1,4 @@
-//! Reads a partition of a keyed topic: what is new, or the newest record of each key.
+//! Reads a partition of a keyed topic: new records, or the newest record of each key.
 
 use std::time::Instant;
 
@@ -9,11 +9,12 @@
 use crate::ledger::Partition;
 use crate::store::{StoreCall, StoreClient, StorePurpose, StoreReply, StoreUnavailable};
 
-/// How many answers one reading of what is new takes; each brings up to a megabyte of records. A
-/// reader that is further behind reads the newest records instead, which are fewer.
+/// The maximum number of responses, of up to 1 MB each, in one read of new records. A reader that
+/// is further behind reads the newest record of each key instead, which are fewer.
 const MAX_READS: usize = 8;
 
-/// The records of an answer to a read from an offset; none where those from there are no longer kept.
+/// Returns the records of a response to a read from an offset; `None` if the records from there are
+/// no longer kept.
 pub(crate) fn records_from(
     reply: &StoreReply,
     from: u64,
@@ -22,7 +23,7 @@
         return Ok(None);
     }
     let read = decode_read(&reply.body).map_err(|_| StoreUnavailable)?;
-    // With an earlier end, the partition is not the one that was read before.
+    // An earlier end means that the partition was replaced.
     Ok((read.end >= from).then_some(read))
 }
 
@@ -35,8 +36,8 @@
 }
 
 impl PartitionReader<'_> {
-    /// Gives all records from an offset on to `take`, and returns where the partition ends; none
-    /// where the records from there are no longer kept, also if some of them were given.
+    /// Passes all records from an offset to `take` and returns the end of the partition; `None` if
+    /// records from there are no longer kept, even if some were passed.
     pub(crate) async fn read_from(
         &self,
         partition: Partition,
@@ -50,7 +51,7 @@
             let Some(read) = records_from(&reply, from)? else {
                 return Ok(None);
             };
-            // An answer may hold fewer records than there are.
+            // A response may hold fewer records than there are.
             from += read.records.len() as u64;
             take(read.records);
             if from >= read.end {
@@ -60,7 +61,7 @@
         Ok(None)
     }
 
-    /// Gives the newest record of each key to `take`, page by page, and returns an offset before
+    /// Passes the newest record of each key to `take`, page by page, and returns an offset before
     /// which no record was missed.
     pub(crate) async fn read_newest(
         &self,
@@ -72,7 +73,7 @@
         loop {
             let page = self.newest_page(partition, after.as_deref()).await?;
             // Records may be written between two pages: only those before the first page's end are
-            // certain to have been seen.
+            // certain to have been read.
             let end = *first_end.get_or_insert(page.end);
             after = page.records.last().map(|record| record.key.clone());
             take(page.records);
@@ -82,7 +83,7 @@
         }
     }
 
-    /// A page of the newest records, from the one after the key `after`.
+    /// Returns a page of the newest records, starting after the key `after`.
     pub(crate) async fn newest_page(
         &self,
         partition: Partition,
--- a/clementinepickd/src/process_registry.rs
+++ b/clementinepickd/src/process_registry.rs
@@ -1,4 +1,4 @@
-//! Registers this process in the store, and reads which others are registered.
+//! Registers this process in the store and reads the registered peers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,21 +15,21 @@
 use crate::topic_watch::{POLL_INTERVAL, POLL_TIMEOUT};
 use crate::unix_time::unix_ms;
 
-/// How often this process writes its own entry, so that peers find it.
-const ANNOUNCE: Duration = Duration::from_secs(20);
-/// When it is written the second time: all processes that were started together have written theirs
-/// by then.
-const SECOND_ANNOUNCE: Duration = Duration::from_secs(2);
-/// How long the entry of a process is believed after it was written: two writes may fail, and
-/// clocks may be ten seconds apart.
-const PROCESS_LIFE_MS: u64 = 70_000;
+/// The interval at which this process renews its entry.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(20);
+/// The delay of the second announcement; processes that were started together have written their
+/// entries by then.
+const SECOND_ANNOUNCE_DELAY: Duration = Duration::from_secs(2);
+/// How long the entry of a process is valid: two renewals may fail, and clocks may differ by ten
+/// seconds.
+const ENTRY_LIFETIME_MS: u64 = 70_000;
 
 /// The entry of one process in the store.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct ProcessRecord {
     #[serde(rename = "a")]
     peer_address: SocketAddr,
-    /// The start of the process.
+    /// The id of the process instance.
     #[serde(rename = "i", default)]
     writer: String,
     /// When it was written, in Unix milliseconds by the writer's clock.
@@ -39,14 +39,14 @@
 
 impl ProcessRecord {
     fn is_recent(&self, now_unix_ms: u64) -> bool {
-        now_unix_ms < self.recorded_unix_ms.saturating_add(PROCESS_LIFE_MS)
+        now_unix_ms < self.recorded_unix_ms.saturating_add(ENTRY_LIFETIME_MS)
     }
 }
 
-/// Keeps this process registered, and publishes its peers.
+/// Keeps this process registered and publishes its peers.
 pub(crate) struct ProcessRegistry<'a> {
     identity: Identity,
-    /// Peers that are known without the store.
+    /// Peers from the settings.
     seeds: Vec<SocketAddr>,
     context: FollowerContext<'a>,
     announced_at: Option<Instant>,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Keeps the process registered until this is dropped.
+    /// Renews the registration and reads the peers until dropped.
     pub(crate) async fn run(mut self) {
         loop {
             let now = Instant::now();
@@ -86,12 +86,12 @@
     }
 
     fn is_due(&self, now: Instant) -> bool {
-        let pause = if self.announcements < 2 {
-            SECOND_ANNOUNCE
+        let interval = if self.announcements < 2 {
+            SECOND_ANNOUNCE_DELAY
         } else {
-            ANNOUNCE
+            ANNOUNCE_INTERVAL
         };
-        let is_due = |at: Instant| now.duration_since(at) >= pause;
+        let is_due = |at: Instant| now.duration_since(at) >= interval;
         self.announced_at.is_none_or(is_due)
     }
 
@@ -101,14 +101,14 @@
         let is_written = self.write(deadline).await.is_ok();
         let read = self.processes.poll(self.context.store, now, deadline).await;
         if read.is_err() {
-            // The next round tries again; the client counts the failure.
+            // The next round tries again; the store client counts the failure.
             return;
         }
         if is_written {
             self.announced_at = Some(now);
             self.announcements = self.announcements.saturating_add(1);
         }
-        self.take_processes(unix_ms());
+        self.publish_processes(unix_ms());
     }
 
     async fn write(&self, deadline: Instant) -> Result<(), StoreUnavailable> {
@@ -131,7 +131,7 @@
         }
     }
 
-    fn take_processes(&self, now_unix_ms: u64) {
+    fn publish_processes(&self, now_unix_ms: u64) {
         let entries = self.processes.records().values();
         let mut processes: Vec<PeerEntry> = entries
             .filter_map(|entry| from_cbor::<ProcessRecord>(entry))
@@ -151,11 +151,11 @@
         peers.sort_unstable();
         peers.dedup();
         self.context.store.set_relays(peers.clone());
-        // Others that started with this process had not written their entries at the first look.
-        let has_all = self.announcements > 1;
+        // At the first read, processes that were started together may not have registered yet.
+        let is_complete = self.announcements > 1;
         self.context.publish.send_modify(|directory| {
             directory.peers = Arc::new(peers);
-            if has_all {
+            if is_complete {
                 directory.processes = Arc::new(processes);
             }
         });
--- a/clementinepickd/src/server_follower.rs
+++ b/clementinepickd/src/server_follower.rs
@@ -1,4 +1,4 @@
-//! Follows the list of backend servers in the store.
+//! Follows the list of backend servers in the store and publishes changes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use crate::steady_clock::SteadyClock;
 use crate::topic_watch::TopicWatch;
 
-/// Publishes the registered servers.
+/// Follows the registered servers.
 pub(crate) struct ServerFollower<'a> {
     context: FollowerContext<'a>,
     watch: TopicWatch,
@@ -22,9 +22,9 @@
     outage: ListOutage,
     /// The servers that were published last.
     known: BTreeMap<String, BackendServer>,
-    /// Those of them whose entries have vanished.
+    /// Those of them whose entries have expired and that are kept for now.
     kept: BTreeSet<String>,
-    /// Entries that can't be read, and why.
+    /// Entries that could not be decoded, with the error.
     bad_entries: BTreeMap<String, String>,
 }
 
@@ -44,21 +44,25 @@
     /// Follows the list until this is dropped.
     pub(crate) async fn run(mut self) {
         loop {
-            // Once lapsed entries are believed no more, the list changes without news.
-            let is_settling = !self.kept.is_empty();
-            let reading = self.watch.next(self.context.store, is_settling).await;
-            match reading.result {
-                Ok(has_changed) => self.take(has_changed || is_settling, Instant::now()),
-                // The client counts the failure; an outage is logged as it ends.
-                Err(_) => self.outage.read_failed(self.clock.at(reading.begun)),
+            // Expired entries are removed after a while, which is a change without a new record.
+            let has_kept = !self.kept.is_empty();
+            let poll = self.watch.next(self.context.store, has_kept).await;
+            match poll.result {
+                Ok(has_changed) => self.publish_list(has_changed || has_kept, Instant::now()),
+                // The store client counts the failure; an outage is logged when it ends.
+                Err(_) => self.outage.read_failed(self.clock.at(poll.started_at)),
             }
         }
     }
 
-    /// Takes up a reading that went well.
-    fn take(&mut self, may_differ: bool, now: Instant) {
-        self.note_return(now);
-        let servers = if may_differ { self.newer(now) } else { None };
+    /// Publishes the list after a successful read.
+    fn publish_list(&mut self, may_differ: bool, now: Instant) {
+        self.log_outage_end(now);
+        let servers = if may_differ {
+            self.new_servers(now)
+        } else {
+            None
+        };
         self.context.publish.send_modify(|directory| {
             directory.servers_read_at = Some(now);
             if let Some(servers) = servers {
@@ -67,7 +71,7 @@
         });
     }
 
-    fn note_return(&mut self, now: Instant) {
+    fn log_outage_end(&mut self, now: Instant) {
         let Some(ended) = self.outage.read_succeeded(self.clock.at(now)) else {
             return;
         };
@@ -77,15 +81,15 @@
         write_event(self.context.logger, &event);
     }
 
-    /// The servers to use from now on, if they are others than before.
-    fn newer(&mut self, now: Instant) -> Option<BTreeMap<String, BackendServer>> {
+    /// Returns the servers to publish, if they have changed.
+    fn new_servers(&mut self, now: Instant) -> Option<BTreeMap<String, BackendServer>> {
         let mut servers = self.decode();
         let kept = if self.outage.keeps_lapsed(self.clock.at(now)) {
             keep_lapsed(&mut servers, &self.known)
         } else {
             BTreeSet::new()
         };
-        self.note_kept(kept);
+        self.log_kept(kept);
         if servers == self.known {
             return None;
         }
@@ -107,12 +111,12 @@
                 }
             }
         }
-        self.note_bad_entries(bad_entries);
+        self.log_bad_entries(bad_entries);
         servers
     }
 
-    /// Logs entries that can't be read, once for each reason.
-    fn note_bad_entries(&mut self, bad_entries: BTreeMap<String, String>) {
+    /// Logs entries that cannot be decoded, once for each error.
+    fn log_bad_entries(&mut self, bad_entries: BTreeMap<String, String>) {
         for (id, reason) in &bad_entries {
             if self.bad_entries.get(id) != Some(reason) {
                 let event = Event::new(EventKind::ServerEntryUnreadable);
@@ -123,8 +127,8 @@
         self.bad_entries = bad_entries;
     }
 
-    /// Logs which servers are kept from now on.
-    fn note_kept(&mut self, kept: BTreeSet<String>) {
+    /// Logs servers that are newly kept.
+    fn log_kept(&mut self, kept: BTreeSet<String>) {
         for id in kept.difference(&self.kept) {
             let event = Event::new(EventKind::ServerKept).with("server", id);
             write_event(self.context.logger, &event);
@@ -134,8 +138,8 @@
 
     fn log_changes(&self, servers: &BTreeMap<String, BackendServer>) {
         for (id, server) in servers {
-            let old = self.known.get(id);
-            if old.is_none_or(|old| old.is_draining != server.is_draining) {
+            let previous = self.known.get(id);
+            if previous.is_none_or(|previous| previous.is_draining != server.is_draining) {
                 let state = if server.is_draining {
                     "draining"
                 } else {
@@ -161,11 +165,11 @@
     }
 }
 
-/// Keeps entries that lapsed while the store was away, until their servers had time to come back;
-/// returns the servers that are kept.
+/// Keeps servers whose entries expired during a store outage until they had time to register again;
+/// returns those that are kept.
 ///
-/// Without this, a return of the store would take all servers away at once, and every request in
-/// those two seconds would be refused. A server that is really gone costs one failed connection.
+/// Without this, all servers would disappear at once when the store returns, and every request
+/// would be refused until they register. A server that is really gone costs one failed connection.
 fn keep_lapsed(
     servers: &mut BTreeMap<String, BackendServer>,
     known: &BTreeMap<String, BackendServer>,
--- a/clementinepickd/src/store.rs
+++ b/clementinepickd/src/store.rs
@@ -1,7 +1,7 @@
-//! The client of the platform's store, direct or through a peer.
+//! Calls the platform's store, directly or through a peer.
 //!
 //! Every call may be repeated: reads change nothing, appends of turns carry records that never
-//! change, and appends of budget slices carry a condition that only one of their copies can meet.
+//! change, and appends of budget slices carry a condition that only one copy can meet.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -21,66 +21,67 @@
 use crate::outbound::{OutboundError, Outgoing};
 use crate::outbound_pool::Pool;
 
-/// The longest that one try may take. A store that is 60 times slower than usual answers within
-/// 300 ms; one that answers later is treated like one that is away.
-const TRY_LIMIT: Duration = Duration::from_millis(600);
-/// The shortest limit of a try. A store that usually answers in 10 ms and has not done so after this
-/// time will mostly not do so at all, and a peer may reach it.
-const MIN_TRY_LIMIT: Duration = Duration::from_millis(150);
-/// A try may take this many times the mean of those that succeeded; the slowest of a thousand
-/// answers of a store that is well takes four times the mean.
-const LIMIT_MEANS: u32 = 8;
-/// The weight of one answer in the mean, as a divisor.
+/// The maximum timeout of one attempt. A store that responds later counts as unavailable.
+const MAX_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(600);
+/// The minimum timeout of one attempt. A store that usually responds in 10 ms and has not done so
+/// in this time probably will not respond at all, while a peer may reach it.
+const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(150);
+/// The timeout of an attempt as a multiple of the mean response time; the slowest of a thousand
+/// responses of a healthy store takes four times the mean.
+const TIMEOUT_MEANS: u32 = 8;
+/// The divisor of the moving average of response times.
 const MEAN_DIVISOR: u32 = 8;
-/// How long a connection may take to open.
-const CONNECT_LIMIT: Duration = Duration::from_millis(300);
-/// Failures in a row after which the store counts as away, and one call at a time tries it: so many
-/// in a row are rarer than one in a thousand where one answer in ten is lost.
-const AWAY_FAILURES: u32 = 3;
-/// The first pause after a failure; it doubles.
-const FIRST_PAUSE: Duration = Duration::from_millis(20);
-/// The longest pause between two tries, which is what a return of the store may go unnoticed.
-const MAX_PAUSE: Duration = Duration::from_millis(200);
-/// The largest answer that is read, in bytes: a page of records has 1 MB, in base64 with its keys.
-const MAX_ANSWER_BYTES: usize = 2_097_152;
-
-/// The store gave no answer before the deadline; an append may or may not have been done.
+/// How long opening a connection may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// The number of consecutive failures after which the store counts as unavailable and only one call
+/// at a time is attempted. If one response in ten is lost, so many consecutive losses are rarer
+/// than one in a thousand.
+const UNAVAILABLE_FAILURES: u32 = 3;
+/// The first backoff after a failure; it doubles with each one.
+const MIN_BACKOFF: Duration = Duration::from_millis(20);
+/// The maximum backoff between two attempts, and thus the time for which a recovered store may go
+/// unnoticed.
+const MAX_BACKOFF: Duration = Duration::from_millis(200);
+/// The maximum size of a response, in bytes: a page of 1 MB of records, in base64 with its keys.
+const MAX_RESPONSE_BYTES: usize = 2_097_152;
+
+/// The store did not respond before the deadline; an append may or may not have been done.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("the store is away")]
+#[error("the store is unavailable")]
 pub(crate) struct StoreUnavailable;
 
-/// An answer of the store other than that nothing was done.
+/// A response of the store, other than a refusal.
 #[derive(Debug, Clone)]
 pub(crate) struct StoreReply {
     pub(crate) status: u16,
     pub(crate) body: Bytes,
 }
 
-/// What a call is for.
+/// The purpose of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum StorePurpose {
-    /// The configuration, the servers and the peers are followed.
+    /// Follow the configuration, the servers or the peers.
     Follow,
-    /// This process's entry is written.
+    /// Write this process's entry.
     Announce,
-    /// A slice of a budget is written.
+    /// Write a slice or a home of a budget partition.
     ReserveSlice,
-    /// Slices of budgets are read.
+    /// Read a budget partition.
     ReadSlices,
-    /// An ended turn is written.
+    /// Write a finished turn.
     RecordTurn,
-    /// Ended turns are read.
+    /// Read finished turns.
     ReadTurn,
-    /// Old records are looked for and dropped.
+    /// Find and delete expired records.
     Sweep,
-    /// Only whether the store answers matters.
+    /// Check whether the store responds.
     Probe,
-    /// A peer asked for the call.
+    /// Make a call for a peer.
     Relay,
 }
 
 impl StorePurpose {
-    /// The name in metrics.
+    /// Returns the name used in metrics.
     pub(crate) fn label(self) -> &'static str {
         match self {
             Self::Follow => "follow",
@@ -96,7 +97,7 @@
     }
 }
 
-/// One call.
+/// A call to the store.
 #[derive(Debug, Clone)]
 pub(crate) struct StoreCall {
     pub(crate) purpose: StorePurpose,
@@ -106,7 +107,7 @@
 }
 
 impl StoreCall {
-    /// A call that reads.
+    /// Creates a call that reads.
     pub(crate) fn get(purpose: StorePurpose, target: String) -> Self {
         Self {
             purpose,
@@ -116,7 +117,7 @@
         }
     }
 
-    /// A call that writes.
+    /// Creates a call that writes.
     pub(crate) fn post(purpose: StorePurpose, target: String, body: Bytes) -> Self {
         Self {
             purpose,
@@ -127,7 +128,7 @@
     }
 }
 
-/// How calls went, for metrics.
+/// The counts of call attempts, for metrics and logs.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct StoreCounts {
     pub(crate) calls: u64,
@@ -135,27 +136,27 @@
     pub(crate) relayed: u64,
 }
 
-/// The client; one for each thread that uses the store.
+/// A client of the store; one for each thread that uses the store.
 pub(crate) struct StoreClient {
     address: SocketAddr,
     pool: Pool,
     relays: RefCell<Vec<SocketAddr>>,
-    /// The peer that last made a call for this process.
+    /// The peer that last relayed a call of this process.
     relay: Cell<Option<SocketAddr>>,
-    /// Failures in a row, over all ways.
+    /// The number of consecutive failures, direct and relayed.
     failures: Cell<u32>,
-    /// Whether the last direct try failed.
+    /// Whether the last direct attempt failed.
     is_direct_down: Cell<bool>,
     mean: Cell<Duration>,
-    away_since: Cell<Option<Instant>>,
+    failing_since: Cell<Option<Instant>>,
     is_probing: Cell<bool>,
-    came_back: Notify,
+    recovered: Notify,
     counts: Cell<StoreCounts>,
     metrics: Arc<GatewayMetrics>,
 }
 
 impl StoreClient {
-    /// A client of the store at `address`, which counts its calls in `metrics`.
+    /// Creates a client of the store at `address`, which counts its calls in `metrics`.
     pub(crate) fn new(address: SocketAddr, metrics: Arc<GatewayMetrics>) -> Self {
         Self {
             metrics,
@@ -165,31 +166,31 @@
             relay: Cell::new(None),
             failures: Cell::new(0),
             is_direct_down: Cell::new(false),
-            mean: Cell::new(MIN_TRY_LIMIT / LIMIT_MEANS),
-            away_since: Cell::new(None),
+            mean: Cell::new(MIN_ATTEMPT_TIMEOUT / TIMEOUT_MEANS),
+            failing_since: Cell::new(None),
             is_probing: Cell::new(false),
-            came_back: Notify::new(),
+            recovered: Notify::new(),
             counts: Cell::default(),
         }
     }
 
-    /// Sets the peers through which calls may go while the store does not answer this process.
+    /// Sets the peers that relay calls while the store does not respond to this process.
     pub(crate) fn set_relays(&self, relays: Vec<SocketAddr>) {
         *self.relays.borrow_mut() = relays;
     }
 
-    /// Whether several calls in a row failed.
+    /// Returns whether the store counts as unavailable, directly and through peers.
     pub(crate) fn is_unavailable(&self) -> bool {
-        self.failures.get() >= AWAY_FAILURES
+        self.failures.get() >= UNAVAILABLE_FAILURES
     }
 
-    /// For how long the store has been away; zero while it answers.
+    /// Returns how long the store has been unavailable; zero while it is available.
     pub(crate) fn unavailable_for(&self, now: Instant) -> Duration {
-        let since = self.away_since.get().filter(|_| self.is_unavailable());
+        let since = self.failing_since.get().filter(|_| self.is_unavailable());
         since.map_or(Duration::ZERO, |at| now.saturating_duration_since(at))
     }
 
-    /// Whether the store does not answer this process itself.
+    /// Returns whether the store does not respond to this process directly.
     pub(crate) fn is_direct_down(&self) -> bool {
         self.is_direct_down.get()
     }
@@ -202,13 +203,13 @@
         self.pool.close_stale(now);
     }
 
-    /// Makes a call until an answer comes or the deadline passes.
+    /// Repeats a call until it gets a response or the deadline passes.
     pub(crate) async fn call(
         &self,
         call: &StoreCall,
         deadline: Instant,
     ) -> Result<StoreReply, StoreUnavailable> {
-        let mut pause = FIRST_PAUSE;
+        let mut backoff = MIN_BACKOFF;
         loop {
             let now = Instant::now();
             let left = deadline.saturating_duration_since(now);
@@ -216,45 +217,45 @@
                 return Err(StoreUnavailable);
             }
             if self.is_unavailable() && self.is_probing.get() {
-                // Another call tries already. Each waiting call would otherwise load the store just
-                // as it returns, and be charged for.
-                let _ = timeout(left.min(MAX_PAUSE), self.came_back.notified()).await;
+                // Another call is probing the store. If every waiting call did, all would load the
+                // store just as it recovers.
+                let _ = timeout(left.min(MAX_BACKOFF), self.recovered.notified()).await;
                 continue;
             }
-            let is_probe = self.is_unavailable();
-            let probing = is_probe.then(|| Probing::new(&self.is_probing));
+            let should_probe = self.is_unavailable();
+            let probe_guard = should_probe.then(|| ProbeGuard::new(&self.is_probing));
             let reply = self.try_once(call, left).await;
-            drop(probing);
+            drop(probe_guard);
             if let Some(reply) = reply {
                 return Ok(reply);
             }
-            let jitter_us = rand::rng().random_range(0..=pause.as_micros());
+            let jitter_us = rand::rng().random_range(0..=backoff.as_micros());
             let jitter = Duration::from_micros(u64::try_from(jitter_us).unwrap_or(0));
             let left = deadline.saturating_duration_since(Instant::now());
-            sleep((pause / 2 + jitter).min(left)).await;
-            pause = (pause * 2).min(MAX_PAUSE);
+            sleep((backoff / 2 + jitter).min(left)).await;
+            backoff = (backoff * 2).min(MAX_BACKOFF);
         }
     }
 
-    /// Makes a call directly, once, whose answer the store holds back for up to `wait`.
+    /// Makes one direct attempt of a long-polling call, which the store may hold for up to `wait`.
     pub(crate) async fn call_long_poll(
         &self,
         call: &StoreCall,
         wait: Duration,
     ) -> Result<StoreReply, StoreUnavailable> {
-        let limit = wait + self.try_limit();
+        let limit = wait + self.attempt_timeout();
         let reply = self.exchange_once(self.address, call, limit).await;
         self.is_direct_down.set(reply.is_none());
-        self.note(false, reply.is_some(), true);
+        self.record_outcome(false, reply.is_some(), true);
         reply.ok_or(StoreUnavailable)
     }
 
-    /// How long a direct try may take, by how long the last ones took.
-    fn try_limit(&self) -> Duration {
-        (self.mean.get() * LIMIT_MEANS).clamp(MIN_TRY_LIMIT, TRY_LIMIT)
+    /// Returns the timeout of a direct attempt, by recent response times.
+    fn attempt_timeout(&self) -> Duration {
+        (self.mean.get() * TIMEOUT_MEANS).clamp(MIN_ATTEMPT_TIMEOUT, MAX_ATTEMPT_TIMEOUT)
     }
 
-    /// One try, direct or through a peer; none when it failed or nothing was done.
+    /// Makes one attempt, direct or relayed; `None` if it failed or the store refused.
     async fn try_once(&self, call: &StoreCall, left: Duration) -> Option<StoreReply> {
         match self.pick_relay() {
             Some(relay) => self.try_relay(relay, call, left).await,
@@ -263,19 +264,19 @@
     }
 
     async fn try_direct(&self, call: &StoreCall, left: Duration) -> Option<StoreReply> {
-        let limit = self.try_limit();
-        let begun = Instant::now();
+        let limit = self.attempt_timeout();
+        let started_at = Instant::now();
         let reply = self
             .exchange_once(self.address, call, left.min(limit))
             .await;
-        let took = begun.elapsed();
+        let took = started_at.elapsed();
         if reply.is_some() || left >= limit {
             let mean = self.mean.get();
-            let sum = mean * (MEAN_DIVISOR - 1) + took.min(TRY_LIMIT);
-            self.mean.set(sum / MEAN_DIVISOR);
+            let weighted_sum = mean * (MEAN_DIVISOR - 1) + took.min(MAX_ATTEMPT_TIMEOUT);
+            self.mean.set(weighted_sum / MEAN_DIVISOR);
             self.is_direct_down.set(reply.is_none());
         }
-        self.note(false, reply.is_some(), left >= limit);
+        self.record_outcome(false, reply.is_some(), left >= limit);
         reply
     }
 
@@ -285,9 +286,11 @@
         call: &StoreCall,
         left: Duration,
     ) -> Option<StoreReply> {
-        let reply = self.exchange_once(relay, call, left.min(TRY_LIMIT)).await;
+        let reply = self
+            .exchange_once(relay, call, left.min(MAX_ATTEMPT_TIMEOUT))
+            .await;
         self.relay.set(reply.is_some().then_some(relay));
-        self.note(true, reply.is_some(), left >= TRY_LIMIT);
+        self.record_outcome(true, reply.is_some(), left >= MAX_ATTEMPT_TIMEOUT);
         reply
     }
 
@@ -297,7 +300,7 @@
         call: &StoreCall,
         limit: Duration,
     ) -> Option<StoreReply> {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let result = timeout(limit, self.exchange(address, call)).await;
         let (outcome, reply) = match result {
             Err(_) => ("silent", None),
@@ -308,20 +311,22 @@
         };
         let purpose = call.purpose.label();
         self.metrics
-            .count_store_call(purpose, outcome, begun.elapsed());
+            .count_store_call(purpose, outcome, started_at.elapsed());
         reply
     }
 
-    /// Makes a call directly, once; for peers that can't reach the store themselves.
+    /// Makes one direct attempt for a peer that cannot reach the store itself.
     pub(crate) async fn relay_once(&self, call: &StoreCall) -> Option<StoreReply> {
         if self.is_direct_down() {
             return None;
         }
-        self.exchange_once(self.address, call, TRY_LIMIT).await
+        self.exchange_once(self.address, call, MAX_ATTEMPT_TIMEOUT)
+            .await
     }
 
-    /// The peer for the next try: while the direct way is down, the one that helped last, or any.
-    /// Every other failure is followed by a direct try, in case no peer can help.
+    /// Returns the relay for the next attempt while direct calls fail: the peer that relayed the
+    /// last call, or any. While the store is unavailable, every second attempt is direct, in case
+    /// no peer can help.
     fn pick_relay(&self) -> Option<SocketAddr> {
         if !self.is_direct_down() || self.failures.get().is_multiple_of(2) && self.is_unavailable()
         {
@@ -335,33 +340,33 @@
         Some(self.relay.get().unwrap_or(any))
     }
 
-    /// Tries the direct way while it is down, so that no request has to.
+    /// Probes the store directly while direct calls fail, so that no request has to.
     pub(crate) async fn probe(&self) {
         if self.is_direct_down() {
             let target = newest_target(&Topic::Config, 0, None);
             let call = StoreCall::get(StorePurpose::Probe, target);
-            // Only whether the store answers matters, and that is noted on the way.
-            let _ = self.try_direct(&call, TRY_LIMIT).await;
+            // Only the recorded outcome matters.
+            let _ = self.try_direct(&call, MAX_ATTEMPT_TIMEOUT).await;
         }
     }
 
-    fn note(&self, was_relayed: bool, is_ok: bool, had_full_time: bool) {
+    fn record_outcome(&self, was_relayed: bool, is_ok: bool, had_full_timeout: bool) {
         let mut counts = self.counts.get();
         counts.calls += 1;
         counts.relayed += u64::from(was_relayed);
         counts.failures += u64::from(!is_ok);
         self.counts.set(counts);
         if is_ok {
-            let was_away = self.is_unavailable();
+            let was_unavailable = self.is_unavailable();
             self.failures.set(0);
-            self.away_since.set(None);
-            if was_away {
-                self.came_back.notify_waiters();
+            self.failing_since.set(None);
+            if was_unavailable {
+                self.recovered.notify_waiters();
             }
-        } else if had_full_time {
+        } else if had_full_timeout {
             self.failures.set(self.failures.get().saturating_add(1));
-            if self.away_since.get().is_none() {
-                self.away_since.set(Some(Instant::now()));
+            if self.failing_since.get().is_none() {
+                self.failing_since.set(Some(Instant::now()));
             }
         }
     }
@@ -372,7 +377,7 @@
         call: &StoreCall,
     ) -> Result<StoreReply, OutboundError> {
         let now = Instant::now();
-        let mut connection = self.pool.connection(address, CONNECT_LIMIT, now).await?;
+        let mut connection = self.pool.connection(address, CONNECT_TIMEOUT, now).await?;
         let target = call.target.parse::<Uri>();
         let request = Outgoing {
             method: call.method.clone(),
@@ -381,7 +386,7 @@
             body: call.body.clone(),
         };
         let head = connection.exchange(&request).await?;
-        let body = connection.body(MAX_ANSWER_BYTES).await?;
+        let body = connection.body(MAX_RESPONSE_BYTES).await?;
         self.pool.give_back(address, connection, Instant::now());
         Ok(StoreReply {
             status: head.status.as_u16(),
@@ -393,12 +398,12 @@
 /// The status of an append whose condition did not hold.
 const STATUS_CONFLICT: u16 = 412;
 
-/// Whether a status says that nothing was done and the call may be made again.
+/// Returns whether a status says that nothing was done and the call may be repeated.
 fn is_refusal(status: u16) -> bool {
     status == 429 || status >= 500
 }
 
-/// The headers of a request that has only a host.
+/// Returns headers with only the host.
 pub(crate) fn host_header(address: SocketAddr) -> HeaderMap {
     let mut headers = HeaderMap::new();
     if let Ok(host) = address.to_string().parse() {
@@ -407,17 +412,17 @@
     headers
 }
 
-/// Marks that a call tries whether the store is back, until it is dropped.
-struct Probing<'a>(&'a Cell<bool>);
+/// Marks that a call is probing the store, until dropped.
+struct ProbeGuard<'a>(&'a Cell<bool>);
 
-impl<'a> Probing<'a> {
+impl<'a> ProbeGuard<'a> {
     fn new(flag: &'a Cell<bool>) -> Self {
         flag.set(true);
         Self(flag)
     }
 }
 
-impl Drop for Probing<'_> {
+impl Drop for ProbeGuard<'_> {
     fn drop(&mut self) {
         self.0.set(false);
     }
