--- a/clementinepickd/src/budget_messages.rs
+++ b/clementinepickd/src/budget_messages.rs
@@ -26,9 +26,9 @@
     /// Whether other turns may continue from this one.
     #[serde(rename = "k")]
     pub(crate) keeps_context: bool,
-    /// The turn's line (conversation branch), preceded by those that it branched off from.
+    /// The turn's chain, preceded by those that it branched off from.
     #[serde(rename = "l", default, skip_serializing_if = "Vec::is_empty")]
-    pub(crate) lines: Vec<String>,
+    pub(crate) turn_chains: Vec<String>,
     /// The gateway that runs the turn.
     #[serde(rename = "f")]
     pub(crate) runner: SocketAddr,
@@ -56,8 +56,9 @@
         tokens: Option<Tokens>,
         /// The gateway that ran the turn that this one continues from.
         previous_at: Option<SocketAddr>,
-        /// The server that ran the last turn of the line.
-        line_server: Option<String>,
+        /// The server that ran the last turn of the turn chain.
+        #[serde(rename = "line_server")]
+        chain_server: Option<String>,
     },
     /// The budget is fully reserved.
     Spent {
@@ -80,7 +81,7 @@
     pub(crate) program: String,
     #[serde(rename = "t")]
     pub(crate) tokens: Tokens,
-    /// The turn's line and the server that it was sent to.
+    /// The turn's chain and the server that it was sent to.
     #[serde(rename = "l", default, skip_serializing_if = "Option::is_none")]
     pub(crate) placed: Option<(String, String)>,
 }
--- a/clementinepickd/src/gateway_budget.rs
+++ b/clementinepickd/src/gateway_budget.rs
@@ -43,9 +43,9 @@
     pub(crate) hold: BudgetHold,
     /// The gateway that ran the previous turn and has it in memory, if the home knows it.
     pub(crate) previous_at: Option<SocketAddr>,
-    /// The server that ran the last turn of this line (conversation branch) or of the one it
-    /// branched off from, if the home knows it.
-    pub(crate) line_server: Option<String>,
+    /// The server that ran the last turn of this turn chain or of the one it branched off from, if
+    /// the home knows it.
+    pub(crate) chain_server: Option<String>,
 }
 
 impl Reserved {
@@ -54,7 +54,7 @@
         Self {
             hold,
             previous_at: None,
-            line_server: None,
+            chain_server: None,
         }
     }
 }
@@ -68,14 +68,14 @@
 ) -> Result<Reserved, LedgerError> {
     if shared.budgets.held_home(request.program).is_some() {
         let previous_at = record_runner(shared, request, shared.peer_address);
-        let lines = request.lines.iter().map(|part| part.id.as_str());
-        let line_server = line_server(shared, lines);
+        let turn_chains = request.turn_chains.iter().map(|part| part.id.as_str());
+        let chain_server = chain_server(shared, turn_chains);
         let hold = reserve_hold(shared, trace, request, deadline).await?;
         request_prefetch(shared, request);
         return Ok(Reserved {
             hold,
             previous_at,
-            line_server,
+            chain_server,
         });
     }
     if let Some(hold) = shared.budgets.start_held(request, Instant::now()) {
@@ -87,8 +87,8 @@
             trace.add_field("budget_from", &"home");
             Ok(reserved)
         }
-        Some(Err(spent)) => {
-            let hold = borrow_if_spent(shared, trace, request, spent).await?;
+        Some(Err(exhausted)) => {
+            let hold = borrow_if_exhausted(shared, trace, request, exhausted).await?;
             Ok(Reserved::without_home(hold))
         }
         None => {
@@ -111,31 +111,34 @@
     request.previous_id.and_then(|id| runners.get(id)).copied()
 }
 
-/// Returns the server of the last of these lines for which this home knows one.
+/// Returns the server of the last of these turn chains for which this home knows one.
 ///
-/// Any gateway may receive a turn. Without this, each gateway would place a line by its own
-/// ranking, and a server that does not have the line's context would read the prompt again.
-pub(crate) fn line_server<'a>(
+/// Any gateway may receive a turn. Without this, each gateway would place a turn chain by its own
+/// ranking, and a server that does not have the chain's context would read the prompt again.
+pub(crate) fn chain_server<'a>(
     shared: &Shared,
-    lines: impl DoubleEndedIterator<Item = &'a str>,
+    turn_chains: impl DoubleEndedIterator<Item = &'a str>,
 ) -> Option<String> {
-    let line_servers = shared.homes.line_servers.borrow();
-    lines.rev().find_map(|line| line_servers.get(line)).cloned()
+    let chain_servers = shared.homes.chain_servers.borrow();
+    turn_chains
+        .rev()
+        .find_map(|turn_chain| chain_servers.get(turn_chain))
+        .cloned()
 }
 
-/// Records at the home, or in the hold for a remote home, where the line of a turn was placed.
+/// Records at the home, or in the hold for a remote home, which server a turn chain was placed on.
 pub(crate) fn record_placement(
     shared: &Shared,
     hold: &mut BudgetHold,
     program: &str,
-    line: &str,
+    turn_chain: &str,
     server: &str,
 ) {
     if hold.is_borrowed() {
-        hold.record_placement(line, server);
+        hold.record_placement(turn_chain, server);
     } else if shared.budgets.held_home(program).is_some() {
-        let mut line_servers = shared.homes.line_servers.borrow_mut();
-        line_servers.insert(line, server.to_owned());
+        let mut chain_servers = shared.homes.chain_servers.borrow_mut();
+        chain_servers.insert(turn_chain, server.to_owned());
     }
 }
 
@@ -172,18 +175,18 @@
             trace.add_field("budget_from", &"store");
             Ok(hold)
         }
-        Err(err) => borrow_if_spent(shared, trace, request, err).await,
+        Err(err) => borrow_if_exhausted(shared, trace, request, err).await,
     }
 }
 
 /// Borrows from peers if the budget is fully reserved; returns all other errors.
-async fn borrow_if_spent(
+async fn borrow_if_exhausted(
     shared: &Rc<Shared>,
     trace: &Trace,
     request: &BudgetRequest<'_>,
     err: LedgerError,
 ) -> Result<BudgetHold, LedgerError> {
-    let LedgerError::Spent { holders, .. } = &err else {
+    let LedgerError::Exhausted { holders, .. } = &err else {
         return Err(err);
     };
     // Borrowed tokens are held by processes that the ledger does not name as holders.
@@ -216,7 +219,11 @@
         turn_id: request.turn_id.to_owned(),
         previous_id: request.previous_id.map(str::to_owned),
         keeps_context: request.keeps_context,
-        lines: request.lines.iter().map(|part| part.id.clone()).collect(),
+        turn_chains: request
+            .turn_chains
+            .iter()
+            .map(|part| part.id.clone())
+            .collect(),
         runner: shared.peer_address,
         program: request.program.to_owned(),
         budget: request.budget,
@@ -242,7 +249,7 @@
                 writer,
                 tokens,
                 previous_at,
-                line_server,
+                chain_server,
             }) => {
                 let lender = Lender { address, writer };
                 let turn = tokens.unwrap_or(request.turn);
@@ -251,11 +258,11 @@
                 return Some(Ok(Reserved {
                     hold,
                     previous_at,
-                    line_server,
+                    chain_server,
                 }));
             }
             Some(ReserveResponse::Spent { reserved, holders }) => {
-                return Some(Err(LedgerError::Spent { reserved, holders }));
+                return Some(Err(LedgerError::Exhausted { reserved, holders }));
             }
             Some(ReserveResponse::Elsewhere { home: Some(home) }) if home != address => {
                 shared.homes.set_known_home(request.program, home);
--- a/clementinepickd/src/gateway_budget_peer.rs
+++ b/clementinepickd/src/gateway_budget_peer.rs
@@ -11,7 +11,7 @@
     LEND_PATH, LendRequest, RESERVE_PATH, RETURN_PATH, ReserveRequest, ReserveResponse,
     ReturnedTokens,
 };
-use crate::gateway_budget::{line_server, log_grant, record_runner};
+use crate::gateway_budget::{chain_server, log_grant, record_runner};
 use crate::gateway_prefetch::request_prefetch;
 use crate::gateway_shared::Shared;
 use crate::ledger::{LedgerError, from_cbor, to_cbor};
@@ -30,13 +30,13 @@
         turn_id: &peer_request.turn_id,
         previous_id: peer_request.previous_id.as_deref(),
         keeps_context: peer_request.keeps_context,
-        lines: &[],
+        turn_chains: &[],
     };
     let lent = |tokens: Tokens| ReserveResponse::Lent {
         writer: shared.budgets.writer.clone(),
         tokens: Some(tokens),
         previous_at: record_runner(shared, &request, peer_request.runner),
-        line_server: line_server(shared, peer_request.lines.iter().map(String::as_str)),
+        chain_server: chain_server(shared, peer_request.turn_chains.iter().map(String::as_str)),
     };
     if shared.budgets.held_home(&peer_request.program).is_none() {
         let home = shared.homes.known_home(&peer_request.program);
@@ -70,7 +70,7 @@
             hold.lend_out();
             lent(request.turn)
         }
-        Err(LedgerError::Spent { reserved, holders }) => {
+        Err(LedgerError::Exhausted { reserved, holders }) => {
             ReserveResponse::Spent { reserved, holders }
         }
         Err(_) => ReserveResponse::Away,
@@ -96,9 +96,9 @@
                     shared
                         .budgets
                         .take_back(&unused.writer, &unused.program, tokens);
-                    if let Some((line, server)) = unused.placed {
-                        let mut line_servers = shared.homes.line_servers.borrow_mut();
-                        line_servers.insert(&line, server);
+                    if let Some((turn_chain, server)) = unused.placed {
+                        let mut chain_servers = shared.homes.chain_servers.borrow_mut();
+                        chain_servers.insert(&turn_chain, server);
                     }
                 }
                 (200, to_cbor(&()))
--- a/clementinepickd/src/gateway_prefetch.rs
+++ b/clementinepickd/src/gateway_prefetch.rs
@@ -50,7 +50,7 @@
             turn_id: "-",
             previous_id: None,
             keeps_context: false,
-            lines: &[],
+            turn_chains: &[],
         };
         let deadline = Instant::now() + PREFETCH_TIMEOUT;
         // Errors are ignored: the turn that needs the slice meets the same error and logs it.
--- a/clementinepickd/src/gateway_stream.rs
+++ b/clementinepickd/src/gateway_stream.rs
@@ -59,12 +59,12 @@
     reply: &mut Reply<'_>,
 ) -> Result<Result<(), Refusal>, CallerDisconnected> {
     let deadline = store_deadline(routed);
-    let (hold, previous_at, line_server) =
+    let (hold, previous_at, chain_server) =
         match reserve(shared, routed, trace, max_turn_tokens(routed), deadline).await {
             Ok(Some(reserved)) => (
                 Some(reserved.hold),
                 reserved.previous_at,
-                reserved.line_server,
+                reserved.chain_server,
             ),
             Ok(None) => (None, None, None),
             Err(refusal) => return Ok(Err(refusal)),
@@ -84,7 +84,7 @@
         last_server: previous
             .as_ref()
             .and_then(|turn| turn.server.clone())
-            .or(line_server),
+            .or(chain_server),
         previous,
         server: None,
         is_out_of_budget: false,
@@ -163,12 +163,12 @@
             .as_deref()
             .filter(|_| keeps_context),
         keeps_context,
-        lines: routed.info.parts.get(1..).unwrap_or_default(),
+        turn_chains: routed.info.parts.get(1..).unwrap_or_default(),
     };
     match gateway_budget::reserve(shared, trace, &request, deadline).await {
         Ok(reserved) => Ok(Some(reserved)),
         Err(err) => {
-            if let LedgerError::Spent { reserved, .. } = &err {
+            if let LedgerError::Exhausted { reserved, .. } = &err {
                 trace.add_field("budget", &request.budget);
                 trace.add_field("reserved", reserved);
             }
@@ -193,7 +193,7 @@
 fn to_refusal(err: &LedgerError) -> Refusal {
     match err {
         LedgerError::Unavailable => Refusal::LedgerAway,
-        LedgerError::Spent { .. } => Refusal::BudgetSpent,
+        LedgerError::Exhausted { .. } => Refusal::BudgetSpent,
         LedgerError::UnknownTurn => Refusal::UnknownTurn,
     }
 }
@@ -253,9 +253,11 @@
     fn record_placement(&mut self, server: &str) {
         self.server = Some(server.to_owned());
         let info = self.routed.info;
-        let line = info.parts.get(1..).and_then(<[PromptPart]>::last);
-        if let (Some(hold), Some(program), Some(line)) = (&mut self.hold, &info.program, line) {
-            gateway_budget::record_placement(self.shared, hold, program, &line.id, server);
+        let turn_chain = info.parts.get(1..).and_then(<[PromptPart]>::last);
+        if let (Some(hold), Some(program), Some(turn_chain)) =
+            (&mut self.hold, &info.program, turn_chain)
+        {
+            gateway_budget::record_placement(self.shared, hold, program, &turn_chain.id, server);
         }
     }
 
--- a/clementinepickd/src/ledger.rs
+++ b/clementinepickd/src/ledger.rs
@@ -68,7 +68,7 @@
     Unavailable,
     /// The budget is fully reserved.
     #[error("the budget is fully reserved: {reserved} tokens")]
-    Spent {
+    Exhausted {
         /// The tokens of all slices.
         reserved: Tokens,
         /// The processes that hold slices.
--- a/clementinepickd/src/ledger_budgets.rs
+++ b/clementinepickd/src/ledger_budgets.rs
@@ -52,8 +52,8 @@
     pub(crate) previous_id: Option<&'a str>,
     /// Whether other turns may continue from this one.
     pub(crate) keeps_context: bool,
-    /// The turn's line (conversation branch), preceded by those that it branched off from.
-    pub(crate) lines: &'a [PromptPart],
+    /// The turn's chain, preceded by those that it branched off from.
+    pub(crate) turn_chains: &'a [PromptPart],
 }
 
 /// Why a slice is reserved.
@@ -270,7 +270,7 @@
             } else {
                 match view.decide(request.program, request.budget, request.turn) {
                     SliceDecision::Spent => {
-                        return Err(LedgerError::Spent {
+                        return Err(LedgerError::Exhausted {
                             reserved: view.reserved(request.program, request.budget),
                             holders: view.holders(request.program),
                         });
--- a/clementinepickd/src/ledger_holds.rs
+++ b/clementinepickd/src/ledger_holds.rs
@@ -13,7 +13,7 @@
     pub(crate) lender: Lender,
     pub(crate) program: String,
     pub(crate) tokens: Tokens,
-    /// The turn's line and the server that it was sent to.
+    /// The turn's chain and the server that it was sent to.
     pub(crate) placed: Option<(String, String)>,
 }
 
@@ -81,9 +81,10 @@
         self.consumed.0 += tokens.0;
     }
 
-    /// Records the server of the turn's line, to be sent to the lending home with the token return.
-    pub(crate) fn record_placement(&mut self, line: &str, server: &str) {
-        self.placed = Some((line.to_owned(), server.to_owned()));
+    /// Records the server of the turn's chain, to be sent to the lending home with the token
+    /// return.
+    pub(crate) fn record_placement(&mut self, turn_chain: &str, server: &str) {
+        self.placed = Some((turn_chain.to_owned(), server.to_owned()));
     }
 
     /// Returns whether another process lent the maximum.
--- a/clementinepickd/src/ledger_homes.rs
+++ b/clementinepickd/src/ledger_homes.rs
@@ -35,8 +35,8 @@
 /// The minimum retention of a home's record, in milliseconds, since a later configuration may allow
 /// longer retentions than the current one.
 const MIN_RETAIN_MS: u64 = 300_000;
-/// The capacity of the caches of turns' runners and lines' servers: half a minute of turns at the
-/// design load, 400 kB each.
+/// The capacity of the caches of turns' runners and turn chains' servers: half a minute of turns at
+/// the design load, 400 kB each.
 const FIFO_CAPACITY: usize = 2_048;
 /// How often a release is retried when other processes write to the partition at the same time.
 const MAX_RELEASE_ATTEMPTS: u32 = 4;
@@ -89,8 +89,8 @@
     clock: SteadyClock,
     /// The gateways that ran the turns that this home lent for, by turn.
     pub(crate) runners: RefCell<FifoCache<SocketAddr>>,
-    /// The servers that ran the last turns, by line.
-    pub(crate) line_servers: RefCell<FifoCache<String>>,
+    /// The servers that ran the last turns, by turn chain.
+    pub(crate) chain_servers: RefCell<FifoCache<String>>,
     /// The longest retention of any program, in milliseconds.
     retain_ms: Cell<u64>,
     is_shutting_down: Cell<bool>,
@@ -107,7 +107,7 @@
             liveness: RefCell::default(),
             clock: SteadyClock::starting_at(Instant::now()),
             runners: RefCell::default(),
-            line_servers: RefCell::default(),
+            chain_servers: RefCell::default(),
             retain_ms: Cell::new(MIN_RETAIN_MS),
             is_shutting_down: Cell::new(false),
         }
