--- a/clementinepickd/src/gateway_shared.rs
+++ b/clementinepickd/src/gateway_shared.rs
@@ -36,8 +36,7 @@
 /// may have newer ones.
 const MAX_DIRECTORY_AGE: Duration = Duration::from_secs(3);
 /// The percentage of requests that may be retried. Faults of single servers affect fewer responses
-/// than this; more failures mean that a service fails as a whole, which retries would only load
-/// further.
+/// than this; more failures mean that a service fails as a whole.
 const RETRY_PERCENT: u8 = 20;
 
 /// The state that the tasks of the traffic thread share.
--- a/clementinepickd/src/ledger_turns.rs
+++ b/clementinepickd/src/ledger_turns.rs
@@ -113,7 +113,8 @@
             };
             let Some(record) = record else {
                 // The requested turn may never have existed. A predecessor was recorded before the
-                // turn that names it, so that its absence is a fault of the store.
+                // turn that names it, so that its absence is an error and does not mean an unknown
+                // turn.
                 let is_first = records.is_empty();
                 return Err(if is_first {
                     LedgerError::UnknownTurn
