--- a/clementinepick/src/history.rs
+++ b/clementinepick/src/history.rs
@@ -5,8 +5,8 @@
 use crate::entry::Entry;
 use crate::error::{CallError, ErrorKind};
 use crate::ids::RequestId;
+use crate::partition_replay::ProgramState;
 use crate::prompt::{ChainHash, Prompt};
-use crate::replay::ProgramState;
 
 /// A program's transcript: the turns on record and those on their way there.
 #[derive(Debug, Clone, Default, PartialEq)]
@@ -18,11 +18,14 @@
 impl History {
     pub(crate) fn of(state: &ProgramState, live: &LiveProgram) -> Self {
         let mut messages = state.history.clone();
-        for turn in &live.tail {
+        for turn in &live.pending_turns {
             messages.extend(turn.messages.iter().cloned());
             messages.push(ChatMessage::new("assistant", &turn.answer));
         }
-        let chain = live.tail.last().map_or(state.chain, |turn| turn.after);
+        let chain = live
+            .pending_turns
+            .last()
+            .map_or(state.chain, |turn| turn.after);
         Self { messages, chain }
     }
 }
@@ -50,7 +53,7 @@
     /// two conversations or answer from one with a hole.
     pub(crate) fn check_history(&mut self, id: RequestId) -> Result<(), CallError> {
         let history = self.history_of(id);
-        let Some(call) = self.calls.get(&id).filter(|call| call.has_turn()) else {
+        let Some(call) = self.calls.get(&id).filter(|call| call.records_turn()) else {
             return Ok(());
         };
         let Payload::Chat(chat) = &call.request.payload else {
@@ -58,12 +61,15 @@
         };
         let history = history.unwrap_or_default();
         let program = call.request.program.clone();
-        let uncertain = self.programs.get(&program).is_some_and(|l| l.is_uncertain);
+        let uncertain = self
+            .programs
+            .get(&program)
+            .is_some_and(|l| l.may_have_unrecorded_turns);
         if call.request.append {
             check_chain(call.request.history_chain, &history, uncertain)?;
             let full = with_history(chat, history);
             if let Some(call) = self.calls.get_mut(&id) {
-                call.full = Some(Payload::Chat(full));
+                call.full_payload = Some(Payload::Chat(full));
             }
         } else if !begins_with(&chat.messages, &history.messages)
             && self.settings.safeguards.digest_check
@@ -72,14 +78,14 @@
                 "the transcript does not begin with the {} messages on record",
                 history.messages.len()
             );
-            return Err(CallError::at(
+            return Err(CallError::in_field(
                 ErrorKind::HistoryMismatch,
                 "messages",
                 detail,
             ));
         }
         if let Some(live) = self.programs.get_mut(&program) {
-            live.is_uncertain = false;
+            live.may_have_unrecorded_turns = false;
         }
         Ok(())
     }
@@ -90,17 +96,21 @@
     history: &History,
     uncertain: bool,
 ) -> Result<(), CallError> {
-    let field = crate::parse::HISTORY_CHAIN_HEADER;
+    let field = crate::http_request::HISTORY_CHAIN_HEADER;
     match seen {
         Some(seen) if seen == history.chain => Ok(()),
         None if !uncertain => Ok(()),
         Some(_) if !uncertain => {
             let detail = "the history on record has another chain";
-            Err(CallError::at(ErrorKind::HistoryMismatch, field, detail))
+            Err(CallError::in_field(
+                ErrorKind::HistoryMismatch,
+                field,
+                detail,
+            ))
         }
         Some(_) | None => {
             let detail = "turns may be missing after a take-over: send the whole transcript";
-            Err(CallError::at(ErrorKind::HistoryNeeded, field, detail))
+            Err(CallError::in_field(ErrorKind::HistoryNeeded, field, detail))
         }
     }
 }
--- a/clementinepick/tests/placement.rs
+++ b/clementinepick/tests/placement.rs
@@ -3,13 +3,13 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use clementinepick::config::InForce;
+use clementinepick::config::ActiveDocument;
 use clementinepick::document::Document;
 use clementinepick::ids::{
     FencingNumber, ModelName, OperationId, OrderId, Revision, VersionName, VmId,
 };
 use clementinepick::message::OrderOutcome;
-use clementinepick::placement::{Engine, Placement, Planned};
+use clementinepick::placement::{Engine, PlacementPlanner, PlannedOrder};
 use clementinepick::platform::{EngineOrder, EngineRole, EngineState};
 use clementinepick::record::PublishedDocument;
 use clementinepick::units::{SpanUs, TimeUs};
@@ -22,12 +22,12 @@
     "star".parse().expect("a name")
 }
 
-fn in_force(revision: u64, more: &str) -> InForce {
+fn in_force(revision: u64, more: &str) -> ActiveDocument {
     let text = format!(
         "[service]\nname = s\nkind = engine\n[class c]\nrank = 1\n{more}\n[placement]\n\
          load_interval = 10 s\nmax_loading = 2\nmin_serving = 70%\nretry_after = 20 s\n"
     );
-    InForce {
+    ActiveDocument {
         document: Arc::new(Document::parse(&text).expect("right")),
         published: PublishedDocument {
             service: "s".parse().expect("a name"),
@@ -39,7 +39,7 @@
     }
 }
 
-fn version(revision: u64, version: &str) -> InForce {
+fn version(revision: u64, version: &str) -> ActiveDocument {
     in_force(revision, &format!("[model star]\nversion = {version}"))
 }
 
@@ -48,7 +48,7 @@
     now: TimeUs,
     engines: BTreeMap<VmId, Engine>,
     running: BTreeMap<VmId, (OrderId, EngineOrder, TimeUs)>,
-    placement: Placement,
+    placement: PlacementPlanner,
     next_id: u128,
     bad: Option<&'static str>,
     loads_us: Vec<TimeUs>,
@@ -77,7 +77,7 @@
             now: TimeUs(0),
             engines: (0..count).map(|n| (vm(n), engine(n))).collect(),
             running: BTreeMap::new(),
-            placement: Placement::new(TimeUs(0), FencingNumber(5), INTERVAL),
+            placement: PlacementPlanner::new(TimeUs(0), FencingNumber(5), INTERVAL),
             next_id: 0,
             bad: None,
             loads_us: Vec::new(),
@@ -91,7 +91,7 @@
         serving.filter(|e| !e.state.models.is_empty()).count()
     }
 
-    fn run(&mut self, document: &InForce, seconds: u64) {
+    fn run(&mut self, document: &ActiveDocument, seconds: u64) {
         self.least_serving = self.serving();
         for _ in 0..seconds {
             self.now = self.now.after(STEP);
@@ -103,7 +103,7 @@
         }
     }
 
-    fn send(&mut self, planned: &Planned) {
+    fn send(&mut self, planned: &PlannedOrder) {
         self.next_id += 1;
         self.orders += 1;
         let id = OrderId(self.next_id);
@@ -295,7 +295,7 @@
     bench.run(&version(1, "v1"), 600);
     let before = bench.orders;
     bench.run(&version(2, "v2"), 125);
-    bench.placement = Placement::new(bench.now, FencingNumber(9), INTERVAL);
+    bench.placement = PlacementPlanner::new(bench.now, FencingNumber(9), INTERVAL);
     bench.run(&version(2, "v2"), 600);
     assert_eq!(bench.with_version("v2"), 10);
     assert_eq!(bench.orders - before, 10);
--- a/clementinepickd/src/gateway_connection.rs
+++ b/clementinepickd/src/gateway_connection.rs
@@ -107,9 +107,9 @@
 ) {
     shared
         .metrics
-        .count(UNREAD, refusal.answer().code, Duration::ZERO);
+        .count(UNREAD, refusal.response().code, Duration::ZERO);
     let mut reply = Reply::new(codec, write, true);
-    let sending = reply.send_refusal(refusal.answer(), None);
+    let sending = reply.send_refusal(refusal.response(), None);
     if timeout(REFUSAL_WRITE_TIMEOUT, sending).await.is_ok() {
         // Closing with unread bytes would reset the connection, and the caller would not get the
         // refusal.
--- a/clementinepickd/src/gateway_ledger_query.rs
+++ b/clementinepickd/src/gateway_ledger_query.rs
@@ -47,7 +47,7 @@
     drop(guard);
     let view = state.view.borrow();
     let held = shared.budgets.held_slices(id);
-    if held.is_none() && !view.knows(id) {
+    if held.is_none() && !view.has_program(id) {
         return Err(LedgerError::UnknownTurn);
     }
     let held = held.map(|slices| {
--- a/clementinepickd/src/gateway_maintenance.rs
+++ b/clementinepickd/src/gateway_maintenance.rs
@@ -50,7 +50,7 @@
 fn update_servers(shared: &Shared, servers: &BTreeMap<String, BackendServer>) {
     let mut choice = shared.choice.borrow_mut();
     for server in servers.values() {
-        choice.note_start(&server.id, server.started_unix_ms);
+        choice.record_start_time(&server.id, server.started_unix_ms);
     }
     choice.retain(|id| servers.contains_key(id));
 }
--- a/clementinepickd/src/gateway_request.rs
+++ b/clementinepickd/src/gateway_request.rs
@@ -9,7 +9,7 @@
 use actix_http::StatusCode;
 use bytes::Bytes;
 use clementinepick::event::{Event, EventKind};
-use clementinepick::refusal::{Refusal, ledger_retry};
+use clementinepick::refusal::{Refusal, ledger_retry_after};
 use clementinepick::traffic_config::{RequestKind, TrafficConfig};
 use clementinepick::units::SpanUs;
 use platform::request::RequestInfo;
@@ -73,10 +73,10 @@
                 }
                 Ok(Err(refusal)) => {
                     let event = Event::new(EventKind::RequestFailed);
-                    let event = event.with("reason", refusal.answer().code);
+                    let event = event.with("reason", refusal.response().code);
                     self.log(event, request, id, &trace, reply.status);
                     let took = request.arrived.elapsed();
-                    let code = refusal.answer().code;
+                    let code = refusal.response().code;
                     self.shared.metrics.count(trace.kind.get(), code, took);
                     self.write_refusal(refusal, id, reply).await;
                 }
@@ -116,10 +116,10 @@
     async fn write_refusal(&self, refusal: Refusal, id: &str, reply: &mut Reply<'_>) {
         if reply.state() == ReplyState::Open {
             // A failure to write means that the caller has disconnected.
-            let mut answer = refusal.answer();
-            if refusal == Refusal::LedgerAway {
+            let mut answer = refusal.response();
+            if refusal == Refusal::LedgerUnavailable {
                 let outage = self.shared.store.unavailable_for(Instant::now());
-                answer.retry_after_us = Some(ledger_retry(to_span(outage)));
+                answer.retry_after_us = Some(ledger_retry_after(to_span(outage)));
             }
             let _ = reply.send_refusal(answer, Some(id)).await;
         }
@@ -200,7 +200,7 @@
     let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
     let path = request.head.uri().path();
     let route = config.route(host, path).ok_or(Refusal::NoRoute)?;
-    let service = route.service(rand::rng().random());
+    let service = route.choose_service(rand::rng().random());
     let timeout = duration(route.timeout_us);
     Ok(RoutedRequest {
         received: request,
--- a/clementinepickd/src/gateway_stream.rs
+++ b/clementinepickd/src/gateway_stream.rs
@@ -12,8 +12,8 @@
 use clementinepick::event::{Event, EventKind};
 use clementinepick::event_stream::{EventSplitter, StreamEvent};
 use clementinepick::refusal::Refusal;
-use clementinepick::server_choice::PromptPart;
-use clementinepick::turn_chain::{Turn, prompt};
+use clementinepick::server_selection::PromptPart;
+use clementinepick::turn_chain::{Turn, build_prompt};
 use clementinepick::units::Tokens;
 
 use crate::gateway_attempts::{AttemptError, Attempts};
@@ -80,7 +80,7 @@
         trace,
         reserved_total: hold.as_ref().map_or(Tokens(0), BudgetHold::reserved_tokens),
         hold,
-        body: prompt(previous.as_ref(), &routed.received.body),
+        body: build_prompt(previous.as_ref(), &routed.received.body),
         last_server: previous
             .as_ref()
             .and_then(|turn| turn.server.clone())
@@ -107,7 +107,7 @@
         if routed.route.keeps_context && !stream.record().await {
             // The end is withheld: a caller that saw it could continue from a turn that is lost
             // with this process.
-            return Ok(Err(Refusal::LedgerAway));
+            return Ok(Err(Refusal::LedgerUnavailable));
         }
         reply.finish().await?;
     }
@@ -192,7 +192,7 @@
 
 fn to_refusal(err: &LedgerError) -> Refusal {
     match err {
-        LedgerError::Unavailable => Refusal::LedgerAway,
+        LedgerError::Unavailable => Refusal::LedgerUnavailable,
         LedgerError::Exhausted { .. } => Refusal::BudgetSpent,
         LedgerError::UnknownTurn => Refusal::UnknownTurn,
     }
@@ -243,7 +243,7 @@
             self.record_placement(&slot.server.id);
             match self.run_once(slot, reply).await? {
                 Ok(()) => return Ok(Ok(())),
-                Err(_) if self.is_out_of_budget => return Ok(Err(Refusal::LedgerAway)),
+                Err(_) if self.is_out_of_budget => return Ok(Err(Refusal::LedgerUnavailable)),
                 Err(error) => attempts.record_error(error),
             }
         }
@@ -328,7 +328,7 @@
                 }
             };
             splitter.push(&chunk);
-            if splitter.is_overfull() {
+            if splitter.exceeds_limit() {
                 return Ok(Err(AttemptError::ResponseLost));
             }
             while let Some(event) = splitter.next_event() {
--- a/clementinepickd/src/ledger_budgets.rs
+++ b/clementinepickd/src/ledger_budgets.rs
@@ -10,8 +10,8 @@
 use clementinepick::budget_ledger::{
     BudgetRecord, ProgramSlices, SliceDecision, SliceRecord, first_grant,
 };
-use clementinepick::record_age::KEPT_RETENTIONS;
-use clementinepick::server_choice::PromptPart;
+use clementinepick::record_expiry::RETENTION_FACTOR;
+use clementinepick::server_selection::PromptPart;
 use clementinepick::units::{SpanUs, Tokens};
 use platform::store::{KeyedRecord, MAX_KEY_BYTES};
 use tokio::sync::mpsc;
@@ -150,7 +150,7 @@
         if !self.is_usable(request.program, state, now) {
             return None;
         }
-        let turn = state.slices.start_rest(least)?;
+        let turn = state.slices.start_with_remaining(least)?;
         state.used_at = Some(now);
         let partial = BudgetRequest { turn, ..*request };
         Some(BudgetHold::new(self, &partial, None))
@@ -241,7 +241,7 @@
             self.append_next(partition, state, &records, deadline)
                 .await?;
             let known = state.view.borrow();
-            if let Some(tokens) = known.tokens(request.program, &key) {
+            if let Some(tokens) = known.slice_tokens(request.program, &key) {
                 let grant = SliceGrant {
                     tokens,
                     reserved: known.reserved(request.program, request.budget),
@@ -269,7 +269,7 @@
                 Tokens(0)
             } else {
                 match view.decide(request.program, request.budget, request.turn) {
-                    SliceDecision::Spent => {
+                    SliceDecision::Exhausted => {
                         return Err(LedgerError::Exhausted {
                             reserved: view.reserved(request.program, request.budget),
                             holders: view.holders(request.program),
@@ -327,7 +327,7 @@
             return;
         };
         let view = state.view.borrow();
-        let is_counted = view.has_standing(request.program, home.number);
+        let is_counted = view.has_standing_slice(request.program, home.number);
         if !is_counted && !Safeguard::StandingCount.is_left_out() {
             return;
         }
@@ -341,7 +341,7 @@
         program.standing_home = Some(home.number);
         program.slices.standing = tokens;
         program.slices.granted.0 += tokens.0;
-        if !view.knows(request.program) {
+        if !view.has_program(request.program) {
             program.recorded_at = Some(now);
         }
     }
@@ -452,8 +452,8 @@
             if !is_in_partition || program.slices.standing == Tokens(0) {
                 continue;
             }
-            let tokens = program.slices.end_standing();
-            if tokens > Tokens(0) && !view.knows(name) {
+            let tokens = program.slices.release_standing();
+            if tokens > Tokens(0) && !view.has_program(name) {
                 used.push(UsedStanding {
                     program: name.clone(),
                     key: self.slice_key(name),
@@ -472,7 +472,7 @@
     /// grant its standing slice again.
     pub(crate) fn forget_idle(&self, now: Instant) {
         let idle_for = |at: Option<Instant>| at.map(|at| now.saturating_duration_since(at));
-        let kept_retentions = u32::try_from(KEPT_RETENTIONS).unwrap_or(u32::MAX);
+        let kept_retentions = u32::try_from(RETENTION_FACTOR).unwrap_or(u32::MAX);
         self.programs.borrow_mut().retain(|_, state| {
             let limit = IDLE_RETENTION.max(state.retention.saturating_mul(kept_retentions));
             state.slices.outstanding > Tokens(0)
--- a/clementinepickd/src/ledger_homes.rs
+++ b/clementinepickd/src/ledger_homes.rs
@@ -133,12 +133,12 @@
     /// Records that a peer did not respond in time.
     pub(crate) fn record_peer_timeout(&self, peer: SocketAddr, now: Instant) {
         let now = self.clock.at(now);
-        self.liveness.borrow_mut().failed(now, peer);
+        self.liveness.borrow_mut().record_failure(now, peer);
     }
 
     /// Records that a peer responded.
     pub(crate) fn record_peer_response(&self, peer: SocketAddr) {
-        self.liveness.borrow_mut().answered(peer);
+        self.liveness.borrow_mut().record_response(peer);
     }
 
     /// Sets the known home of a program's partition.
@@ -215,7 +215,7 @@
         }
         let mut written_at = None;
         loop {
-            let latest = state.view.borrow().home().cloned();
+            let latest = state.view.borrow().latest_home().cloned();
             match latest {
                 Some(home) if home.writer == self.budgets.writer && written_at.is_some() => {
                     state.home.set(written_at.map(|confirmed_at| HeldHome {
@@ -242,7 +242,7 @@
                 .budgets
                 .append_next(partition, &state, &records, deadline);
             append.await?;
-            let is_written = state.view.borrow().has_key(&records[0].key);
+            let is_written = state.view.borrow().has_home(&records[0].key);
             written_at = is_written.then_some(started_at);
         }
     }
@@ -272,7 +272,7 @@
     ) -> Result<(), LedgerError> {
         let guard = state.access.lock().await;
         self.budgets.catch_up(partition, state, deadline).await?;
-        let latest = state.view.borrow().home().map(|home| home.number);
+        let latest = state.view.borrow().latest_home().map(|home| home.number);
         let held = state.home.get().map(|home| home.number);
         drop(guard);
         if latest != held {
@@ -305,7 +305,7 @@
                 .append_next(partition, state, &records, deadline);
             append.await?;
             let key = held.key(&self.budgets.writer);
-            if !state.view.borrow().has_key(&key) {
+            if !state.view.borrow().has_home(&key) {
                 return Ok(());
             }
         }
@@ -323,7 +323,9 @@
         let mut view_after = view.clone();
         view_after.drop_key(&key);
         // The records of a program that has any by now count the whole standing slice.
-        let used = used.iter().filter(|used| !view_after.knows(&used.program));
+        let used = used
+            .iter()
+            .filter(|used| !view_after.has_program(&used.program));
         let slices = used.map(|used| KeyedRecord {
             key: used.key.clone(),
             value: Some(to_cbor(&BudgetRecord::Slice(SliceRecord {
--- a/clementinepickd/src/ledger_partitions.rs
+++ b/clementinepickd/src/ledger_partitions.rs
@@ -114,7 +114,7 @@
 
 /// Extends the lease from `at` if the view shows no later home.
 fn renew_lease(state: &PartitionState, at: Instant) {
-    let latest = state.view.borrow().home().map(|home| home.number);
+    let latest = state.view.borrow().latest_home().map(|home| home.number);
     if let Some(home) = state.home.get()
         && latest == Some(home.number)
     {
--- a/clementinepickd/src/store.rs
+++ b/clementinepickd/src/store.rs
@@ -246,7 +246,7 @@
         let limit = wait + self.attempt_timeout();
         let reply = self.exchange_once(self.address, call, limit).await;
         self.is_direct_down.set(reply.is_none());
-        self.record_outcome(false, reply.is_some(), true);
+        self.record_attempt(false, reply.is_some(), true);
         reply.ok_or(StoreUnavailable)
     }
 
@@ -276,7 +276,7 @@
             self.mean.set(weighted_sum / MEAN_DIVISOR);
             self.is_direct_down.set(reply.is_none());
         }
-        self.record_outcome(false, reply.is_some(), left >= limit);
+        self.record_attempt(false, reply.is_some(), left >= limit);
         reply
     }
 
@@ -290,7 +290,7 @@
             .exchange_once(relay, call, left.min(MAX_ATTEMPT_TIMEOUT))
             .await;
         self.relay.set(reply.is_some().then_some(relay));
-        self.record_outcome(true, reply.is_some(), left >= MAX_ATTEMPT_TIMEOUT);
+        self.record_attempt(true, reply.is_some(), left >= MAX_ATTEMPT_TIMEOUT);
         reply
     }
 
@@ -350,7 +350,7 @@
         }
     }
 
-    fn record_outcome(&self, was_relayed: bool, is_ok: bool, had_full_timeout: bool) {
+    fn record_attempt(&self, was_relayed: bool, is_ok: bool, had_full_timeout: bool) {
         let mut counts = self.counts.get();
         counts.calls += 1;
         counts.relayed += u64::from(was_relayed);
