--- a/clementinepickd/src/gateway_reply.rs
+++ b/clementinepickd/src/gateway_reply.rs
@@ -135,7 +135,7 @@
     /// Writes a refusal, in place of a backend server's response.
     pub(crate) async fn send_refusal(
         &mut self,
-        answer: RefusalResponse,
+        refusal: RefusalResponse,
         request_id: Option<&str>,
     ) -> Result<(), CallerDisconnected> {
         let mut headers = HeaderMap::new();
@@ -143,7 +143,7 @@
             header::CONTENT_TYPE,
             HeaderValue::from_static("application/json"),
         );
-        if let Some(after) = answer.retry_after_us
+        if let Some(after) = refusal.retry_after_us
             && let Ok(value) = HeaderValue::from_str(&format!("{:.3}", after.as_s_f64()))
         {
             headers.insert(header::RETRY_AFTER, value);
@@ -153,8 +153,8 @@
             let name: HeaderName = platform::answer::request_id_header();
             headers.insert(name, id);
         }
-        let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
-        let body = format!("{{\"error\":\"{}\"}}", answer.code);
+        let status = StatusCode::from_u16(refusal.status).unwrap_or(StatusCode::BAD_GATEWAY);
+        let body = format!("{{\"error\":\"{}\"}}", refusal.code);
         self.send_full(status, headers, body.into()).await
     }
 }
--- a/clementinepickd/src/gateway_request.rs
+++ b/clementinepickd/src/gateway_request.rs
@@ -116,12 +116,12 @@
     async fn write_refusal(&self, refusal: Refusal, id: &str, reply: &mut Reply<'_>) {
         if reply.state() == ReplyState::Open {
             // A failure to write means that the caller has disconnected.
-            let mut answer = refusal.response();
+            let mut refusal_response = refusal.response();
             if refusal == Refusal::LedgerUnavailable {
                 let outage = self.shared.store.unavailable_for(Instant::now());
-                answer.retry_after_us = Some(ledger_retry_after(to_span(outage)));
+                refusal_response.retry_after_us = Some(ledger_retry_after(to_span(outage)));
             }
-            let _ = reply.send_refusal(answer, Some(id)).await;
+            let _ = reply.send_refusal(refusal_response, Some(id)).await;
         }
     }
 
--- a/clementinepickd/src/ledger_budgets.rs
+++ b/clementinepickd/src/ledger_budgets.rs
@@ -472,9 +472,9 @@
     /// grant its standing slice again.
     pub(crate) fn forget_idle(&self, now: Instant) {
         let idle_for = |at: Option<Instant>| at.map(|at| now.saturating_duration_since(at));
-        let kept_retentions = u32::try_from(RETENTION_FACTOR).unwrap_or(u32::MAX);
+        let retention_factor = u32::try_from(RETENTION_FACTOR).unwrap_or(u32::MAX);
         self.programs.borrow_mut().retain(|_, state| {
-            let limit = IDLE_RETENTION.max(state.retention.saturating_mul(kept_retentions));
+            let limit = IDLE_RETENTION.max(state.retention.saturating_mul(retention_factor));
             state.slices.outstanding > Tokens(0)
                 || idle_for(state.used_at).is_none_or(|idle| idle < limit)
         });
