--- a/clementinepickd/src/gateway.rs
+++ b/clementinepickd/src/gateway.rs
@@ -2,7 +2,7 @@
 //! the platform's store.
 //!
 //! The thread that calls [`Gateway::run`] serves the traffic; a second thread follows the
-//! configuration, the servers and the peers in the store ([`follow`]).
+//! configuration, the servers and the peers in the store.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener as StdListener};
--- a/clementinepickd/src/gateway_budget.rs
+++ b/clementinepickd/src/gateway_budget.rs
@@ -161,7 +161,11 @@
             trace.add_field("budget_from", &"peers");
             return Ok(hold);
         }
-        let start = |least| shared.budgets.start_rest(request, least, Instant::now());
+        let start = |least| {
+            shared
+                .budgets
+                .start_with_remaining(request, least, Instant::now())
+        };
         if let Some(hold) = shared.budgets.mean_turn().and_then(start) {
             trace.add_field("budget_from", &"rest");
             return Ok(hold);
--- a/clementinepickd/src/gateway_budget_peer.rs
+++ b/clementinepickd/src/gateway_budget_peer.rs
@@ -50,7 +50,7 @@
     if shared.store.is_unavailable() {
         let start = |least| {
             let budgets = &shared.budgets;
-            budgets.start_rest(&request, least, Instant::now())
+            budgets.start_with_remaining(&request, least, Instant::now())
         };
         return peer_request
             .mean_turn
--- a/clementinepickd/src/gateway_connection.rs
+++ b/clementinepickd/src/gateway_connection.rs
@@ -107,7 +107,7 @@
 ) {
     shared
         .metrics
-        .count(UNREAD, refusal.response().code, Duration::ZERO);
+        .count_request(UNREAD, refusal.response().code, Duration::ZERO);
     let mut reply = Reply::new(codec, write, true);
     let sending = reply.send_refusal(refusal.response(), None);
     if timeout(REFUSAL_WRITE_TIMEOUT, sending).await.is_ok() {
@@ -123,7 +123,7 @@
     codec: &mut Codec,
     write: &mut OwnedWriteHalf,
 ) -> Result<ReceivedRequest<'a>, ReceiveError> {
-    let limits = shared.limits();
+    let limits = shared.caller_limits();
     if reader.buffer.is_empty() {
         let first_read = timeout(duration(limits.idle_us), reader.fill());
         let closing = shared.wait_for_close();
--- a/clementinepickd/src/gateway_maintenance.rs
+++ b/clementinepickd/src/gateway_maintenance.rs
@@ -30,7 +30,7 @@
         }
         shared.pool.close_stale(now);
         shared.store.close_stale(now);
-        shared.budgets.forget_idle(now);
+        shared.budgets.evict_idle(now);
         shared.metrics.aggregate_histograms();
         let directory = shared.directory();
         if !directory.peers.is_empty() {
--- a/clementinepickd/src/gateway_metrics.rs
+++ b/clementinepickd/src/gateway_metrics.rs
@@ -36,7 +36,7 @@
     }
 
     /// Counts a finished request and records its duration.
-    pub(crate) fn count(&self, kind: &'static str, outcome: &'static str, took: Duration) {
+    pub(crate) fn count_request(&self, kind: &'static str, outcome: &'static str, took: Duration) {
         with_local_recorder(&self.recorder, || {
             counter!("clementinepick_requests_total", "outcome" => outcome).increment(1);
             histogram!("clementinepick_request_seconds", "kind" => kind, "outcome" => outcome)
@@ -77,7 +77,7 @@
     fn render(&self, shared: &Shared) -> String {
         let counts = shared.store.counts();
         let programs = shared.budgets.program_count();
-        let (turns, turn_bytes) = shared.turns.cached();
+        let (turns, turn_bytes) = shared.turns.cache_size();
         with_local_recorder(&self.recorder, || {
             counter!("clementinepick_store_relayed_total").absolute(counts.relayed);
             set_gauge("clementinepick_programs", programs);
@@ -163,7 +163,7 @@
         })
         .collect();
     let programs = shared.budgets.program_count();
-    let (turns, turn_bytes) = shared.turns.cached();
+    let (turns, turn_bytes) = shared.turns.cache_size();
     let state = json!({
         "is_ready": shared.is_ready(now),
         "is_draining": shared.is_draining(),
--- a/clementinepickd/src/gateway_request.rs
+++ b/clementinepickd/src/gateway_request.rs
@@ -65,7 +65,9 @@
             match outcome {
                 Ok(Ok(())) => {
                     let took = request.arrived.elapsed();
-                    self.shared.metrics.count(trace.kind.get(), SERVED, took);
+                    self.shared
+                        .metrics
+                        .count_request(trace.kind.get(), SERVED, took);
                     if self.shared.is_sampled(id) {
                         let event = Event::new(EventKind::RequestServed);
                         self.log(event, request, id, &trace, reply.status);
@@ -77,7 +79,9 @@
                     self.log(event, request, id, &trace, reply.status);
                     let took = request.arrived.elapsed();
                     let code = refusal.response().code;
-                    self.shared.metrics.count(trace.kind.get(), code, took);
+                    self.shared
+                        .metrics
+                        .count_request(trace.kind.get(), code, took);
                     self.write_refusal(refusal, id, reply).await;
                 }
                 // `DisconnectGuard` has logged it.
@@ -104,7 +108,10 @@
         }
         let kind = self.trace.kind.get();
         let took = self.request.arrived.elapsed();
-        self.handler.shared.metrics.count(kind, CALLER_LEFT, took);
+        self.handler
+            .shared
+            .metrics
+            .count_request(kind, CALLER_LEFT, took);
         let event = Event::new(EventKind::RequestFailed).with("reason", CALLER_LEFT);
         let status = self.trace.status.get();
         self.handler
@@ -145,7 +152,7 @@
             .with("config_version", config_version)
             .with("lists_age_ms", lists_age)
             .with("store_away", self.shared.store.is_unavailable());
-        self.shared.log(&trace.describe(event, request.arrived));
+        self.shared.log(&trace.add_to_event(event, request.arrived));
     }
 }
 
--- a/clementinepickd/src/gateway_shared.rs
+++ b/clementinepickd/src/gateway_shared.rs
@@ -156,7 +156,7 @@
         self.directory.borrow().clone()
     }
 
-    pub(crate) fn limits(&self) -> CallerLimits {
+    pub(crate) fn caller_limits(&self) -> CallerLimits {
         let directory = self.directory.borrow();
         directory
             .config
--- a/clementinepickd/src/gateway_trace.rs
+++ b/clementinepickd/src/gateway_trace.rs
@@ -67,7 +67,7 @@
 
     /// Adds the fields and the steps to an event; times are in milliseconds after the request's
     /// arrival.
-    pub(crate) fn describe(&self, mut event: Event, arrived: Instant) -> Event {
+    pub(crate) fn add_to_event(&self, mut event: Event, arrived: Instant) -> Event {
         let steps = [
             ("admitted_ms", &self.admitted),
             ("placed_ms", &self.placed),
--- a/clementinepickd/src/ledger_budgets.rs
+++ b/clementinepickd/src/ledger_budgets.rs
@@ -136,7 +136,7 @@
     /// Turns use less than half of their maxima on average. Without this, a program with less than
     /// a maximum left would be refused during a store outage, although most of its turns would
     /// complete.
-    pub(crate) fn start_rest(
+    pub(crate) fn start_with_remaining(
         self: &Rc<Self>,
         request: &BudgetRequest<'_>,
         least: Tokens,
@@ -443,7 +443,7 @@
 
     /// Ends the standing slices of a partition; returns the programs without a record in it that
     /// used theirs.
-    pub(crate) fn end_standing(&self, partition: Partition) -> Vec<UsedStanding> {
+    pub(crate) fn release_standing(&self, partition: Partition) -> Vec<UsedStanding> {
         let state = self.partition(partition, Instant::now());
         let view = state.view.borrow();
         let mut used = Vec::new();
@@ -470,7 +470,7 @@
     ///
     /// A program is kept as long as its records would be: a home that dropped it earlier would
     /// grant its standing slice again.
-    pub(crate) fn forget_idle(&self, now: Instant) {
+    pub(crate) fn evict_idle(&self, now: Instant) {
         let idle_for = |at: Option<Instant>| at.map(|at| now.saturating_duration_since(at));
         let retention_factor = u32::try_from(RETENTION_FACTOR).unwrap_or(u32::MAX);
         self.programs.borrow_mut().retain(|_, state| {
--- a/clementinepickd/src/ledger_homes.rs
+++ b/clementinepickd/src/ledger_homes.rs
@@ -297,7 +297,7 @@
         let Some(held) = state.home.take() else {
             return Ok(());
         };
-        let used = self.budgets.end_standing(partition);
+        let used = self.budgets.release_standing(partition);
         for _ in 0..MAX_RELEASE_ATTEMPTS {
             let records = self.release_records(&state.view.borrow(), &held, &used);
             let append = self
--- a/clementinepickd/src/ledger_turns.rs
+++ b/clementinepickd/src/ledger_turns.rs
@@ -255,7 +255,7 @@
     }
 
     /// Returns the number of cached turns and their size in bytes.
-    pub(crate) fn cached(&self) -> (usize, usize) {
+    pub(crate) fn cache_size(&self) -> (usize, usize) {
         let cache = self.cache.borrow();
         (cache.turns.len(), cache.bytes)
     }
