--- a/clementinepickctl/src/client.rs
+++ b/clementinepickctl/src/client.rs
@@ -12,7 +12,7 @@
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-use crate::exit::CtlError;
+use crate::exit::CommandError;
 
 /// The largest answer that is read; a dump of a full process is the largest.
 const MAX_ANSWER_BYTES: usize = 256_000_000;
@@ -35,11 +35,11 @@
 }
 
 /// A client with one limit of time for each request.
-pub struct Ctl {
+pub struct HttpClient {
     client: Client,
 }
 
-impl Ctl {
+impl HttpClient {
     /// A client whose requests may take `timeout`.
     #[must_use]
     pub fn new(timeout: Duration) -> Self {
@@ -48,14 +48,14 @@
     }
 
     /// Reads the configuration stream; `None` when the log gives no answer.
-    pub async fn read(&self, log: &str, from: Offset) -> Option<ReadResponse> {
+    pub async fn read_config(&self, log: &str, from: Offset) -> Option<ReadResponse> {
         let stream = StreamName::Config;
         let path = format!("/v1/streams/{stream}?from={from}&max={READ_COUNT}");
-        self.get(log, &path).await.ok()
+        self.get_json(log, &path).await.ok()
     }
 
     /// Appends one record to the configuration stream.
-    pub async fn append(&self, log: &str, record: &Record) -> AppendOutcome {
+    pub async fn append_config(&self, log: &str, record: &Record) -> AppendOutcome {
         let Ok(text) = serde_json::to_string(record) else {
             return AppendOutcome::Refused;
         };
@@ -83,8 +83,8 @@
     /// # Errors
     ///
     /// When it can't be read.
-    pub async fn vms(&self, vms: &str) -> Result<Vec<Vm>, CtlError> {
-        self.get(vms, "/v1/vms").await
+    pub async fn fetch_vms(&self, vms: &str) -> Result<Vec<Vm>, CommandError> {
+        self.get_json(vms, "/v1/vms").await
     }
 
     /// The state of a process.
@@ -92,8 +92,8 @@
     /// # Errors
     ///
     /// When it can't be read.
-    pub async fn dump(&self, address: &str) -> Result<Value, CtlError> {
-        self.get(address, "/debug/dump").await
+    pub async fn fetch_dump(&self, address: &str) -> Result<Value, CommandError> {
+        self.get_json(address, "/debug/dump").await
     }
 
     /// Whether a process takes calls.
@@ -101,7 +101,7 @@
     /// # Errors
     ///
     /// When it does not answer.
-    pub async fn readiness(&self, address: &str) -> Result<Readiness, CtlError> {
+    pub async fn check_readiness(&self, address: &str) -> Result<Readiness, CommandError> {
         let sent = self.client.get(format!("http://{address}/readyz")).send();
         let response = sent.await.map_err(|err| unreachable(address, &err))?;
         Ok(if response.status().is_success() {
@@ -116,7 +116,7 @@
     /// # Errors
     ///
     /// When it does not answer, or does not take the request.
-    pub async fn drain(&self, address: &str, key: &str) -> Result<(), CtlError> {
+    pub async fn drain(&self, address: &str, key: &str) -> Result<(), CommandError> {
         let request = self.client.post(format!("http://{address}/admin/drain"));
         let sent = request.insert_header((ADMIN_KEY_HEADER, key)).send().await;
         expect_success(address, sent).map(|_| ())
@@ -127,12 +127,12 @@
     /// # Errors
     ///
     /// When the gateway or its store does not answer.
-    pub(crate) async fn ledger(
+    pub(crate) async fn query_ledger(
         &self,
         address: &str,
         kind: &str,
         id: &str,
-    ) -> Result<Option<Value>, CtlError> {
+    ) -> Result<Option<Value>, CommandError> {
         let id = utf8_percent_encode(id, NON_ALPHANUMERIC);
         let url = format!("http://{address}/ledger?{kind}={id}");
         let sent = self.client.get(url).send().await;
@@ -149,11 +149,11 @@
     }
 
     /// Reads JSON from a process.
-    pub(crate) async fn get<T: DeserializeOwned>(
+    pub(crate) async fn get_json<T: DeserializeOwned>(
         &self,
         address: &str,
         path: &str,
-    ) -> Result<T, CtlError> {
+    ) -> Result<T, CommandError> {
         let sent = self.client.get(format!("http://{address}{path}")).send();
         let mut response = expect_success(address, sent.await)?;
         let body = response.json::<T>().limit(MAX_ANSWER_BYTES);
@@ -164,20 +164,20 @@
 fn expect_success<S>(
     address: &str,
     sent: Result<ClientResponse<S>, SendRequestError>,
-) -> Result<ClientResponse<S>, CtlError> {
+) -> Result<ClientResponse<S>, CommandError> {
     let response = sent.map_err(|err| unreachable(address, &err))?;
     if response.status().is_success() {
         return Ok(response);
     }
     let detail = format!("it answered {}", response.status());
-    Err(CtlError::Unreachable {
+    Err(CommandError::Unreachable {
         address: address.to_owned(),
         detail,
     })
 }
 
-fn unreachable(address: &str, detail: &dyn std::fmt::Display) -> CtlError {
-    CtlError::Unreachable {
+fn unreachable(address: &str, detail: &dyn std::fmt::Display) -> CommandError {
+    CommandError::Unreachable {
         address: address.to_owned(),
         detail: detail.to_string(),
     }
--- a/clementinepickctl/src/reader.rs
+++ b/clementinepickctl/src/config_reader.rs
@@ -15,7 +15,7 @@
 
 impl ConfigReader {
     /// Replays a part of the stream; returns the records that were new.
-    pub(crate) fn take(&mut self, answer: &ReadResponse) -> Vec<Record> {
+    pub(crate) fn replay_batch(&mut self, answer: &ReadResponse) -> Vec<Record> {
         if answer.earliest > self.position {
             self.replay.on_gap(answer.earliest);
             self.position = answer.earliest;
--- a/clementinepickctl/src/exit.rs
+++ b/clementinepickctl/src/exit.rs
@@ -7,15 +7,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitCode {
     /// It did what was asked.
-    Done,
+    Success,
     /// The question has the answer no: documents differ, or not all processes are up to date.
-    No,
+    Mismatch,
     /// The command line is wrong; `argh` ends the process with the same code itself.
     Usage,
     /// The document or file is wrong; nothing was published.
-    WrongDocument,
+    InvalidDocument,
     /// Another publication was first; nothing was published.
-    Outrun,
+    Conflict,
     /// Nobody can tell yet whether it was published: ask again with `--resume`.
     Unknown,
     /// A process or the log can't be reached; nothing was changed.
@@ -27,11 +27,11 @@
 impl ExitCode {
     /// All codes.
     pub const ALL: &'static [Self] = &[
-        Self::Done,
+        Self::Success,
         Self::Usage,
-        Self::No,
-        Self::WrongDocument,
-        Self::Outrun,
+        Self::Mismatch,
+        Self::InvalidDocument,
+        Self::Conflict,
         Self::Unknown,
         Self::Unreachable,
         Self::NotFound,
@@ -41,11 +41,11 @@
     #[must_use]
     pub const fn meaning(self) -> &'static str {
         match self {
-            Self::Done => "Done.",
+            Self::Success => "Done.",
             Self::Usage => "The command line is wrong.",
-            Self::No => "The answer is no: documents differ, or a process is not up to date.",
-            Self::WrongDocument => "The document or file is wrong; nothing was published.",
-            Self::Outrun => "Another publication was first; nothing was published.",
+            Self::Mismatch => "The answer is no: documents differ, or a process is not up to date.",
+            Self::InvalidDocument => "The document or file is wrong; nothing was published.",
+            Self::Conflict => "Another publication was first; nothing was published.",
             Self::Unknown => {
                 "Nobody can tell yet whether it was published; ask again with `--resume`."
             }
@@ -58,11 +58,11 @@
     #[must_use]
     pub const fn number(self) -> u8 {
         match self {
-            Self::Done => 0,
+            Self::Success => 0,
             Self::Usage => 1,
-            Self::No => 2,
-            Self::WrongDocument => 3,
-            Self::Outrun => 4,
+            Self::Mismatch => 2,
+            Self::InvalidDocument => 3,
+            Self::Conflict => 4,
             Self::Unknown => 5,
             Self::Unreachable => 6,
             Self::NotFound => 7,
@@ -83,7 +83,7 @@
 
 /// Why a command could not find anything out.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum CtlError {
+pub enum CommandError {
     /// A file can't be read.
     #[error("{path}: {detail}")]
     File {
@@ -111,18 +111,18 @@
     Usage(String),
     /// The logs say nothing of what was asked for.
     #[error("no line names {0}; of requests that went well only some are logged")]
-    NoLines(String),
+    NoLogLines(String),
     /// The ledger has nothing of what was asked for.
     #[error("{0} is not in the ledger, and the gateway holds nothing of it")]
     NotInLedger(String),
 }
 
-impl CtlError {
+impl CommandError {
     /// The exit code that goes with it.
     #[must_use]
     pub const fn exit(&self) -> ExitCode {
         match self {
-            Self::File { .. } | Self::NoLines(_) | Self::NotInLedger(_) => ExitCode::NotFound,
+            Self::File { .. } | Self::NoLogLines(_) | Self::NotInLedger(_) => ExitCode::NotFound,
             Self::Usage(_) => ExitCode::Usage,
             Self::Unreachable { .. } | Self::Incomplete => ExitCode::Unreachable,
         }
--- a/clementinepickctl/src/explain.rs
+++ b/clementinepickctl/src/explain.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct LogLine {
     /// When it was written, as text that sorts by time.
-    pub at: String,
+    pub timestamp: String,
     /// The event's name.
     pub name: String,
     /// All fields.
@@ -47,16 +47,16 @@
             .fields
             .iter()
             .filter(|(name, _)| !COMMON_FIELDS.contains(&name.as_str()))
-            .map(|(name, value)| format!("{name}={}", plain(value)))
+            .map(|(name, value)| format!("{name}={}", unquoted(value)))
             .collect();
         let request = self.text("request");
         let values = values.join(" ");
-        let (at, process) = (&self.at, self.text("process"));
+        let (at, process) = (&self.timestamp, self.text("process"));
         format!("{at} {process} {request} {}: {meaning} {values}", self.name)
     }
 }
 
-pub(crate) fn plain(value: &Value) -> String {
+pub(crate) fn unquoted(value: &Value) -> String {
     value
         .as_str()
         .map_or_else(|| value.to_string(), str::to_owned)
@@ -64,12 +64,12 @@
 
 /// Reads log lines; what is no JSON is passed over, and so is what stands before it in a line.
 #[must_use]
-pub fn read_log(text: &str) -> Vec<LogLine> {
+pub fn parse_log(text: &str) -> Vec<LogLine> {
     let lines = text.lines().filter_map(|line| {
         let json = &line[line.find('{')?..];
         let fields: Map<String, Value> = serde_json::from_str(json).ok()?;
         Some(LogLine {
-            at: fields.get("ts")?.as_str()?.to_owned(),
+            timestamp: fields.get("ts")?.as_str()?.to_owned(),
             name: fields.get("msg")?.as_str()?.to_owned(),
             fields,
         })
@@ -79,17 +79,17 @@
 
 /// The lines that concern a request, or all requests of a program, in the order of time.
 #[must_use]
-pub fn story(id: &str, lines: Vec<LogLine>) -> Vec<LogLine> {
+pub fn select_lines(id: &str, lines: Vec<LogLine>) -> Vec<LogLine> {
     let mut told: Vec<LogLine> = lines.into_iter().filter(|line| line.concerns(id)).collect();
-    told.sort_by(|a, b| a.at.cmp(&b.at));
+    told.sort_by(|a, b| a.timestamp.cmp(&b.timestamp));
     told
 }
 
 /// What a gateway's state says, a line a matter.
 #[must_use]
-pub fn gateway_lines(state: &Value) -> Vec<String> {
-    let text = |name: &str| state.get(name).map(plain).unwrap_or_default();
-    let store = |name: &str| state["store"].get(name).map(plain).unwrap_or_default();
+pub fn format_gateway(state: &Value) -> Vec<String> {
+    let text = |name: &str| state.get(name).map(unquoted).unwrap_or_default();
+    let store = |name: &str| state["store"].get(name).map(unquoted).unwrap_or_default();
     let servers = state["servers"].as_array().map_or(0, Vec::len);
     let is_draining = |server: &&Value| server["is_draining"] == Value::Bool(true);
     let draining = state["servers"].as_array().into_iter().flatten();
--- a/clementinepickctl/src/history.rs
+++ b/clementinepickctl/src/history.rs
@@ -6,9 +6,9 @@
 use clementinepick::record::RecordBody;
 use serde_json::{Value, json};
 
+use crate::config_reader::ConfigReader;
 use crate::exit::{ExitCode, Report};
-use crate::publish::describe;
-use crate::reader::ConfigReader;
+use crate::publish::describe_verdict;
 
 /// What was read of the configuration stream.
 #[derive(Debug, Default)]
@@ -31,8 +31,8 @@
     }
 
     /// Takes a part of the stream; says whether there is more.
-    pub fn take(&mut self, answer: &ReadResponse) -> bool {
-        for record in self.reader.take(answer) {
+    pub fn replay_batch(&mut self, answer: &ReadResponse) -> bool {
+        for record in self.reader.replay_batch(answer) {
             self.keep_text(record.body);
         }
         self.reader.position < answer.end && !answer.records.is_empty()
@@ -51,7 +51,7 @@
 
     /// The text that a run of `publish` brought, while the log keeps it.
     #[must_use]
-    pub fn text(&self, operation: OperationId) -> Option<&str> {
+    pub fn document_text(&self, operation: OperationId) -> Option<&str> {
         let known = self.texts.iter().find(|(id, _)| *id == operation);
         let in_force = self.reader.replay.state().documents.values();
         known.map(|(_, text)| text.as_str()).or_else(|| {
@@ -73,7 +73,7 @@
         let exit = if wanted.is_empty() {
             ExitCode::NotFound
         } else {
-            ExitCode::Done
+            ExitCode::Success
         };
         let text = match exit {
             ExitCode::NotFound => "no publication is known".to_owned(),
@@ -100,6 +100,6 @@
         publication.service,
         publication.operation,
         publication.author,
-        describe(&publication.verdict)
+        describe_verdict(&publication.verdict)
     )
 }
--- a/clementinepickctl/src/ledger.rs
+++ b/clementinepickctl/src/ledger.rs
@@ -2,15 +2,15 @@
 
 use serde_json::Value;
 
-use crate::explain::plain;
+use crate::explain::unquoted;
 
 /// The longest chain of turns that is shown.
-pub(crate) const MAX_TURNS: usize = 200;
+pub(crate) const MAX_CHAIN_TURNS: usize = 200;
 
 /// What the ledger has of a program's budget.
 #[must_use]
-pub fn program_lines(found: &Value) -> Vec<String> {
-    let text = |value: &Value, name: &str| value.get(name).map(plain).unwrap_or_default();
+pub fn format_program(found: &Value) -> Vec<String> {
+    let text = |value: &Value, name: &str| value.get(name).map(unquoted).unwrap_or_default();
     let mut lines = vec![format!(
         "{}: partition {}, read to offset {}",
         text(found, "program"),
@@ -56,8 +56,8 @@
 
 /// What the ledger has of a turn.
 #[must_use]
-pub fn turn_line(found: &Value) -> String {
-    let text = |name: &str| found.get(name).map(plain).unwrap_or_default();
+pub fn format_turn(found: &Value) -> String {
+    let text = |name: &str| found.get(name).map(unquoted).unwrap_or_default();
     let parent = found["parent"].as_str().unwrap_or("nothing");
     let server = found["server"].as_str().unwrap_or("an unnamed server");
     format!(
--- a/clementinepickctl/src/lib.rs
+++ b/clementinepickctl/src/lib.rs
@@ -5,6 +5,7 @@
 
 pub mod args;
 pub mod client;
+mod config_reader;
 pub mod diff;
 pub mod exit;
 pub mod explain;
@@ -12,6 +13,5 @@
 pub mod ledger;
 mod platform_commands;
 pub mod publish;
-mod reader;
 pub mod run;
 pub mod status;
--- a/clementinepickctl/src/platform_commands.rs
+++ b/clementinepickctl/src/platform_commands.rs
@@ -7,21 +7,24 @@
 use serde_json::{Value, json};
 
 use crate::args;
-use crate::client::Ctl;
-use crate::exit::{CtlError, ExitCode, Report};
-use crate::explain::{LogLine, gateway_lines, read_log, story};
-use crate::ledger::{MAX_TURNS, program_lines, turn_line};
+use crate::client::HttpClient;
+use crate::exit::{CommandError, ExitCode, Report};
+use crate::explain::{LogLine, format_gateway, parse_log, select_lines};
+use crate::ledger::{MAX_CHAIN_TURNS, format_program, format_turn};
 use crate::run::read_file;
 
-pub(crate) async fn run_gateway(ctl: &Ctl, addresses: &[String]) -> Result<Report, CtlError> {
+pub(crate) async fn run_gateway(
+    client: &HttpClient,
+    addresses: &[String],
+) -> Result<Report, CommandError> {
     if addresses.is_empty() {
-        return Err(CtlError::Usage("name at least one gateway".to_owned()));
+        return Err(CommandError::Usage("name at least one gateway".to_owned()));
     }
     let mut text = String::new();
     let mut states = Vec::new();
     for address in addresses {
-        let state: Value = ctl.get(address, "/state").await?;
-        for line in gateway_lines(&state) {
+        let state: Value = client.get_json(address, "/state").await?;
+        for line in format_gateway(&state) {
             // Writing to a string can't fail.
             let _ = writeln!(text, "{address}: {line}");
         }
@@ -30,76 +33,81 @@
     Ok(Report {
         text: text.trim_end().to_owned(),
         json: json!({ "gateways": states }),
-        exit: ExitCode::Done,
+        exit: ExitCode::Success,
     })
 }
 
-pub(crate) fn run_explain(explain: &args::Explain) -> Result<Report, CtlError> {
+pub(crate) fn run_explain(explain: &args::Explain) -> Result<Report, CommandError> {
     let mut lines = Vec::new();
     for file in &explain.files {
-        lines.extend(read_log(&read_file(file)?));
+        lines.extend(parse_log(&read_file(file)?));
     }
-    let told = story(&explain.id, lines);
+    let told = select_lines(&explain.id, lines);
     if told.is_empty() {
-        return Err(CtlError::NoLines(explain.id.clone()));
+        return Err(CommandError::NoLogLines(explain.id.clone()));
     }
     let text: Vec<String> = told.iter().map(LogLine::describe).collect();
     Ok(Report {
         text: text.join("\n"),
         json: json!({ "lines": told.iter().map(|line| &line.fields).collect::<Vec<_>>() }),
-        exit: ExitCode::Done,
+        exit: ExitCode::Success,
     })
 }
 
-pub(crate) async fn run_ledger(ctl: &Ctl, args: &args::Ledger) -> Result<Report, CtlError> {
+pub(crate) async fn run_ledger(
+    client: &HttpClient,
+    args: &args::Ledger,
+) -> Result<Report, CommandError> {
     match (&args.program, &args.turn) {
         (Some(program), None) => {
-            let found = ctl.ledger(&args.address, "program", program).await?;
+            let found = client
+                .query_ledger(&args.address, "program", program)
+                .await?;
             let Some(found) = found else {
-                return Err(CtlError::NotInLedger(program.clone()));
+                return Err(CommandError::NotInLedger(program.clone()));
             };
             Ok(Report {
-                text: program_lines(&found).join("\n"),
+                text: format_program(&found).join("\n"),
                 json: found,
-                exit: ExitCode::Done,
+                exit: ExitCode::Success,
             })
         }
-        (None, Some(turn)) => run_chain(ctl, &args.address, turn).await,
-        _ => Err(CtlError::Usage(
+        (None, Some(turn)) => run_chain(client, &args.address, turn).await,
+        _ => Err(CommandError::Usage(
             "give either --program or --turn".to_owned(),
         )),
     }
 }
 
 /// The turn and those before it, the newest first.
-async fn run_chain(ctl: &Ctl, address: &str, turn: &str) -> Result<Report, CtlError> {
+async fn run_chain(client: &HttpClient, address: &str, turn: &str) -> Result<Report, CommandError> {
     let mut wanted = Some(turn.to_owned());
     let mut text = Vec::new();
     let mut turns = Vec::new();
     while let Some(id) = wanted.take() {
-        if turns.len() == MAX_TURNS {
+        if turns.len() == MAX_CHAIN_TURNS {
             text.push(format!("{id} and those before it were not read"));
             break;
         }
-        let Some(found) = ctl.ledger(address, "turn", &id).await? else {
+        let Some(found) = client.query_ledger(address, "turn", &id).await? else {
             if turns.is_empty() {
-                return Err(CtlError::NotInLedger(id));
+                return Err(CommandError::NotInLedger(id));
             }
             text.push(format!("{id} is not in the ledger any more"));
             break;
         };
-        text.push(turn_line(&found));
+        text.push(format_turn(&found));
         wanted = found["parent"].as_str().map(str::to_owned);
         turns.push(found);
     }
     Ok(Report {
         text: text.join("\n"),
         json: json!({ "turns": turns }),
-        exit: ExitCode::Done,
+        exit: ExitCode::Success,
     })
 }
 
-pub(crate) fn run_check_deploy(path: &str) -> Result<Report, CtlError> {
+pub(crate) fn run_check_deploy(path: &str) -> Result<Report, CommandError> {
     let text = read_file(path)?;
     let root = Path::new(path).parent().and_then(Path::parent);
     let root = root.unwrap_or(Path::new("")).to_owned();
@@ -110,11 +118,11 @@
         .map(ToString::to_string)
         .collect();
     let (text, exit) = if problems.is_empty() {
-        (format!("{path}: right"), ExitCode::Done)
+        (format!("{path}: right"), ExitCode::Success)
     } else {
         let lines = problems.iter().map(|problem| format!("{path}: {problem}"));
         let lines: Vec<String> = lines.collect();
-        (lines.join("\n"), ExitCode::WrongDocument)
+        (lines.join("\n"), ExitCode::InvalidDocument)
     };
     Ok(Report {
         text,
--- a/clementinepickctl/src/publish.rs
+++ b/clementinepickctl/src/publish.rs
@@ -13,7 +13,7 @@
 use clementinepick::record::{Record, RecordBody};
 use clementinepick::units::SpanUs;
 
-use crate::reader::ConfigReader;
+use crate::config_reader::ConfigReader;
 
 /// Sets the records of publications apart from others in the space of ids.
 const RECORD_ID_MASK: u128 = 0x636c_656d_2d70_7562_6c69_7368_2d69_6431;
@@ -28,7 +28,7 @@
     /// The revision that the document was written from; absent: the one in force.
     pub base: Option<Revision>,
     /// Whether an earlier run may have appended this operation.
-    pub resumes: bool,
+    pub is_resume: bool,
     /// The document's text; absent: only find out.
     pub text: Option<String>,
     /// How often the log may fail.
@@ -55,14 +55,14 @@
         after_us: SpanUs,
     },
     /// Done.
-    Ended(Ended),
+    Finished(PublishOutcome),
 }
 
 /// How it ended.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Ended {
+pub enum PublishOutcome {
     /// The log holds the publication, and this became of it.
-    Judged(Publication),
+    Recorded(Publication),
     /// The document in force has this text already; nothing was appended.
     Unchanged {
         /// The service.
@@ -71,12 +71,12 @@
         revision: Revision,
     },
     /// The document is wrong; nothing was appended.
-    Wrong {
+    Invalid {
         /// What is wrong.
         detail: String,
     },
     /// The log can't be read; nothing was appended.
-    NotStarted,
+    LogUnreachable,
     /// The log refused every append; nothing was appended.
     Refused,
     /// The log does not hold the operation, as far as it was read.
@@ -111,7 +111,7 @@
     #[must_use]
     pub fn new(settings: PublishSettings) -> Self {
         Self {
-            may_be_appended: settings.resumes,
+            may_be_appended: settings.is_resume,
             base: settings.base,
             settings,
             service: None,
@@ -128,7 +128,7 @@
                 Ok(document) => self.service = Some(document.service),
                 Err(err) => {
                     let detail = err.to_string();
-                    return Step::Ended(Ended::Wrong { detail });
+                    return Step::Finished(PublishOutcome::Invalid { detail });
                 }
             }
         }
@@ -147,23 +147,23 @@
         let Some(answer) = answer else {
             return match self.fail() {
                 Some(wait) => self.read(wait),
-                None => Step::Ended(self.gave_up()),
+                None => Step::Finished(self.gave_up()),
             };
         };
-        self.reader.take(answer);
+        self.reader.replay_batch(answer);
         if let Some(found) = self
             .reader
             .replay
             .state()
             .publication(self.settings.operation)
         {
-            return Step::Ended(Ended::Judged(found.clone()));
+            return Step::Finished(PublishOutcome::Recorded(found.clone()));
         }
         if self.reader.position < answer.end {
             return self.read(SpanUs(0));
         }
         if !self.reader.replay.is_complete() {
-            return Step::Ended(Ended::Incomplete);
+            return Step::Finished(PublishOutcome::Incomplete);
         }
         if self
             .appended_at
@@ -172,7 +172,7 @@
             // The append was answered, and the reader is served from a copy that lags.
             return match self.fail() {
                 Some(wait) => self.read(wait),
-                None => Step::Ended(self.gave_up()),
+                None => Step::Finished(self.gave_up()),
             };
         }
         self.at_end(answer.end)
@@ -180,13 +180,13 @@
 
     fn at_end(&mut self, end: Offset) -> Step {
         let (Some(text), Some(service)) = (&self.settings.text, &self.service) else {
-            return Step::Ended(Ended::NotFound { end });
+            return Step::Finished(PublishOutcome::NotFound { end });
         };
         let revision = self.reader.replay.state().revision(service);
         let current = self.reader.replay.state().documents.get(service);
         if !self.may_be_appended && current.is_some_and(|current| current.text == *text) {
             let service = service.clone();
-            return Step::Ended(Ended::Unchanged { service, revision });
+            return Step::Finished(PublishOutcome::Unchanged { service, revision });
         }
         // The base stays what it was at the first append. A later one would replace, unseen, what
         // another operator has published in between.
@@ -220,13 +220,13 @@
                 self.may_be_appended = true;
                 match self.fail() {
                     Some(wait) => self.read(wait),
-                    None => Step::Ended(self.gave_up()),
+                    None => Step::Finished(self.gave_up()),
                 }
             }
             AppendOutcome::Refused => match self.fail() {
                 Some(wait) => self.read(wait),
-                None if self.may_be_appended => Step::Ended(self.gave_up()),
-                None => Step::Ended(Ended::Refused),
+                None if self.may_be_appended => Step::Finished(self.gave_up()),
+                None => Step::Finished(PublishOutcome::Refused),
             },
         }
     }
@@ -239,19 +239,19 @@
         (self.failures < self.settings.max_failures).then_some(wait)
     }
 
-    fn gave_up(&self) -> Ended {
+    fn gave_up(&self) -> PublishOutcome {
         if self.may_be_appended {
             let base = self.base.unwrap_or_default();
-            Ended::Unknown { base }
+            PublishOutcome::Unknown { base }
         } else {
-            Ended::NotStarted
+            PublishOutcome::LogUnreachable
         }
     }
 }
 
 /// One sentence about a verdict.
 #[must_use]
-pub fn describe(verdict: &Verdict) -> String {
+pub fn describe_verdict(verdict: &Verdict) -> String {
     match verdict {
         Verdict::Accepted { revision } => format!("accepted as revision {revision}"),
         Verdict::Outrun { revision, author } => {
--- a/clementinepickctl/src/run.rs
+++ b/clementinepickctl/src/run.rs
@@ -14,12 +14,12 @@
 use serde_json::{Value, json};
 
 use crate::args::{self, Args, Command};
-use crate::client::{Ctl, Readiness};
+use crate::client::{HttpClient, Readiness};
 use crate::diff::diff;
-use crate::exit::{CtlError, ExitCode, Report};
+use crate::exit::{CommandError, ExitCode, Report};
 use crate::history::History;
 use crate::platform_commands::{run_check_deploy, run_explain, run_gateway, run_ledger};
-use crate::publish::{Ended, Publish, PublishSettings, Step, describe};
+use crate::publish::{Publish, PublishOutcome, PublishSettings, Step, describe_verdict};
 use crate::status::{ProcessDump, Status};
 
 /// Carries out a command.
@@ -27,42 +27,42 @@
 /// # Errors
 ///
 /// When nothing could be found out.
-pub async fn run(args: Args) -> Result<Report, CtlError> {
-    let ctl = Ctl::new(Duration::from_secs(args.timeout_s));
+pub async fn run(args: Args) -> Result<Report, CommandError> {
+    let client = HttpClient::new(Duration::from_secs(args.timeout_s));
     match args.command {
         Command::Check(check) => run_check(&check.files),
-        Command::Diff(diff) => run_diff(&ctl, diff).await,
-        Command::Publish(publish) => run_publish(&ctl, publish).await,
-        Command::History(history) => run_history(&ctl, history).await,
-        Command::Status(status) => run_status(&ctl, status).await,
-        Command::Dump(dump) => run_dump(&ctl, &entries(dump.entry)?).await,
-        Command::Programs(programs) => run_programs(&ctl, &entries(programs.entry)?).await,
-        Command::Drain(drain) => run_drain(&ctl, drain).await,
+        Command::Diff(diff) => run_diff(&client, diff).await,
+        Command::Publish(publish) => run_publish(&client, publish).await,
+        Command::History(history) => run_history(&client, history).await,
+        Command::Status(status) => run_status(&client, status).await,
+        Command::Dump(dump) => run_dump(&client, &entries(dump.entry)?).await,
+        Command::Programs(programs) => run_programs(&client, &entries(programs.entry)?).await,
+        Command::Drain(drain) => run_drain(&client, drain).await,
         Command::Events(events) => Ok(run_events(events.what.as_deref())),
-        Command::Gateway(gateway) => run_gateway(&ctl, &gateway.addresses).await,
+        Command::Gateway(gateway) => run_gateway(&client, &gateway.addresses).await,
         Command::Explain(explain) => run_explain(&explain),
-        Command::Ledger(ledger) => run_ledger(&ctl, &ledger).await,
+        Command::Ledger(ledger) => run_ledger(&client, &ledger).await,
         Command::CheckDeploy(check) => run_check_deploy(&check.file),
     }
 }
 
-pub(crate) fn read_file(path: &str) -> Result<String, CtlError> {
-    fs::read_to_string(path).map_err(|err| CtlError::File {
+pub(crate) fn read_file(path: &str) -> Result<String, CommandError> {
+    fs::read_to_string(path).map_err(|err| CommandError::File {
         path: path.to_owned(),
         detail: err.to_string(),
     })
 }
 
-fn address(given: Option<String>, variable: &str, option: &str) -> Result<String, CtlError> {
+fn address(given: Option<String>, variable: &str, option: &str) -> Result<String, CommandError> {
     let address = given.or_else(|| env::var(variable).ok());
-    address.ok_or_else(|| CtlError::Usage(format!("give {option}, or set {variable}")))
+    address.ok_or_else(|| CommandError::Usage(format!("give {option}, or set {variable}")))
 }
 
-fn log_address(given: Option<String>) -> Result<String, CtlError> {
+fn log_address(given: Option<String>) -> Result<String, CommandError> {
     address(given, "CLEMENTINEPICK_LOG", "--log")
 }
 
-fn entries(given: Vec<String>) -> Result<Vec<String>, CtlError> {
+fn entries(given: Vec<String>) -> Result<Vec<String>, CommandError> {
     if !given.is_empty() {
         return Ok(given);
     }
@@ -73,11 +73,11 @@
         .collect())
 }
 
-fn run_check(files: &[String]) -> Result<Report, CtlError> {
+fn run_check(files: &[String]) -> Result<Report, CommandError> {
     if files.is_empty() {
-        return Err(CtlError::Usage("give at least one document".to_owned()));
+        return Err(CommandError::Usage("give at least one document".to_owned()));
     }
-    let mut exit = ExitCode::Done;
+    let mut exit = ExitCode::Success;
     let mut text = String::new();
     let mut answers = Vec::new();
     for path in files {
@@ -87,7 +87,7 @@
                 answers.push(json!({ "file": path, "service": document.service }));
             }
             Err(err) => {
-                exit = ExitCode::WrongDocument;
+                exit = ExitCode::InvalidDocument;
                 let _ = writeln!(text, "{path}: {err}");
                 answers.push(json!({ "file": path, "wrong": err.to_string() }));
             }
@@ -100,40 +100,40 @@
     })
 }
 
-async fn read_history(ctl: &Ctl, log: &str) -> Result<History, CtlError> {
+async fn read_history(client: &HttpClient, log: &str) -> Result<History, CommandError> {
     let mut history = History::default();
     loop {
-        let Some(answer) = ctl.read(log, history.position()).await else {
-            return Err(CtlError::Unreachable {
+        let Some(answer) = client.read_config(log, history.position()).await else {
+            return Err(CommandError::Unreachable {
                 address: log.to_owned(),
                 detail: "the log gives no answer".to_owned(),
             });
         };
-        if !history.take(&answer) {
+        if !history.replay_batch(&answer) {
             break;
         }
     }
     if history.replay().is_complete() {
         Ok(history)
     } else {
-        Err(CtlError::Incomplete)
+        Err(CommandError::Incomplete)
     }
 }
 
-async fn run_diff(ctl: &Ctl, args: args::Diff) -> Result<Report, CtlError> {
+async fn run_diff(client: &HttpClient, args: args::Diff) -> Result<Report, CommandError> {
     let new = read_file(&args.file)?;
     let document = match Document::parse(&new) {
         Ok(document) => document,
         Err(err) => return Ok(wrong(&err.to_string())),
     };
-    let history = read_history(ctl, &log_address(args.log)?).await?;
+    let history = read_history(client, &log_address(args.log)?).await?;
     let current = history.replay().state().documents.get(&document.service);
     let (revision, old) = current.map_or((0, ""), |c| (c.revision.0, c.text.as_str()));
     let changes = diff(old, &new);
     let exit = if changes.is_empty() {
-        ExitCode::Done
+        ExitCode::Success
     } else {
-        ExitCode::No
+        ExitCode::Mismatch
     };
     Ok(Report {
         json: json!({ "service": document.service, "base": revision, "changes": changes }),
@@ -151,27 +151,29 @@
     Report {
         text: format!("wrong: {detail}; nothing was published"),
         json: json!({ "wrong": detail }),
-        exit: ExitCode::WrongDocument,
+        exit: ExitCode::InvalidDocument,
     }
 }
 
-fn author(given: Option<VmId>) -> Result<VmId, CtlError> {
+fn author(given: Option<VmId>) -> Result<VmId, CommandError> {
     if let Some(author) = given {
         return Ok(author);
     }
     let user = env::var("USER").unwrap_or_else(|_| "operator".to_owned());
-    let bad = |_| CtlError::Usage("the user's name is no name here: give --author".to_owned());
+    let bad = |_| CommandError::Usage("the user's name is no name here: give --author".to_owned());
     user.parse().map_err(bad)
 }
 
-async fn run_publish(ctl: &Ctl, args: args::Publish) -> Result<Report, CtlError> {
+async fn run_publish(client: &HttpClient, args: args::Publish) -> Result<Report, CommandError> {
     let log = log_address(args.log)?;
     if args.file.is_none() && args.resume.is_none() {
-        return Err(CtlError::Usage("give the document to publish".to_owned()));
+        return Err(CommandError::Usage(
+            "give the document to publish".to_owned(),
+        ));
     }
     if args.file.is_some() && args.resume.is_some() && args.base.is_none() {
         let detail = "give --base with --resume, as the earlier run printed it";
-        return Err(CtlError::Usage(detail.to_owned()));
+        return Err(CommandError::Usage(detail.to_owned()));
     }
     let text = args.file.as_deref().map(read_file).transpose()?;
     let operation = args
@@ -181,7 +183,7 @@
         operation,
         author: author(args.author)?,
         base: args.base,
-        resumes: args.resume.is_some(),
+        is_resume: args.resume.is_some(),
         text,
         max_failures: args.max_failures,
         backoff_us: SpanUs::from_ms(200),
@@ -189,14 +191,14 @@
     let mut step = publish.start();
     let ended = loop {
         step = match step {
-            Step::Ended(ended) => break ended,
+            Step::Finished(ended) => break ended,
             Step::Read { from, after_us } => {
                 wait(after_us).await;
-                publish.on_read(ctl.read(&log, from).await.as_ref())
+                publish.on_read(client.read_config(&log, from).await.as_ref())
             }
             Step::Append { record, after_us } => {
                 wait(after_us).await;
-                publish.on_append(ctl.append(&log, &record).await)
+                publish.on_append(client.append_config(&log, &record).await)
             }
         };
     };
@@ -211,11 +213,11 @@
 
 /// What `publish` prints, and its exit code.
 #[must_use]
-pub fn report_publish(operation: OperationId, ended: &Ended) -> Report {
+pub fn report_publish(operation: OperationId, ended: &PublishOutcome) -> Report {
     let (outcome, exit) = outcome_of(ended);
     let (base, publication) = match ended {
-        Ended::Unknown { base } => (Some(*base), None),
-        Ended::Judged(publication) => (None, Some(publication)),
+        PublishOutcome::Unknown { base } => (Some(*base), None),
+        PublishOutcome::Recorded(publication) => (None, Some(publication)),
         _ => (None, None),
     };
     let text = sentence(operation, ended);
@@ -226,57 +228,57 @@
     Report { text, json, exit }
 }
 
-const fn outcome_of(ended: &Ended) -> (&'static str, ExitCode) {
+const fn outcome_of(ended: &PublishOutcome) -> (&'static str, ExitCode) {
     match ended {
-        Ended::Judged(publication) => match publication.verdict {
-            Verdict::Accepted { .. } => ("accepted", ExitCode::Done),
-            Verdict::Outrun { .. } => ("outrun", ExitCode::Outrun),
-            Verdict::Wrong { .. } => ("wrong", ExitCode::WrongDocument),
+        PublishOutcome::Recorded(publication) => match publication.verdict {
+            Verdict::Accepted { .. } => ("accepted", ExitCode::Success),
+            Verdict::Outrun { .. } => ("outrun", ExitCode::Conflict),
+            Verdict::Wrong { .. } => ("wrong", ExitCode::InvalidDocument),
         },
-        Ended::Wrong { .. } => ("wrong", ExitCode::WrongDocument),
-        Ended::Unchanged { .. } => ("unchanged", ExitCode::Done),
-        Ended::NotStarted | Ended::Refused | Ended::Incomplete => {
+        PublishOutcome::Invalid { .. } => ("wrong", ExitCode::InvalidDocument),
+        PublishOutcome::Unchanged { .. } => ("unchanged", ExitCode::Success),
+        PublishOutcome::LogUnreachable | PublishOutcome::Refused | PublishOutcome::Incomplete => {
             ("not_published", ExitCode::Unreachable)
         }
-        Ended::NotFound { .. } => ("not_found", ExitCode::NotFound),
-        Ended::Unknown { .. } => ("unknown", ExitCode::Unknown),
+        PublishOutcome::NotFound { .. } => ("not_found", ExitCode::NotFound),
+        PublishOutcome::Unknown { .. } => ("unknown", ExitCode::Unknown),
     }
 }
 
-fn sentence(operation: OperationId, ended: &Ended) -> String {
+fn sentence(operation: OperationId, ended: &PublishOutcome) -> String {
     match ended {
-        Ended::Judged(publication) => {
-            let verdict = describe(&publication.verdict);
+        PublishOutcome::Recorded(publication) => {
+            let verdict = describe_verdict(&publication.verdict);
             format!("{}: {verdict} (operation {operation})", publication.service)
         }
-        Ended::Wrong { detail } => wrong(detail).text,
-        Ended::Unchanged { service, revision } => {
+        PublishOutcome::Invalid { detail } => wrong(detail).text,
+        PublishOutcome::Unchanged { service, revision } => {
             format!("{service}: revision {revision} is this document already")
         }
-        Ended::NotStarted => "the log can't be read; nothing was published".to_owned(),
-        Ended::Refused => "the log refused the record; nothing was published".to_owned(),
-        Ended::Incomplete => CtlError::Incomplete.to_string(),
-        Ended::NotFound { end } => format!(
+        PublishOutcome::LogUnreachable => "the log can't be read; nothing was published".to_owned(),
+        PublishOutcome::Refused => "the log refused the record; nothing was published".to_owned(),
+        PublishOutcome::Incomplete => CommandError::Incomplete.to_string(),
+        PublishOutcome::NotFound { end } => format!(
             "the log does not hold operation {operation} up to offset {end}; it may still arrive. \
              Ask again, or give the document and --base to append it again: it counts once"
         ),
-        Ended::Unknown { base } => format!(
+        PublishOutcome::Unknown { base } => format!(
             "unknown: the log gave no answer after the record was sent. Find out with --resume \
              {operation}, or go on with the document and --resume {operation} --base {base}"
         ),
     }
 }
 
-async fn run_history(ctl: &Ctl, args: args::History) -> Result<Report, CtlError> {
-    let history = read_history(ctl, &log_address(args.log)?).await?;
+async fn run_history(client: &HttpClient, args: args::History) -> Result<Report, CommandError> {
+    let history = read_history(client, &log_address(args.log)?).await?;
     let Some(operation) = args.show else {
         return Ok(history.report(args.service.as_ref()));
     };
-    Ok(match history.text(operation) {
+    Ok(match history.document_text(operation) {
         Some(text) => Report {
             text: text.to_owned(),
             json: json!({ "operation": operation, "document": text }),
-            exit: ExitCode::Done,
+            exit: ExitCode::Success,
         },
         None => Report {
             text: format!("the log keeps no document of operation {operation}"),
@@ -286,10 +288,10 @@
     })
 }
 
-async fn run_status(ctl: &Ctl, args: args::Status) -> Result<Report, CtlError> {
+async fn run_status(client: &HttpClient, args: args::Status) -> Result<Report, CommandError> {
     let mut status = Status::default();
     for entry in entries(args.entry)? {
-        let dump = ctl.dump(&entry).await;
+        let dump = client.fetch_dump(&entry).await;
         let dump = dump
             .ok()
             .and_then(|d| serde_json::from_value(d["state"].clone()).ok());
@@ -303,7 +305,7 @@
     }
     let vms = address(args.vms, "CLEMENTINEPICK_VMS", "--vms");
     if let Ok(vms) = vms {
-        match ctl.vms(&vms).await {
+        match client.fetch_vms(&vms).await {
             Ok(list) => status.add_vms(list),
             Err(_) => status.add_unreachable(vms),
         }
@@ -311,11 +313,11 @@
     Ok(status.report())
 }
 
-async fn run_dump(ctl: &Ctl, entries: &[String]) -> Result<Report, CtlError> {
+async fn run_dump(client: &HttpClient, entries: &[String]) -> Result<Report, CommandError> {
     let mut dumps = Vec::new();
     for entry in entries {
-        let ready = ctl.readiness(entry).await? == Readiness::Ready;
-        let mut dump = ctl.dump(entry).await?;
+        let ready = client.check_readiness(entry).await? == Readiness::Ready;
+        let mut dump = client.fetch_dump(entry).await?;
         dump["address"] = json!(entry);
         dump["ready"] = json!(ready);
         dumps.push(dump);
@@ -324,15 +326,15 @@
     Ok(Report {
         text: format!("{json:#}"),
         json,
-        exit: ExitCode::Done,
+        exit: ExitCode::Success,
     })
 }
 
-async fn run_programs(ctl: &Ctl, entries: &[String]) -> Result<Report, CtlError> {
+async fn run_programs(client: &HttpClient, entries: &[String]) -> Result<Report, CommandError> {
     let mut text = String::new();
     let mut owners = Vec::new();
     for entry in entries {
-        let dump = ctl.dump(entry).await?;
+        let dump = client.fetch_dump(entry).await?;
         let programs = dump["state"]["programs"].clone();
         for program in programs.as_array().into_iter().flatten() {
             let name = program.as_str().map_or(program.to_string(), str::to_owned);
@@ -343,24 +345,24 @@
     Ok(Report {
         text: text.trim_end().to_owned(),
         json: json!({ "entries": owners }),
-        exit: ExitCode::Done,
+        exit: ExitCode::Success,
     })
 }
 
-async fn run_drain(ctl: &Ctl, args: args::Drain) -> Result<Report, CtlError> {
+async fn run_drain(client: &HttpClient, args: args::Drain) -> Result<Report, CommandError> {
     // No default from the environment: it names all entries, and those must not leave at once.
     let [entry] = &args.entry[..] else {
-        return Err(CtlError::Usage("give one --entry to drain".to_owned()));
+        return Err(CommandError::Usage("give one --entry to drain".to_owned()));
     };
     let key = match args.key_file {
         Some(path) => read_file(&path)?,
         None => address(None, "CLEMENTINEPICK_ADMIN_KEY", "--key-file")?,
     };
-    ctl.drain(entry, key.trim()).await?;
+    client.drain(entry, key.trim()).await?;
     Ok(Report {
         text: format!("{entry} takes no new work and exits when all has finished"),
         json: json!({ "address": entry, "leaving": true }),
-        exit: ExitCode::Done,
+        exit: ExitCode::Success,
     })
 }
 
@@ -394,7 +396,7 @@
         text.push_str("there is no such event or error");
         ExitCode::NotFound
     } else {
-        ExitCode::Done
+        ExitCode::Success
     };
     let events: Vec<Value> = events.iter().map(|kind| event_json(**kind)).collect();
     let errors: Vec<Value> = errors.iter().map(|kind| error_json(**kind)).collect();
--- a/clementinepickctl/src/status.rs
+++ b/clementinepickctl/src/status.rs
@@ -186,9 +186,9 @@
             text.push_str("no document is in force\n");
             ExitCode::NotFound
         } else if everywhere && self.unreachable.is_empty() {
-            ExitCode::Done
+            ExitCode::Success
         } else {
-            ExitCode::No
+            ExitCode::Mismatch
         };
         Report {
             text: text.trim_end().to_owned(),
--- a/clementinepickctl/tests/explain.rs
+++ b/clementinepickctl/tests/explain.rs
@@ -1,6 +1,6 @@
 //! What the logs of several gateways say of one request or program.
 
-use clementinepickctl::explain::{LogLine, gateway_lines, read_log, story};
+use clementinepickctl::explain::{LogLine, format_gateway, parse_log, select_lines};
 use serde_json::json;
 
 const ONE: &str = r#"
@@ -11,14 +11,14 @@
 const OTHER: &str = r#"{"msg":"request_failed","ts":"2026-01-01T00:00:02Z","process":"gateway-2","request":"r2","program":"p1","reason":"budget_spent","reserved":"4000 tokens"}"#;
 
 fn lines() -> Vec<LogLine> {
-    let mut lines = read_log(ONE);
-    lines.extend(read_log(OTHER));
+    let mut lines = parse_log(ONE);
+    lines.extend(parse_log(OTHER));
     lines
 }
 
 #[test]
 fn a_program_is_told_over_all_gateways_in_order() {
-    let told = story("p1", lines());
+    let told = select_lines("p1", lines());
     let told: Vec<String> = told.iter().map(LogLine::describe).collect();
     assert_eq!(
         told,
@@ -35,9 +35,9 @@
 
 #[test]
 fn a_request_is_told_alone() {
-    let told = story("r9", lines());
+    let told = select_lines("r9", lines());
     assert_eq!(told.len(), 1);
-    assert!(story("nobody", lines()).is_empty());
+    assert!(select_lines("nobody", lines()).is_empty());
 }
 
 #[test]
@@ -55,7 +55,7 @@
         "servers": [{ "is_draining": true }, { "is_draining": false }],
     });
     assert_eq!(
-        gateway_lines(&state),
+        format_gateway(&state),
         [
             "ready true, draining false, configuration 7, lists read 120 ms ago",
             "store away false, direct way down true, 2 peers",
--- a/clementinepickctl/tests/explain_run.rs
+++ b/clementinepickctl/tests/explain_run.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use clementinepickctl::explain::{LogLine, read_log, story};
+use clementinepickctl::explain::{LogLine, parse_log, select_lines};
 use standins::platform_backend::{BackendFault, PlatformBackend};
 use standins::platform_caller::{CallerRequest, exchange};
 use standins::platform_run::{PlatformRun, wait_until};
@@ -33,7 +33,7 @@
 
     /// The last line of a request, once it is there.
     fn last_line(&self, id: &str) -> LogLine {
-        let lines = || story(id, read_log(&self.text()));
+        let lines = || select_lines(id, parse_log(&self.text()));
         wait_until(|| !lines().is_empty()).expect("a line");
         lines().pop().expect("a line")
     }
@@ -89,7 +89,7 @@
     assert_eq!(line.fields["reason"], "budget_spent");
     assert_eq!(line.fields["budget"], "200 tokens");
     assert_eq!(line.fields["reserved"], "200 tokens");
-    let told = story("p1", read_log(&log.text()));
+    let told = select_lines("p1", parse_log(&log.text()));
     let slices = told.iter().filter(|line| line.name == "budget_reserved");
     assert_eq!(slices.count(), 4, "slices of 50 tokens");
 }
--- a/clementinepickctl/tests/platform_commands.rs
+++ b/clementinepickctl/tests/platform_commands.rs
@@ -3,13 +3,13 @@
 use std::path::Path;
 
 use clementinepickctl::args::{Args, CheckDeploy, Command, GatewayArgs, Ledger};
-use clementinepickctl::exit::{CtlError, ExitCode, Report};
+use clementinepickctl::exit::{CommandError, ExitCode, Report};
 use clementinepickctl::run::run;
 use standins::platform_caller::CallerRequest;
 use standins::platform_run::PlatformRun;
 use standins::platform_store::StoreMode;
 
-fn carry_out(command: Command) -> Result<Report, CtlError> {
+fn carry_out(command: Command) -> Result<Report, CommandError> {
     let args = Args {
         json: false,
         timeout_s: 5,
@@ -22,7 +22,7 @@
     run: &PlatformRun,
     program: Option<&str>,
     turn: Option<&str>,
-) -> Result<Report, CtlError> {
+) -> Result<Report, CommandError> {
     let address = run.gateways[0].addresses.metrics.expect("an address");
     carry_out(Command::Ledger(Ledger {
         address: address.to_string(),
@@ -51,7 +51,7 @@
         addresses: vec![address.to_string()],
     });
     let report = carry_out(command).expect("a report");
-    assert_eq!(report.exit, ExitCode::Done);
+    assert_eq!(report.exit, ExitCode::Success);
     let believes = "ready true, draining false, configuration 1";
     assert!(report.text.contains(believes), "{}", report.text);
 }
@@ -63,7 +63,7 @@
     let run = PlatformRun::start(1).expect("a run");
     turn(&run, "t1", None);
     let report = ledger(&run, Some("a/b c"), None).expect("a report");
-    assert_eq!(report.exit, ExitCode::Done);
+    assert_eq!(report.exit, ExitCode::Success);
     let holder = run.gateways[0].addresses.peers;
     let slice = format!("slice of 100 tokens, of {holder}");
     assert!(report.text.contains(&slice), "{}", report.text);
@@ -97,7 +97,7 @@
     let run = PlatformRun::start(1).expect("a run");
     for (program, turn) in [(Some("never"), None), (None, Some("never"))] {
         let err = ledger(&run, program, turn).expect_err("nothing");
-        assert_eq!(err, CtlError::NotInLedger("never".to_owned()));
+        assert_eq!(err, CommandError::NotInLedger("never".to_owned()));
         assert_eq!(err.exit(), ExitCode::NotFound);
     }
     run.doors[0].set_mode(StoreMode::Busy);
@@ -114,5 +114,5 @@
         .expect("a root");
     let file = root.join("deploy/system.toml").display().to_string();
     let report = carry_out(Command::CheckDeploy(CheckDeploy { file })).expect("a report");
-    assert_eq!(report.exit, ExitCode::Done, "{}", report.text);
+    assert_eq!(report.exit, ExitCode::Success, "{}", report.text);
 }
--- a/clementinepickctl/tests/publish.rs
+++ b/clementinepickctl/tests/publish.rs
@@ -7,7 +7,7 @@
 use clementinepick::record::Record;
 use clementinepick::units::SpanUs;
 use clementinepickctl::exit::ExitCode;
-use clementinepickctl::publish::{Ended, Publish, PublishSettings, Step};
+use clementinepickctl::publish::{Publish, PublishOutcome, PublishSettings, Step};
 use clementinepickctl::run::report_publish;
 use expect_test::expect;
 
@@ -66,12 +66,12 @@
         }
     }
 
-    fn run(&mut self, settings: PublishSettings) -> Ended {
+    fn run(&mut self, settings: PublishSettings) -> PublishOutcome {
         let mut publish = Publish::new(settings);
         let mut step = publish.start();
         loop {
             step = match step {
-                Step::Ended(ended) => return ended,
+                Step::Finished(ended) => return ended,
                 Step::Read { from, .. } => publish.on_read(self.read(from).as_ref()),
                 Step::Append { record, .. } => publish.on_append(self.append(*record)),
             };
@@ -88,16 +88,16 @@
         operation: OperationId(operation),
         author: author.parse().expect("a name"),
         base: None,
-        resumes: false,
+        is_resume: false,
         text: Some(text(rank)),
         max_failures: 4,
         backoff_us: SpanUs::from_ms(1),
     }
 }
 
-fn accepted(ended: &Ended) -> Option<u64> {
+fn accepted(ended: &PublishOutcome) -> Option<u64> {
     match ended {
-        Ended::Judged(publication) => match publication.verdict {
+        PublishOutcome::Recorded(publication) => match publication.verdict {
             Verdict::Accepted { revision } => Some(revision.0),
             Verdict::Outrun { .. } | Verdict::Wrong { .. } => None,
         },
@@ -105,7 +105,7 @@
     }
 }
 
-fn exit(ended: &Ended) -> ExitCode {
+fn exit(ended: &PublishOutcome) -> ExitCode {
     report_publish(OperationId(1), ended).exit
 }
 
@@ -115,7 +115,7 @@
     assert_eq!(accepted(&log.run(settings(1, "ana", 1))), Some(1));
     assert_eq!(accepted(&log.run(settings(2, "ana", 2))), Some(2));
     let again = log.run(settings(3, "ana", 2));
-    assert!(matches!(again, Ended::Unchanged { .. }));
+    assert!(matches!(again, PublishOutcome::Unchanged { .. }));
     assert_eq!(log.records.len(), 2);
 }
 
@@ -127,7 +127,7 @@
         ..settings(1, "ana", 1)
     };
     let ended = log.run(wrong);
-    assert_eq!(exit(&ended), ExitCode::WrongDocument);
+    assert_eq!(exit(&ended), ExitCode::InvalidDocument);
     assert!(log.records.is_empty());
 }
 
@@ -142,7 +142,7 @@
     rivals.run(settings(2, "bo", 2));
     log.rival = rivals.records.pop();
     let ended = log.run(settings(3, "ana", 3));
-    assert_eq!(exit(&ended), ExitCode::Outrun);
+    assert_eq!(exit(&ended), ExitCode::Conflict);
     expect!["s: outrun by bo: revision 2 is in force (operation 00000000000000000000000000000003)"]
         .assert_eq(&report_publish(OperationId(3), &ended).text);
 }
@@ -158,7 +158,7 @@
         base: Some(Revision(1)),
         ..settings(3, "ana", 3)
     };
-    assert_eq!(exit(&log.run(stale)), ExitCode::Outrun);
+    assert_eq!(exit(&log.run(stale)), ExitCode::Conflict);
 }
 
 // The log takes the record and the answer is lost. Reading on shows the record, so that nothing is
@@ -214,14 +214,14 @@
     while matches!(step, Step::Read { .. }) {
         step = publish.on_read(None);
     }
-    let Step::Ended(ended) = step else {
+    let Step::Finished(ended) = step else {
         panic!("it must not append while it can't read: {step:?}");
     };
-    assert_eq!(ended, Ended::Unknown { base: Revision(0) });
+    assert_eq!(ended, PublishOutcome::Unknown { base: Revision(0) });
     assert_eq!(exit(&ended), ExitCode::Unknown);
 
     let resumed = PublishSettings {
-        resumes: true,
+        is_resume: true,
         base: Some(Revision(0)),
         ..settings(1, "ana", 1)
     };
@@ -237,7 +237,7 @@
         ..Log::default()
     };
     let ended = log.run(settings(1, "ana", 1));
-    assert_eq!(ended, Ended::NotStarted);
+    assert_eq!(ended, PublishOutcome::LogUnreachable);
     assert_eq!(exit(&ended), ExitCode::Unreachable);
 }
 
@@ -247,7 +247,7 @@
         faults: vec![Fault::Refused; 9],
         ..Log::default()
     };
-    assert_eq!(log.run(settings(1, "ana", 1)), Ended::Refused);
+    assert_eq!(log.run(settings(1, "ana", 1)), PublishOutcome::Refused);
     log.faults = vec![
         Fault::LostRequest,
         Fault::Refused,
@@ -255,7 +255,7 @@
         Fault::Refused,
     ];
     let ended = log.run(settings(1, "ana", 1));
-    assert!(matches!(ended, Ended::Unknown { .. }), "{ended:?}");
+    assert!(matches!(ended, PublishOutcome::Unknown { .. }), "{ended:?}");
 }
 
 // An operator resumes without the document, only to ask. Nothing may be appended.
@@ -263,7 +263,7 @@
 fn asking_for_an_operation_appends_nothing() {
     let mut log = Log::default();
     let ask = |operation| PublishSettings {
-        resumes: true,
+        is_resume: true,
         text: None,
         ..settings(operation, "ana", 1)
     };
--- a/clementinepickctl/tests/sockets.rs
+++ b/clementinepickctl/tests/sockets.rs
@@ -10,7 +10,7 @@
 use clementinepick::platform::{Vm, VmRole, VmState};
 use clementinepick::units::SpanUs;
 use clementinepickctl::args::Args;
-use clementinepickctl::exit::{CtlError, ExitCode, Report};
+use clementinepickctl::exit::{CommandError, ExitCode, Report};
 use clementinepickctl::run::run;
 use clementinepickd::settings::{
     BackendKind, EntryRole, LinkKey, LinkKeys, LinkSettings, LogLevel, Role, Settings,
@@ -66,7 +66,7 @@
     format!("[service]\nname = s\nkind = plain\n[class c]\nrank = {rank}\n")
 }
 
-async fn ctl(args: &[&str]) -> Result<Report, CtlError> {
+async fn ctl(args: &[&str]) -> Result<Report, CommandError> {
     run(Args::from_args(&["clementinepickctl"], args).expect("right arguments")).await
 }
 
@@ -80,10 +80,10 @@
     let log = servers.addresses.log.to_string();
     let (first, second) = (File::new("1", &text(1)), File::new("2", &text(2)));
     let wrong = File::new("3", "[service]\nnmae = s\n");
-    assert_eq!(exit(&["check", first.path()]).await, ExitCode::Done);
+    assert_eq!(exit(&["check", first.path()]).await, ExitCode::Success);
     assert_eq!(
         exit(&["check", wrong.path()]).await,
-        ExitCode::WrongDocument
+        ExitCode::InvalidDocument
     );
     let publish = |file: &File| ["publish", file.path(), "--log", &log].map(str::to_owned);
     let run_publish = async |file: &File, more: &[&str]| {
@@ -97,9 +97,9 @@
     };
     assert_eq!(
         run_publish(&first, &["--author", "ana"]).await,
-        ExitCode::Done
+        ExitCode::Success
     );
-    assert_eq!(run_publish(&wrong, &[]).await, ExitCode::WrongDocument);
+    assert_eq!(run_publish(&wrong, &[]).await, ExitCode::InvalidDocument);
     let diff = ctl(&["diff", second.path(), "--log", &log])
         .await
         .expect("a log");
@@ -107,10 +107,13 @@
         diff.text,
         "s: against revision 1\n [class c]\n-rank = 1\n+rank = 2"
     );
-    assert_eq!(run_publish(&second, &["--base", "1"]).await, ExitCode::Done);
+    assert_eq!(
+        run_publish(&second, &["--base", "1"]).await,
+        ExitCode::Success
+    );
     assert_eq!(
         run_publish(&first, &["--base", "1"]).await,
-        ExitCode::Outrun
+        ExitCode::Conflict
     );
     let history = ctl(&["history", "s", "--log", &log]).await.expect("a log");
     let verdicts = history.json["publications"].as_array().expect("a list");
@@ -188,12 +191,12 @@
     let file = File::new("status", &text(1));
     let log = log.to_string();
     let published = exit(&["publish", file.path(), "--log", &log]).await;
-    assert_eq!(published, ExitCode::Done);
+    assert_eq!(published, ExitCode::Success);
     let (address, vms) = (entry.http_address().to_string(), vms.to_string());
     let args = ["status", "--entry", &address, "--vms", &vms];
     let mut report = ctl(&args).await.expect("an entry");
     for _ in 0..MAX_ASKS {
-        if report.exit == ExitCode::Done {
+        if report.exit == ExitCode::Success {
             break;
         }
         actix_rt::time::sleep(PAUSE).await;
@@ -205,7 +208,7 @@
     silent.link_address = "127.0.0.1:1".to_owned();
     servers.vms.set(silent);
     let report = ctl(&args).await.expect("an entry");
-    assert_eq!(report.exit, ExitCode::No, "{}", report.text);
+    assert_eq!(report.exit, ExitCode::Mismatch, "{}", report.text);
     let dump = ctl(&["dump", "--entry", &address]).await.expect("an entry");
     assert_eq!(dump.json["processes"][0]["ready"], true);
     let key = File::new("key", "a key for operators\n");
@@ -217,7 +220,7 @@
         assert_eq!(exit(&refused).await, ExitCode::Unreachable);
         assert_eq!(
             exit(&[&drain[..], &[key.path()]].concat()).await,
-            ExitCode::Done
+            ExitCode::Success
         );
     }
     assert_eq!(entry.join(), Ended::Gracefully);
--- a/clementinepickctl/tests/status.rs
+++ b/clementinepickctl/tests/status.rs
@@ -36,7 +36,7 @@
     status.add_dump(dump(&peer("entry-a", 1, None), &json!({ "s": 2 }), &peers));
     let report = status.report();
     expect!["s: revision 2 is in force on 3 of 3"].assert_eq(&report.text);
-    assert_eq!(report.exit, ExitCode::Done);
+    assert_eq!(report.exit, ExitCode::Success);
 }
 
 // One sidecar lags, one is on the platform's list and no entry has a link to it. `status` must not
@@ -63,7 +63,7 @@
           entry-b is listed, and nobody has heard of it
         leaving: entry-b (entry)"]]
     .assert_eq(&report.text);
-    assert_eq!(report.exit, ExitCode::No);
+    assert_eq!(report.exit, ExitCode::Mismatch);
 }
 
 // Two entries tell of the same sidecar. One of them last heard of its former life; what that life
