--- a/clementinepickctl/src/args.rs
+++ b/clementinepickctl/src/args.rs
@@ -1,78 +1,75 @@
-//! The command line.
+//! Defines the commands, arguments and help texts of the command line.
 
 use argh::FromArgs;
 use clementinepick::ids::{OperationId, Revision, ServiceName, VmId};
 
-/// Publish documents and look into a running clementinepick.
+/// Publish configuration documents and inspect a running clementinepick.
 ///
-/// Addresses are `ip:port`. Where `--log`, `--entry` or `--vms` is left out, the environment
-/// variables `CLEMENTINEPICK_LOG`, `CLEMENTINEPICK_ENTRIES` (separated by commas) and
-/// `CLEMENTINEPICK_VMS` are used.
+/// Addresses have the form `ip:port`. `--log`, `--entry` and `--vms` default to the environment
+/// variables `CLEMENTINEPICK_LOG`, `CLEMENTINEPICK_ENTRIES` (comma-separated) and
+/// `CLEMENTINEPICK_VMS`.
 #[derive(FromArgs, Debug)]
 #[argh(
     example = "{command_name} check agent-llm.ini",
     example = "{command_name} publish agent-llm.ini --log 10.0.0.5:9000 --base 7",
     example = "{command_name} --json status --entry 10.0.1.1:8080 --vms 10.0.0.5:9001",
-    note = "Each command prints one JSON object with `--json`.",
-    error_code(
-        2,
-        "the answer is no: documents differ, or a process is not up to date"
-    ),
-    error_code(3, "the document or file is wrong; nothing was published"),
-    error_code(4, "another publication was first; nothing was published"),
+    note = "With `--json`, each command prints one JSON object.",
+    error_code(2, "documents differ, or a process is not up to date"),
+    error_code(3, "the document or file is invalid; nothing was published"),
+    error_code(4, "an earlier publication conflicts; nothing was published"),
     error_code(
         5,
-        "nobody can tell yet whether it was published; ask again with --resume"
+        "the outcome of the publication is unknown; run again with --resume"
     ),
-    error_code(6, "a process or the log can't be reached; nothing was changed"),
-    error_code(7, "what was asked for does not exist")
+    error_code(6, "a process or the log is unreachable; nothing was changed"),
+    error_code(7, "the requested item does not exist")
 )]
 pub struct Args {
-    /// print one JSON object
+    /// print the result as one JSON object
     #[argh(switch)]
     pub json: bool,
-    /// how long one request may take, in seconds
+    /// timeout of one request, in seconds
     #[argh(option, default = "5")]
     pub timeout_s: u64,
-    /// what to do
+    /// the command to run
     #[argh(subcommand)]
     pub command: Command,
 }
 
-/// The commands.
+/// A command with its arguments.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand)]
 pub enum Command {
-    /// Read documents and say what is wrong.
+    /// Validate documents.
     Check(Check),
-    /// Compare a document with the one in force.
+    /// Compare a document with the active one.
     Diff(Diff),
-    /// Bring a document into force.
+    /// Publish a document.
     Publish(Publish),
     /// List publications.
     History(History),
-    /// Say where which revision is in force.
+    /// Show which revision is active on which process.
     Status(Status),
     /// Print the state of processes.
     Dump(Dump),
     /// List programs.
     Programs(Programs),
-    /// Ask a process to leave.
+    /// Drain a process.
     Drain(Drain),
     /// Explain events and errors.
     Events(Events),
-    /// Say what gateways believe.
+    /// Show the state of gateways.
     Gateway(GatewayArgs),
-    /// Tell from logs what became of a request or program.
+    /// Trace a request or program through log files.
     Explain(Explain),
-    /// Say what the ledger has of a program or a turn.
+    /// Show the ledger's records of a program or a turn.
     Ledger(Ledger),
-    /// Say what is wrong with the platform's file of roles.
+    /// Validate the platform's deployment file.
     CheckDeploy(CheckDeploy),
 }
 
-/// Say what the ledger has of a program's budget, or of a turn and those before it, as a gateway
-/// reads it from the platform's store.
+/// Show the ledger's records of a program's budget, or of a turn and the turns before it, as a
+/// gateway reads them from the platform's store.
 #[derive(FromArgs, Debug)]
 #[argh(
     subcommand,
@@ -81,32 +78,32 @@
     example = "{command_name} 10.0.1.1:9464 --turn 9c41d07be2a35f68"
 )]
 pub struct Ledger {
-    /// a gateway's metrics address
+    /// metrics address of a gateway
     #[argh(positional)]
     pub address: String,
-    /// the id of the program
+    /// id of the program
     #[argh(option)]
     pub program: Option<String>,
-    /// the id of the request that was the turn
+    /// id of the turn's request
     #[argh(option)]
     pub turn: Option<String>,
 }
 
-/// Read the platform's file of roles, and the templates that it names, and say what is wrong.
+/// Validate the platform's deployment file, which lists the roles, and the templates it refers to.
 #[derive(FromArgs, Debug)]
 #[argh(
     subcommand,
     name = "check-deploy",
     example = "{command_name} deploy/system.toml",
-    note = "Templates are read from the directory above the file's own."
+    note = "Template paths are relative to the parent of the file's directory."
 )]
 pub struct CheckDeploy {
-    /// the file
+    /// the deployment file
     #[argh(positional)]
     pub file: String,
 }
 
-/// Say what gateways believe: configuration, servers, peers, the store and what they hold.
+/// Show the state of gateways: configuration, backend servers, peers, store and programs.
 #[derive(FromArgs, Debug)]
 #[argh(
     subcommand,
@@ -114,29 +111,29 @@
     example = "{command_name} 10.0.1.1:9464 10.0.1.2:9464"
 )]
 pub struct GatewayArgs {
-    /// the gateways' metrics addresses
+    /// metrics addresses of the gateways
     #[argh(positional)]
     pub addresses: Vec<String>,
 }
 
-/// Tell from collected logs what became of a request, or of all requests of a program, in order.
+/// Print the log lines of a request, or of all requests of a program, in order of time.
 #[derive(FromArgs, Debug)]
 #[argh(
     subcommand,
     name = "explain",
     example = "{command_name} 9c41d07be2a35f68 gateway-1.log gateway-2.log",
-    note = "Lines may have anything before their JSON, such as a collector's stamp."
+    note = "Text before a line's JSON object, such as a log collector's prefix, is ignored."
 )]
 pub struct Explain {
-    /// the id of the request, or of the program
+    /// id of the request or program
     #[argh(positional)]
     pub id: String,
-    /// the files of log lines
+    /// log files
     #[argh(positional)]
     pub files: Vec<String>,
 }
 
-/// Read documents and say what is wrong with them.
+/// Validate documents and print the error of each invalid one.
 #[derive(FromArgs, Debug)]
 #[argh(
     subcommand,
@@ -144,12 +141,12 @@
     example = "{command_name} agent-llm.ini book-app.ini"
 )]
 pub struct Check {
-    /// the documents
+    /// document files
     #[argh(positional)]
     pub files: Vec<String>,
 }
 
-/// Compare a document with the one in force for its service.
+/// Compare a document with the active one of its service.
 #[derive(FromArgs, Debug)]
 #[argh(
     subcommand,
@@ -157,18 +154,19 @@
     example = "{command_name} agent-llm.ini --log 10.0.0.5:9000"
 )]
 pub struct Diff {
-    /// the document
+    /// document file
     #[argh(positional)]
     pub file: String,
-    /// the log service
+    /// address of the log service
     #[argh(option)]
     pub log: Option<String>,
 }
 
-/// Bring a document into force everywhere.
+/// Publish a document to all processes.
 ///
-/// Prints the revision, or who was first, or what is wrong. Where the log gives no answer it
-/// prints the operation's id: `--resume` finds out what happened, and never publishes twice.
+/// Prints the new revision, the conflicting publication, or the document's error. If the log does
+/// not confirm the publication, prints the operation's id: `--resume` then determines the outcome
+/// and never publishes twice.
 #[derive(FromArgs, Debug)]
 #[argh(
     subcommand,
@@ -178,28 +176,28 @@
     example = "{command_name} agent-llm.ini --resume 6d0c...f3 --base 7 --log 10.0.0.5:9000"
 )]
 pub struct Publish {
-    /// the document; with `--resume` it may be left out, to find out only
+    /// document file; with `--resume`, leave it out to query the outcome without publishing
     #[argh(positional)]
     pub file: Option<String>,
-    /// the log service
+    /// address of the log service
     #[argh(option)]
     pub log: Option<String>,
-    /// the revision that the document was written from; without it, the one in force now is
-    /// replaced, whoever published it
+    /// revision that the document is based on; defaults to the active one, which is then replaced
+    /// whoever published it
     #[argh(option)]
     pub base: Option<Revision>,
-    /// an operation of an earlier run whose outcome is unknown
+    /// operation id of an earlier run whose outcome is unknown
     #[argh(option)]
     pub resume: Option<OperationId>,
-    /// who publishes, as history shows it; by default the user's name
+    /// author shown by `history`; defaults to the user's name
     #[argh(option)]
     pub author: Option<VmId>,
-    /// how often the log may fail before the outcome counts as unknown
+    /// number of failed requests to the log after which the command gives up
     #[argh(option, default = "6")]
     pub max_failures: u32,
 }
 
-/// List the publications that the log remembers, or print the document of one.
+/// List the publications retained by the log, or print the document of one.
 #[derive(FromArgs, Debug)]
 #[argh(
     subcommand,
@@ -208,21 +206,21 @@
     example = "{command_name} --show 6d0c...f3 --log 10.0.0.5:9000"
 )]
 pub struct History {
-    /// only this service's
+    /// list only this service's publications
     #[argh(positional)]
     pub service: Option<ServiceName>,
-    /// the log service
+    /// address of the log service
     #[argh(option)]
     pub log: Option<String>,
-    /// print the document that this operation brought
+    /// print the document published by this operation
     #[argh(option)]
     pub show: Option<OperationId>,
 }
 
-/// Say, for each service, at how many of how many processes its newest revision is in force.
+/// Show, for each service, on how many of its processes the newest revision is active.
 ///
-/// Entries tell what they hold and what their peers said with their last heartbeat. With `--vms`
-/// the processes that nobody has heard of are counted as well.
+/// Entries report their own revisions and those in the last heartbeat of each peer. With `--vms`,
+/// listed processes that no entry has heard from are counted too.
 #[derive(FromArgs, Debug)]
 #[argh(
     subcommand,
@@ -230,15 +228,15 @@
     example = "{command_name} --entry 10.0.1.1:8080 --entry 10.0.2.1:8080 --vms 10.0.0.5:9001"
 )]
 pub struct Status {
-    /// the HTTP address of an entry or sidecar; may be repeated
+    /// HTTP address of an entry or sidecar; may be repeated
     #[argh(option)]
     pub entry: Vec<String>,
-    /// the list of VMs
+    /// address of the service that lists the VMs
     #[argh(option)]
     pub vms: Option<String>,
 }
 
-/// Print the whole state of processes.
+/// Print the full state of processes.
 #[derive(FromArgs, Debug)]
 #[argh(
     subcommand,
@@ -246,7 +244,7 @@
     example = "{command_name} --entry 10.0.1.1:8080"
 )]
 pub struct Dump {
-    /// the HTTP address of an entry or sidecar; may be repeated
+    /// HTTP address of an entry or sidecar; may be repeated
     #[argh(option)]
     pub entry: Vec<String>,
 }
@@ -259,15 +257,15 @@
     example = "{command_name} --entry 10.0.1.1:8080"
 )]
 pub struct Programs {
-    /// the HTTP address of an entry; may be repeated
+    /// HTTP address of an entry; may be repeated
     #[argh(option)]
     pub entry: Vec<String>,
 }
 
-/// Ask a process to take no new work, to finish what runs and to exit.
+/// Ask a process to accept no new work, finish its running calls and exit.
 ///
-/// The key is `[process] admin_key` of that process. It is read from a file, or from the environment
-/// variable `CLEMENTINEPICK_ADMIN_KEY`, since others can see the command line.
+/// The key is the process's `[process] admin_key`. It is read from a file or from the environment
+/// variable `CLEMENTINEPICK_ADMIN_KEY`, since other users can see command-line arguments.
 #[derive(FromArgs, Debug)]
 #[argh(
     subcommand,
@@ -275,15 +273,16 @@
     example = "{command_name} --entry 10.0.1.1:8080 --key-file /run/secrets/admin-key"
 )]
 pub struct Drain {
-    /// the HTTP address of the entry or sidecar
+    /// HTTP address of the entry or sidecar
     #[argh(option)]
     pub entry: Vec<String>,
-    /// a file with the admin key
+    /// file with the admin key
     #[argh(option)]
     pub key_file: Option<String>,
 }
 
-/// Explain an event by its number or name, or an error by its code; without one, list all.
+/// Describe an event, given its number or name, or an error, given its code; without an argument,
+/// list all.
 #[derive(FromArgs, Debug)]
 #[argh(
     subcommand,
@@ -292,7 +291,7 @@
     example = "{command_name} not_ready"
 )]
 pub struct Events {
-    /// a number, a name or an error's code
+    /// event number, event name or error code
     #[argh(positional)]
     pub what: Option<String>,
 }
--- a/clementinepickctl/src/client.rs
+++ b/clementinepickctl/src/client.rs
@@ -1,4 +1,4 @@
-//! HTTP to the log service, the list of VMs and the system's processes.
+//! Sends HTTP requests to the log service, the VM list and the processes of the system.
 
 use std::time::Duration;
 
@@ -14,43 +14,42 @@
 
 use crate::exit::CommandError;
 
-/// The largest answer that is read; a dump of a full process is the largest.
-const MAX_ANSWER_BYTES: usize = 256_000_000;
-/// The records asked for in one read.
-const READ_COUNT: u32 = 1_000;
-/// Carries the key of an operator.
+/// Limits the body of a response; state dumps are the largest.
+const MAX_RESPONSE_BYTES: usize = 256_000_000;
+/// The largest number of records requested in one read.
+const MAX_READ_RECORDS: u32 = 1_000;
+/// The request header that carries the admin key.
 const ADMIN_KEY_HEADER: &str = "clementinepick-admin-key";
-/// The status by which a process says that there is no such thing.
 const NOT_FOUND: u16 = 404;
-/// The statuses by which the log says that nothing was appended.
-const NOT_APPENDED: [u16; 2] = [429, 503];
+/// The statuses with which the log guarantees that nothing was appended.
+const NOT_APPENDED_STATUSES: [u16; 2] = [429, 503];
 
-/// What `/readyz` says.
+/// The readiness of a process according to `/readyz`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Readiness {
-    /// The process takes calls.
+    /// The process accepts calls.
     Ready,
-    /// It answers, and does not take calls.
+    /// The process responds but accepts no calls.
     NotReady,
 }
 
-/// A client with one limit of time for each request.
+/// An HTTP client with a fixed timeout per request.
 pub struct HttpClient {
     client: Client,
 }
 
 impl HttpClient {
-    /// A client whose requests may take `timeout`.
+    /// Creates a client whose requests time out after `timeout`.
     #[must_use]
     pub fn new(timeout: Duration) -> Self {
         let client = Client::builder().timeout(timeout).finish();
         Self { client }
     }
 
-    /// Reads the configuration stream; `None` when the log gives no answer.
+    /// Reads records of the configuration stream, or returns `None` if the request fails.
     pub async fn read_config(&self, log: &str, from: Offset) -> Option<ReadResponse> {
         let stream = StreamName::Config;
-        let path = format!("/v1/streams/{stream}?from={from}&max={READ_COUNT}");
+        let path = format!("/v1/streams/{stream}?from={from}&max={MAX_READ_RECORDS}");
         self.get_json(log, &path).await.ok()
     }
 
@@ -64,43 +63,44 @@
         let sent = self.client.post(url).send_json(&AppendBody { records });
         match sent.await {
             Ok(mut response) if response.status().is_success() => {
-                let answer = response.json::<AppendResponse>().await;
-                answer.map_or(AppendOutcome::Unknown, |answer| {
-                    AppendOutcome::Appended(answer.first_offset)
+                let appended = response.json::<AppendResponse>().await;
+                appended.map_or(AppendOutcome::Unknown, |appended| {
+                    AppendOutcome::Appended(appended.first_offset)
                 })
             }
-            Ok(response) if NOT_APPENDED.contains(&response.status().as_u16()) => {
+            Ok(response) if NOT_APPENDED_STATUSES.contains(&response.status().as_u16()) => {
                 AppendOutcome::Refused
             }
-            // Without a connection nothing was sent. After that, no error says how far it came.
+            // Without a connection nothing was sent. After any other failure the log may have
+            // appended the record, so the outcome is unknown.
             Err(SendRequestError::Connect(_)) => AppendOutcome::Refused,
             Ok(_) | Err(_) => AppendOutcome::Unknown,
         }
     }
 
-    /// The platform's list of VMs.
+    /// Fetches the platform's list of VMs.
     ///
     /// # Errors
     ///
-    /// When it can't be read.
+    /// Returns an error if the list can't be read.
     pub async fn fetch_vms(&self, vms: &str) -> Result<Vec<Vm>, CommandError> {
         self.get_json(vms, "/v1/vms").await
     }
 
-    /// The state of a process.
+    /// Fetches the state dump of a process.
     ///
     /// # Errors
     ///
-    /// When it can't be read.
+    /// Returns an error if the dump can't be read.
     pub async fn fetch_dump(&self, address: &str) -> Result<Value, CommandError> {
         self.get_json(address, "/debug/dump").await
     }
 
-    /// Whether a process takes calls.
+    /// Checks whether a process accepts calls.
     ///
     /// # Errors
     ///
-    /// When it does not answer.
+    /// Returns an error if the process does not respond.
     pub async fn check_readiness(&self, address: &str) -> Result<Readiness, CommandError> {
         let sent = self.client.get(format!("http://{address}/readyz")).send();
         let response = sent.await.map_err(|err| unreachable(address, &err))?;
@@ -111,22 +111,22 @@
         })
     }
 
-    /// Asks a process to leave.
+    /// Asks a process to drain.
     ///
     /// # Errors
     ///
-    /// When it does not answer, or does not take the request.
+    /// Returns an error if the process does not respond or rejects the request.
     pub async fn drain(&self, address: &str, key: &str) -> Result<(), CommandError> {
         let request = self.client.post(format!("http://{address}/admin/drain"));
         let sent = request.insert_header((ADMIN_KEY_HEADER, key)).send().await;
         expect_success(address, sent).map(|_| ())
     }
 
-    /// What a gateway reads in the ledger of a `program` or `turn`; none if there is nothing.
+    /// Queries a gateway for the ledger's records of a `program` or `turn`; `None` if there are none.
     ///
     /// # Errors
     ///
-    /// When the gateway or its store does not answer.
+    /// Returns an error if the gateway or its store does not respond.
     pub(crate) async fn query_ledger(
         &self,
         address: &str,
@@ -142,13 +142,13 @@
             return Ok(None);
         }
         let mut response = expect_success(address, sent)?;
-        let body = response.json::<Value>().limit(MAX_ANSWER_BYTES);
+        let body = response.json::<Value>().limit(MAX_RESPONSE_BYTES);
         body.await
             .map(Some)
             .map_err(|err| unreachable(address, &err))
     }
 
-    /// Reads JSON from a process.
+    /// Sends a GET request and parses the response as JSON.
     pub(crate) async fn get_json<T: DeserializeOwned>(
         &self,
         address: &str,
@@ -156,7 +156,7 @@
     ) -> Result<T, CommandError> {
         let sent = self.client.get(format!("http://{address}{path}")).send();
         let mut response = expect_success(address, sent.await)?;
-        let body = response.json::<T>().limit(MAX_ANSWER_BYTES);
+        let body = response.json::<T>().limit(MAX_RESPONSE_BYTES);
         body.await.map_err(|err| unreachable(address, &err))
     }
 }
@@ -169,7 +169,7 @@
     if response.status().is_success() {
         return Ok(response);
     }
-    let detail = format!("it answered {}", response.status());
+    let detail = format!("unexpected status {}", response.status());
     Err(CommandError::Unreachable {
         address: address.to_owned(),
         detail,
--- a/clementinepickctl/src/config_reader.rs
+++ b/clementinepickctl/src/config_reader.rs
@@ -1,11 +1,11 @@
-//! Reads the configuration stream on, part by part, and replays it.
+//! Replays the configuration stream batch by batch.
 
 use clementinepick::config_replay::ConfigReplay;
 use clementinepick::ids::Offset;
 use clementinepick::platform::ReadResponse;
 use clementinepick::record::Record;
 
-/// What was read of the configuration stream so far.
+/// The replayed configuration and the position in its stream.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct ConfigReader {
     pub(crate) replay: ConfigReplay,
@@ -14,24 +14,24 @@
 }
 
 impl ConfigReader {
-    /// Replays a part of the stream; returns the records that were new.
-    pub(crate) fn replay_batch(&mut self, answer: &ReadResponse) -> Vec<Record> {
-        if answer.earliest > self.position {
-            self.replay.on_gap(answer.earliest);
-            self.position = answer.earliest;
+    /// Replays a batch of the stream; returns its records that were not read before.
+    pub(crate) fn replay_batch(&mut self, batch: &ReadResponse) -> Vec<Record> {
+        if batch.earliest > self.position {
+            self.replay.on_gap(batch.earliest);
+            self.position = batch.earliest;
         }
-        let mut fresh = Vec::new();
-        for stored in &answer.records {
+        let mut new_records = Vec::new();
+        for stored in &batch.records {
             if stored.offset < self.position {
                 continue;
             }
             self.position = stored.offset.next();
-            // Text that is no record of ours has no meaning to anyone.
+            // Every process ignores texts that are not records.
             if let Ok(record) = serde_json::from_str::<Record>(&stored.text) {
                 self.replay.apply(stored.offset, &record);
-                fresh.push(record);
+                new_records.push(record);
             }
         }
-        fresh
+        new_records
     }
 }
--- a/clementinepickctl/src/diff.rs
+++ b/clementinepickctl/src/diff.rs
@@ -1,4 +1,4 @@
-//! The lines that differ between two documents.
+//! Computes the lines that differ between two documents.
 
 use std::fmt::Write;
 
@@ -10,26 +10,26 @@
     New(&'a str),
 }
 
-/// The changed lines from `old` to `new`, each behind `-` or `+`, under their section's title;
-/// empty when the documents are equal line by line.
+/// Returns the lines that changed from `old` to `new`, prefixed with `-` or `+`, below the title of
+/// their section. The result is empty if all lines are equal.
 #[must_use]
 pub fn diff(old: &str, new: &str) -> String {
     let old: Vec<&str> = old.lines().collect();
     let new: Vec<&str> = new.lines().collect();
     let mut text = String::new();
     let mut title = None;
-    for line in compare(&old, &new) {
+    for line in align_lines(&old, &new) {
         let (Line::Same(content) | Line::Old(content) | Line::New(content)) = line;
         let is_title = content.trim_start().starts_with('[');
         match line {
             Line::Same(content) if is_title => title = Some(content),
             Line::Same(_) => {}
             Line::Old(content) => {
-                print_title(&mut text, title.take().filter(|_| !is_title));
+                write_title(&mut text, title.take().filter(|_| !is_title));
                 let _ = writeln!(text, "-{content}");
             }
             Line::New(content) => {
-                print_title(&mut text, title.take().filter(|_| !is_title));
+                write_title(&mut text, title.take().filter(|_| !is_title));
                 let _ = writeln!(text, "+{content}");
             }
         }
@@ -37,14 +37,15 @@
     text
 }
 
-fn print_title(text: &mut String, title: Option<&str>) {
+fn write_title(text: &mut String, title: Option<&str>) {
     if let Some(title) = title {
         let _ = writeln!(text, " {title}");
     }
 }
 
-/// Compares by the longest common subsequence of lines; documents have a few hundred at most.
-fn compare<'a>(old: &[&'a str], new: &[&'a str]) -> Vec<Line<'a>> {
+/// Compares by the longest common subsequence, in quadratic time and space; documents have at most
+/// a few hundred lines.
+fn align_lines<'a>(old: &[&'a str], new: &[&'a str]) -> Vec<Line<'a>> {
     let mut common = vec![vec![0_u32; new.len() + 1]; old.len() + 1];
     for i in (0..old.len()).rev() {
         for j in (0..new.len()).rev() {
@@ -77,7 +78,7 @@
     use super::*;
 
     #[test]
-    fn a_changed_key_is_shown_under_its_section() {
+    fn changed_keys_are_listed_under_their_section() {
         let old = "[class a]\nrank = 1\nweight = 2\n[class b]\nrank = 1\n";
         let new = "[class a]\nrank = 1\nweight = 2\n[class b]\nrank = 3\n";
         assert_eq!(diff(old, new), " [class b]\n-rank = 1\n+rank = 3\n");
--- a/clementinepickctl/src/exit.rs
+++ b/clementinepickctl/src/exit.rs
@@ -1,31 +1,31 @@
-//! What a command answers, and the exit code that goes with it.
+//! Defines the results and errors of commands, and their exit codes.
 
 use serde_json::Value;
 use thiserror::Error;
 
-/// How a command ended; `docs/OPERATIONS.md` lists the codes.
+/// The exit code of a command; `docs/OPERATIONS.md` lists them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitCode {
-    /// It did what was asked.
+    /// The command succeeded.
     Success,
-    /// The question has the answer no: documents differ, or not all processes are up to date.
+    /// Documents differ, or not all processes are up to date.
     Mismatch,
-    /// The command line is wrong; `argh` ends the process with the same code itself.
+    /// The command line is invalid; `argh` itself exits with the same code.
     Usage,
-    /// The document or file is wrong; nothing was published.
+    /// The document or file is invalid; nothing was published.
     InvalidDocument,
-    /// Another publication was first; nothing was published.
+    /// An earlier publication conflicts; nothing was published.
     Conflict,
-    /// Nobody can tell yet whether it was published: ask again with `--resume`.
+    /// The outcome of the publication is unknown; `--resume` determines it.
     Unknown,
-    /// A process or the log can't be reached; nothing was changed.
+    /// A process or the log is unreachable; nothing was changed.
     Unreachable,
-    /// What was asked for does not exist.
+    /// The requested item does not exist.
     NotFound,
 }
 
 impl ExitCode {
-    /// All codes.
+    /// All codes, ordered by number.
     pub const ALL: &'static [Self] = &[
         Self::Success,
         Self::Usage,
@@ -37,24 +37,24 @@
         Self::NotFound,
     ];
 
-    /// What it means, in a sentence.
+    /// Describes the code in one sentence.
     #[must_use]
     pub const fn meaning(self) -> &'static str {
         match self {
-            Self::Success => "Done.",
-            Self::Usage => "The command line is wrong.",
-            Self::Mismatch => "The answer is no: documents differ, or a process is not up to date.",
-            Self::InvalidDocument => "The document or file is wrong; nothing was published.",
-            Self::Conflict => "Another publication was first; nothing was published.",
+            Self::Success => "Success.",
+            Self::Usage => "The command line is invalid.",
+            Self::Mismatch => "Documents differ, or a process is not up to date.",
+            Self::InvalidDocument => "The document or file is invalid; nothing was published.",
+            Self::Conflict => "An earlier publication conflicts; nothing was published.",
             Self::Unknown => {
-                "Nobody can tell yet whether it was published; ask again with `--resume`."
+                "The outcome of the publication is unknown; run again with `--resume`."
             }
-            Self::Unreachable => "A process or the log can't be reached; nothing was changed.",
-            Self::NotFound => "What was asked for does not exist.",
+            Self::Unreachable => "A process or the log is unreachable; nothing was changed.",
+            Self::NotFound => "The requested item does not exist.",
         }
     }
 
-    /// The code that the process exits with.
+    /// Returns the exit status of the process.
     #[must_use]
     pub const fn number(self) -> u8 {
         match self {
@@ -70,55 +70,55 @@
     }
 }
 
-/// What a command found.
+/// The result of a command.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Report {
-    /// For people.
+    /// The output as text.
     pub text: String,
-    /// For programs, with `--json`.
+    /// The output with `--json`.
     pub json: Value,
-    /// How the command ended.
+    /// The exit code.
     pub exit: ExitCode,
 }
 
-/// Why a command could not find anything out.
+/// An error that kept a command from producing a report.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum CommandError {
     /// A file can't be read.
-    #[error("{path}: {detail}")]
+    #[error("can't read {path}: {detail}")]
     File {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// Why.
+        /// The cause.
         detail: String,
     },
-    /// A process or the log does not answer.
-    #[error("{address}: {detail}")]
+    /// A process or the log does not respond, or responds with an error.
+    #[error("request to {address} failed: {detail}")]
     Unreachable {
-        /// Who was asked.
+        /// The address of the request.
         address: String,
-        /// Why.
+        /// The cause.
         detail: String,
     },
-    /// The log has dropped records without carrying the configuration forward.
+    /// The log has discarded records that no configuration snapshot covers.
     #[error(
-        "the log has dropped records and holds no snapshot that covers them; \
-         ask an entry with `status` instead"
+        "the log has discarded records and holds no snapshot that covers them; \
+         query an entry with `status` instead"
     )]
     Incomplete,
-    /// The command line is wrong.
+    /// The command line is invalid.
     #[error("{0}")]
     Usage(String),
-    /// The logs say nothing of what was asked for.
-    #[error("no line names {0}; of requests that went well only some are logged")]
+    /// The log files have no line of the request or program.
+    #[error("no log line mentions {0}; only some successful requests are logged")]
     NoLogLines(String),
-    /// The ledger has nothing of what was asked for.
-    #[error("{0} is not in the ledger, and the gateway holds nothing of it")]
+    /// The ledger has no record of the program or turn.
+    #[error("{0} is not in the ledger, and the gateway has no state of it")]
     NotInLedger(String),
 }
 
 impl CommandError {
-    /// The exit code that goes with it.
+    /// Returns the exit code for the error.
     #[must_use]
     pub const fn exit(&self) -> ExitCode {
         match self {
--- a/clementinepickctl/src/explain.rs
+++ b/clementinepickctl/src/explain.rs
@@ -1,9 +1,9 @@
-//! Finds in collected logs what became of a request, and says it in words.
+//! Selects the log lines of a request or program, and formats log lines and gateway states.
 
 use clementinepick::event::EventKind;
 use serde_json::{Map, Value};
 
-/// Fields that stand in each line and say nothing of the request.
+/// Fields left out of the values that [`LogLine::describe`] lists.
 const COMMON_FIELDS: [&str; 7] = [
     "msg",
     "level",
@@ -14,33 +14,33 @@
     "request",
 ];
 
-/// One line of a log.
+/// A parsed log line.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LogLine {
-    /// When it was written, as text that sorts by time.
+    /// The time of writing, as text whose order is the order of time.
     pub timestamp: String,
-    /// The event's name.
+    /// The name of the event.
     pub name: String,
-    /// All fields.
+    /// All fields, including the timestamp and the name.
     pub fields: Map<String, Value>,
 }
 
 impl LogLine {
-    fn text(&self, field: &str) -> &str {
+    fn field_text(&self, field: &str) -> &str {
         let value = self.fields.get(field).and_then(Value::as_str);
         value.unwrap_or_default()
     }
 
-    fn concerns(&self, id: &str) -> bool {
-        self.text("request") == id || self.text("program") == id
+    fn mentions(&self, id: &str) -> bool {
+        self.field_text("request") == id || self.field_text("program") == id
     }
 
-    /// The line in words: when, where, what happened, and the values that decided it.
+    /// Formats the line with the meaning of its event and the values of its other fields.
     #[must_use]
     pub fn describe(&self) -> String {
         let kinds = EventKind::ALL.iter();
         let kind = kinds.copied().find(|kind| kind.name() == self.name);
-        let meaning = kind.map_or("an event that this version does not know", |kind| {
+        let meaning = kind.map_or("an event that is unknown to this version", |kind| {
             kind.meaning()
         });
         let values: Vec<String> = self
@@ -49,20 +49,26 @@
             .filter(|(name, _)| !COMMON_FIELDS.contains(&name.as_str()))
             .map(|(name, value)| format!("{name}={}", unquoted(value)))
             .collect();
-        let request = self.text("request");
+        let request = self.field_text("request");
         let values = values.join(" ");
-        let (at, process) = (&self.timestamp, self.text("process"));
-        format!("{at} {process} {request} {}: {meaning} {values}", self.name)
+        let (timestamp, process) = (&self.timestamp, self.field_text("process"));
+        format!(
+            "{timestamp} {process} {request} {}: {meaning} {values}",
+            self.name
+        )
     }
 }
 
+/// Formats a JSON value as text; strings have no quotes.
 pub(crate) fn unquoted(value: &Value) -> String {
     value
         .as_str()
         .map_or_else(|| value.to_string(), str::to_owned)
 }
 
-/// Reads log lines; what is no JSON is passed over, and so is what stands before it in a line.
+/// Parses log lines, ignoring any text before a line's JSON object.
+///
+/// Lines without a JSON object, a timestamp or an event name are skipped.
 #[must_use]
 pub fn parse_log(text: &str) -> Vec<LogLine> {
     let lines = text.lines().filter_map(|line| {
@@ -77,15 +83,15 @@
     lines.collect()
 }
 
-/// The lines that concern a request, or all requests of a program, in the order of time.
+/// Returns the lines of a request, or of all requests of a program, in order of time.
 #[must_use]
 pub fn select_lines(id: &str, lines: Vec<LogLine>) -> Vec<LogLine> {
-    let mut told: Vec<LogLine> = lines.into_iter().filter(|line| line.concerns(id)).collect();
-    told.sort_by(|a, b| a.timestamp.cmp(&b.timestamp));
-    told
+    let mut selected: Vec<LogLine> = lines.into_iter().filter(|line| line.mentions(id)).collect();
+    selected.sort_by(|a, b| a.timestamp.cmp(&b.timestamp));
+    selected
 }
 
-/// What a gateway's state says, a line a matter.
+/// Formats a gateway's state: its readiness, its connections, and its programs and servers.
 #[must_use]
 pub fn format_gateway(state: &Value) -> Vec<String> {
     let text = |name: &str| state.get(name).map(unquoted).unwrap_or_default();
@@ -96,20 +102,20 @@
     let draining = draining.filter(is_draining).count();
     vec![
         format!(
-            "ready {}, draining {}, configuration {}, lists read {} ms ago",
+            "ready: {}, draining: {}, configuration version: {}, lists read {} ms ago",
             text("is_ready"),
             text("is_draining"),
             text("config_version"),
             text("lists_age_ms")
         ),
         format!(
-            "store away {}, direct way down {}, {} peers",
+            "store unavailable: {}, direct path down: {}, {} peers",
             store("is_away"),
             store("is_direct_down"),
             state["peers"].as_array().map_or(0, Vec::len)
         ),
         format!(
-            "{} programs, {} turns in {} bytes, {servers} servers, {draining} of them leaving",
+            "{} programs, {} cached turns in {} bytes, {servers} backend servers, {draining} of them draining",
             text("programs"),
             text("cached_turns"),
             text("cached_turn_bytes")
--- a/clementinepickctl/src/history.rs
+++ b/clementinepickctl/src/history.rs
@@ -1,4 +1,4 @@
-//! The configuration as the log tells it, read by the command line itself.
+//! Replays the configuration stream for the `history` and `diff` commands.
 
 use clementinepick::config_replay::{ConfigReplay, Publication};
 use clementinepick::ids::{Offset, OperationId, ServiceName};
@@ -10,90 +10,93 @@
 use crate::exit::{ExitCode, Report};
 use crate::publish::describe_verdict;
 
-/// What was read of the configuration stream.
+/// The part of the configuration stream that has been read.
 #[derive(Debug, Default)]
 pub struct History {
     reader: ConfigReader,
-    texts: Vec<(OperationId, String)>,
+    published_documents: Vec<(OperationId, String)>,
 }
 
 impl History {
-    /// The next offset to read.
+    /// Returns the next offset to read.
     #[must_use]
     pub const fn position(&self) -> Offset {
         self.reader.position
     }
 
-    /// The configuration.
+    /// Returns the replayed configuration.
     #[must_use]
     pub const fn replay(&self) -> &ConfigReplay {
         &self.reader.replay
     }
 
-    /// Takes a part of the stream; says whether there is more.
-    pub fn replay_batch(&mut self, answer: &ReadResponse) -> bool {
-        for record in self.reader.replay_batch(answer) {
-            self.keep_text(record.body);
+    /// Replays a batch of the stream; returns whether there is more to read.
+    pub fn replay_batch(&mut self, batch: &ReadResponse) -> bool {
+        for record in self.reader.replay_batch(batch) {
+            self.store_document(record.body);
         }
-        self.reader.position < answer.end && !answer.records.is_empty()
+        self.reader.position < batch.end && !batch.records.is_empty()
     }
 
-    fn keep_text(&mut self, body: RecordBody) {
+    fn store_document(&mut self, body: RecordBody) {
         if let RecordBody::Publish {
             operation,
             document,
             ..
         } = body
         {
-            self.texts.push((operation, document));
+            self.published_documents.push((operation, document));
         }
     }
 
-    /// The text that a run of `publish` brought, while the log keeps it.
+    /// Returns the document published by `operation`, if the log still holds it.
     #[must_use]
     pub fn document_text(&self, operation: OperationId) -> Option<&str> {
-        let known = self.texts.iter().find(|(id, _)| *id == operation);
-        let in_force = self.reader.replay.state().documents.values();
-        known.map(|(_, text)| text.as_str()).or_else(|| {
-            in_force
+        let published = self
+            .published_documents
+            .iter()
+            .find(|(id, _)| *id == operation);
+        let active = self.reader.replay.state().documents.values();
+        published.map(|(_, text)| text.as_str()).or_else(|| {
+            active
                 .filter(|document| document.operation == operation)
                 .map(|document| document.text.as_str())
                 .next()
         })
     }
 
-    /// The publications of one service or of all.
+    /// Lists the publications of one service, or of all services.
     #[must_use]
     pub fn report(&self, service: Option<&ServiceName>) -> Report {
         let all = self.reader.replay.state().publications.iter();
-        let wanted: Vec<&Publication> = all
+        let selected: Vec<&Publication> = all
             .filter(|p| service.is_none_or(|service| p.service == *service))
             .collect();
-        let lines: Vec<String> = wanted.iter().map(|p| line(p)).collect();
-        let exit = if wanted.is_empty() {
+        let lines: Vec<String> = selected.iter().map(|p| format_publication(p)).collect();
+        let exit = if selected.is_empty() {
             ExitCode::NotFound
         } else {
             ExitCode::Success
         };
         let text = match exit {
-            ExitCode::NotFound => "no publication is known".to_owned(),
+            ExitCode::NotFound => "no publications found".to_owned(),
             _ => lines.join("\n"),
         };
         Report {
             text,
-            json: json!({ "publications": wanted }),
+            json: json!({ "publications": selected }),
             exit,
         }
     }
 
-    /// The documents in force, as JSON.
+    /// Returns the active documents as JSON.
     #[must_use]
     pub fn documents(&self) -> Value {
         json!(self.reader.replay.state().documents)
     }
 }
 
-fn line(publication: &Publication) -> String {
+fn format_publication(publication: &Publication) -> String {
     format!(
         "{:>8}  {}  {}  by {}  {}",
         publication.offset,
--- a/clementinepickctl/src/lib.rs
+++ b/clementinepickctl/src/lib.rs
@@ -1,7 +1,7 @@
-//! The operator's command line of clementinepick, as a library for its tests.
+//! Implements the operator's command line of clementinepick, as a library for its tests.
 //!
-//! [`publish`] decides what a publication does next and knows no socket; [`client`] speaks HTTP;
-//! [`run`] joins the two, command by command.
+//! [`publish`] is the state machine of a publication and does no I/O; [`client`] sends HTTP
+//! requests; [`run`] executes the commands with both.
 
 pub mod args;
 pub mod client;
--- a/clementinepickctl/src/main.rs
+++ b/clementinepickctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The operator's command line of clementinepick.
+//! Runs the operator's command line of clementinepick.
 
 use std::process::ExitCode;
 
--- a/clementinepickctl/src/platform_commands.rs
+++ b/clementinepickctl/src/platform_commands.rs
@@ -1,4 +1,4 @@
-//! The commands about gateways on the platform.
+//! Executes the commands for gateways and the platform's deployment file.
 
 use std::fmt::Write;
 use std::fs;
@@ -18,7 +18,9 @@
     addresses: &[String],
 ) -> Result<Report, CommandError> {
     if addresses.is_empty() {
-        return Err(CommandError::Usage("name at least one gateway".to_owned()));
+        return Err(CommandError::Usage(
+            "give the address of at least one gateway".to_owned(),
+        ));
     }
     let mut text = String::new();
     let mut states = Vec::new();
@@ -42,14 +44,14 @@
     for file in &explain.files {
         lines.extend(parse_log(&read_file(file)?));
     }
-    let told = select_lines(&explain.id, lines);
-    if told.is_empty() {
+    let selected = select_lines(&explain.id, lines);
+    if selected.is_empty() {
         return Err(CommandError::NoLogLines(explain.id.clone()));
     }
-    let text: Vec<String> = told.iter().map(LogLine::describe).collect();
+    let text: Vec<String> = selected.iter().map(LogLine::describe).collect();
     Ok(Report {
         text: text.join("\n"),
-        json: json!({ "lines": told.iter().map(|line| &line.fields).collect::<Vec<_>>() }),
+        json: json!({ "lines": selected.iter().map(|line| &line.fields).collect::<Vec<_>>() }),
         exit: ExitCode::Success,
     })
 }
@@ -72,32 +74,38 @@
                 exit: ExitCode::Success,
             })
         }
-        (None, Some(turn)) => run_chain(client, &args.address, turn).await,
+        (None, Some(turn)) => run_turn_chain(client, &args.address, turn).await,
         _ => Err(CommandError::Usage(
             "give either --program or --turn".to_owned(),
         )),
     }
 }
 
-/// The turn and those before it, the newest first.
-async fn run_chain(client: &HttpClient, address: &str, turn: &str) -> Result<Report, CommandError> {
-    let mut wanted = Some(turn.to_owned());
+/// Reads the chain of a turn and the turns before it, the newest first.
+async fn run_turn_chain(
+    client: &HttpClient,
+    address: &str,
+    turn: &str,
+) -> Result<Report, CommandError> {
+    let mut next_turn = Some(turn.to_owned());
     let mut text = Vec::new();
     let mut turns = Vec::new();
-    while let Some(id) = wanted.take() {
+    while let Some(id) = next_turn.take() {
         if turns.len() == MAX_CHAIN_TURNS {
-            text.push(format!("{id} and those before it were not read"));
+            text.push(format!(
+                "not read: {id} and the turns before it (limit of {MAX_CHAIN_TURNS} turns)"
+            ));
             break;
         }
         let Some(found) = client.query_ledger(address, "turn", &id).await? else {
             if turns.is_empty() {
                 return Err(CommandError::NotInLedger(id));
             }
-            text.push(format!("{id} is not in the ledger any more"));
+            text.push(format!("{id} is no longer in the ledger"));
             break;
         };
         text.push(format_turn(&found));
-        wanted = found["parent"].as_str().map(str::to_owned);
+        next_turn = found["parent"].as_str().map(str::to_owned);
         turns.push(found);
     }
     Ok(Report {
@@ -118,7 +126,7 @@
         .map(ToString::to_string)
         .collect();
     let (text, exit) = if problems.is_empty() {
-        (format!("{path}: right"), ExitCode::Success)
+        (format!("{path}: valid"), ExitCode::Success)
     } else {
         let lines = problems.iter().map(|problem| format!("{path}: {problem}"));
         let lines: Vec<String> = lines.collect();
--- a/clementinepickctl/src/publish.rs
+++ b/clementinepickctl/src/publish.rs
@@ -1,7 +1,7 @@
-//! What `publish` does next: read, append, read back.
+//! Implements the state machine of `publish`: read the log, append the record, read it back.
 //!
-//! The record's id follows from the operation's, so that the same operation appended twice is one
-//! publication to every reader. That is why a lost answer may be met by appending again.
+//! The record's id is derived from the operation's id, so readers count a record that was appended
+//! twice as one publication. That makes it safe to append again after a lost response.
 
 use clementinepick::config_replay::{Publication, Verdict};
 use clementinepick::document::Document;
@@ -15,81 +15,81 @@
 
 use crate::config_reader::ConfigReader;
 
-/// Sets the records of publications apart from others in the space of ids.
+/// Keeps ids derived from operations apart from the ids of other records.
 const RECORD_ID_MASK: u128 = 0x636c_656d_2d70_7562_6c69_7368_2d69_6431;
 
-/// What to publish, and how long to try.
+/// The document to publish and the limits on retries.
 #[derive(Debug, Clone)]
 pub struct PublishSettings {
-    /// Names this run.
+    /// Identifies the publication across runs.
     pub operation: OperationId,
-    /// Who runs it.
+    /// The author recorded with the publication.
     pub author: VmId,
-    /// The revision that the document was written from; absent: the one in force.
+    /// The revision that the document is based on; defaults to the active one.
     pub base: Option<Revision>,
-    /// Whether an earlier run may have appended this operation.
+    /// Whether an earlier run may have appended the operation.
     pub is_resume: bool,
-    /// The document's text; absent: only find out.
+    /// The document; `None` only queries the outcome of the operation.
     pub text: Option<String>,
-    /// How often the log may fail.
+    /// The number of failed requests to the log after which the run ends.
     pub max_failures: u32,
-    /// The wait after the first failure; it doubles.
+    /// The delay after the first failure; it doubles with each further one, up to 16 times.
     pub backoff_us: SpanUs,
 }
 
-/// What to do next.
+/// The next action of the caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Step {
-    /// Read on and report with [`Publish::on_read`].
+    /// Read from the log and report the result to [`Publish::on_read`].
     Read {
-        /// The first offset wanted.
+        /// The first offset to read.
         from: Offset,
-        /// How long to wait before.
+        /// The delay before the request.
         after_us: SpanUs,
     },
-    /// Append and report with [`Publish::on_append`].
+    /// Append to the log and report the result to [`Publish::on_append`].
     Append {
-        /// The record.
+        /// The record to append.
         record: Box<Record>,
-        /// How long to wait before.
+        /// The delay before the request.
         after_us: SpanUs,
     },
-    /// Done.
+    /// Stop; there is nothing left to do.
     Finished(PublishOutcome),
 }
 
-/// How it ended.
+/// The outcome of a run.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PublishOutcome {
-    /// The log holds the publication, and this became of it.
+    /// The log holds the publication, which carries its verdict.
     Recorded(Publication),
-    /// The document in force has this text already; nothing was appended.
+    /// The active document has the same text; nothing was appended.
     Unchanged {
         /// The service.
         service: ServiceName,
-        /// The revision in force.
+        /// The active revision.
         revision: Revision,
     },
-    /// The document is wrong; nothing was appended.
+    /// The document is invalid; nothing was appended.
     Invalid {
-        /// What is wrong.
+        /// The error.
         detail: String,
     },
     /// The log can't be read; nothing was appended.
     LogUnreachable,
-    /// The log refused every append; nothing was appended.
+    /// The log refused the append; nothing was appended.
     Refused,
-    /// The log does not hold the operation, as far as it was read.
+    /// The log does not hold the operation up to the offset `end`.
     NotFound {
-        /// The offset up to which it was read.
+        /// The end of the log when it was read.
         end: Offset,
     },
-    /// An append may have taken effect, and the log does not say.
+    /// An append may have taken effect, but the log did not confirm it.
     Unknown {
-        /// The base to resume with.
+        /// The base revision to pass when resuming.
         base: Revision,
     },
-    /// The log has dropped records that no snapshot covers.
+    /// The log has discarded records that no snapshot covers.
     Incomplete,
 }
 
@@ -101,13 +101,13 @@
     reader: ConfigReader,
     base: Option<Revision>,
     may_be_appended: bool,
-    /// The end of the stream when the last append was answered: the record is awaited below it.
-    appended_at: Option<Offset>,
+    /// The offset of the last confirmed append, which reads must pass.
+    appended_offset: Option<Offset>,
     failures: u32,
 }
 
 impl Publish {
-    /// A run that has done nothing yet.
+    /// Creates a run; [`Publish::start`] returns its first step.
     #[must_use]
     pub fn new(settings: PublishSettings) -> Self {
         Self {
@@ -116,12 +116,12 @@
             settings,
             service: None,
             reader: ConfigReader::default(),
-            appended_at: None,
+            appended_offset: None,
             failures: 0,
         }
     }
 
-    /// The first step.
+    /// Validates the document and returns the first step.
     pub fn start(&mut self) -> Step {
         if let Some(text) = &self.settings.text {
             match Document::parse(text) {
@@ -132,53 +132,54 @@
                 }
             }
         }
-        self.read(SpanUs(0))
+        self.read_after(SpanUs(0))
     }
 
-    const fn read(&self, after_us: SpanUs) -> Step {
+    const fn read_after(&self, after_us: SpanUs) -> Step {
         Step::Read {
             from: self.reader.position,
             after_us,
         }
     }
 
-    /// Takes the log's answer to a read; `None` when it failed.
-    pub fn on_read(&mut self, answer: Option<&ReadResponse>) -> Step {
-        let Some(answer) = answer else {
-            return match self.fail() {
-                Some(wait) => self.read(wait),
-                None => Step::Finished(self.gave_up()),
+    /// Handles the result of a read; `None` if it failed.
+    pub fn on_read(&mut self, response: Option<&ReadResponse>) -> Step {
+        let Some(response) = response else {
+            return match self.record_failure() {
+                Some(delay_us) => self.read_after(delay_us),
+                None => Step::Finished(self.failure_outcome()),
             };
         };
-        self.reader.replay_batch(answer);
-        if let Some(found) = self
+        self.reader.replay_batch(response);
+        if let Some(recorded) = self
             .reader
             .replay
             .state()
             .publication(self.settings.operation)
         {
-            return Step::Finished(PublishOutcome::Recorded(found.clone()));
+            return Step::Finished(PublishOutcome::Recorded(recorded.clone()));
         }
-        if self.reader.position < answer.end {
-            return self.read(SpanUs(0));
+        if self.reader.position < response.end {
+            return self.read_after(SpanUs(0));
         }
         if !self.reader.replay.is_complete() {
             return Step::Finished(PublishOutcome::Incomplete);
         }
         if self
-            .appended_at
+            .appended_offset
             .is_some_and(|offset| self.reader.position <= offset)
         {
-            // The append was answered, and the reader is served from a copy that lags.
-            return match self.fail() {
-                Some(wait) => self.read(wait),
-                None => Step::Finished(self.gave_up()),
+            // The append was confirmed, but the read was served by a lagging replica: read again
+            // rather than append again.
+            return match self.record_failure() {
+                Some(delay_us) => self.read_after(delay_us),
+                None => Step::Finished(self.failure_outcome()),
             };
         }
-        self.at_end(answer.end)
+        self.append_or_finish(response.end)
     }
 
-    fn at_end(&mut self, end: Offset) -> Step {
+    fn append_or_finish(&mut self, end: Offset) -> Step {
         let (Some(text), Some(service)) = (&self.settings.text, &self.service) else {
             return Step::Finished(PublishOutcome::NotFound { end });
         };
@@ -188,8 +189,8 @@
             let service = service.clone();
             return Step::Finished(PublishOutcome::Unchanged { service, revision });
         }
-        // The base stays what it was at the first append. A later one would replace, unseen, what
-        // another operator has published in between.
+        // Retries keep the base of the first append. A newer base would silently overwrite what
+        // another operator has published in the meantime.
         let base = *self.base.get_or_insert(revision);
         let record = Record {
             id: RecordId(self.settings.operation.0 ^ RECORD_ID_MASK),
@@ -208,38 +209,38 @@
         }
     }
 
-    /// Takes the log's answer to an append.
+    /// Handles the result of an append.
     pub fn on_append(&mut self, outcome: AppendOutcome) -> Step {
         match outcome {
             AppendOutcome::Appended(offset) => {
                 self.may_be_appended = true;
-                self.appended_at = Some(offset);
-                self.read(SpanUs(0))
+                self.appended_offset = Some(offset);
+                self.read_after(SpanUs(0))
             }
             AppendOutcome::Unknown => {
                 self.may_be_appended = true;
-                match self.fail() {
-                    Some(wait) => self.read(wait),
-                    None => Step::Finished(self.gave_up()),
+                match self.record_failure() {
+                    Some(delay_us) => self.read_after(delay_us),
+                    None => Step::Finished(self.failure_outcome()),
                 }
             }
-            AppendOutcome::Refused => match self.fail() {
-                Some(wait) => self.read(wait),
-                None if self.may_be_appended => Step::Finished(self.gave_up()),
+            AppendOutcome::Refused => match self.record_failure() {
+                Some(delay_us) => self.read_after(delay_us),
+                None if self.may_be_appended => Step::Finished(self.failure_outcome()),
                 None => Step::Finished(PublishOutcome::Refused),
             },
         }
     }
 
-    /// Counts a failure; the wait before the next attempt, unless there were too many.
-    fn fail(&mut self) -> Option<SpanUs> {
+    /// Counts a failure; returns the delay before the next attempt, or `None` at the limit.
+    fn record_failure(&mut self) -> Option<SpanUs> {
         self.failures += 1;
         let doublings = self.failures.saturating_sub(1).min(4);
-        let wait = SpanUs(self.settings.backoff_us.0 << doublings);
-        (self.failures < self.settings.max_failures).then_some(wait)
+        let delay_us = SpanUs(self.settings.backoff_us.0 << doublings);
+        (self.failures < self.settings.max_failures).then_some(delay_us)
     }
 
-    fn gave_up(&self) -> PublishOutcome {
+    fn failure_outcome(&self) -> PublishOutcome {
         if self.may_be_appended {
             let base = self.base.unwrap_or_default();
             PublishOutcome::Unknown { base }
@@ -249,7 +250,7 @@
     }
 }
 
-/// One sentence about a verdict.
+/// Describes a verdict in one sentence.
 #[must_use]
 pub fn describe_verdict(verdict: &Verdict) -> String {
     match verdict {
@@ -257,6 +258,6 @@
         Verdict::Outrun { revision, author } => {
             format!("outrun by {author}: revision {revision} is in force")
         }
-        Verdict::Wrong { detail } => format!("wrong: {detail}"),
+        Verdict::Wrong { detail } => format!("invalid: {detail}"),
     }
 }
--- a/clementinepickctl/src/run.rs
+++ b/clementinepickctl/src/run.rs
@@ -1,4 +1,4 @@
-//! Carries out one command.
+//! Executes the commands.
 
 use std::env;
 use std::fmt::Write;
@@ -22,11 +22,11 @@
 use crate::publish::{Publish, PublishOutcome, PublishSettings, Step, describe_verdict};
 use crate::status::{ProcessDump, Status};
 
-/// Carries out a command.
+/// Executes a command.
 ///
 /// # Errors
 ///
-/// When nothing could be found out.
+/// Returns an error if the arguments are invalid or a file, a process or the log can't be read.
 pub async fn run(args: Args) -> Result<Report, CommandError> {
     let client = HttpClient::new(Duration::from_secs(args.timeout_s));
     match args.command {
@@ -35,8 +35,8 @@
         Command::Publish(publish) => run_publish(&client, publish).await,
         Command::History(history) => run_history(&client, history).await,
         Command::Status(status) => run_status(&client, status).await,
-        Command::Dump(dump) => run_dump(&client, &entries(dump.entry)?).await,
-        Command::Programs(programs) => run_programs(&client, &entries(programs.entry)?).await,
+        Command::Dump(dump) => run_dump(&client, &list_entries(dump.entry)?).await,
+        Command::Programs(programs) => run_programs(&client, &list_entries(programs.entry)?).await,
         Command::Drain(drain) => run_drain(&client, drain).await,
         Command::Events(events) => Ok(run_events(events.what.as_deref())),
         Command::Gateway(gateway) => run_gateway(&client, &gateway.addresses).await,
@@ -53,20 +53,24 @@
     })
 }
 
-fn address(given: Option<String>, variable: &str, option: &str) -> Result<String, CommandError> {
-    let address = given.or_else(|| env::var(variable).ok());
-    address.ok_or_else(|| CommandError::Usage(format!("give {option}, or set {variable}")))
+fn resolve_option(
+    given: Option<String>,
+    variable: &str,
+    option: &str,
+) -> Result<String, CommandError> {
+    let value = given.or_else(|| env::var(variable).ok());
+    value.ok_or_else(|| CommandError::Usage(format!("give {option}, or set {variable}")))
 }
 
-fn log_address(given: Option<String>) -> Result<String, CommandError> {
-    address(given, "CLEMENTINEPICK_LOG", "--log")
+fn resolve_log(given: Option<String>) -> Result<String, CommandError> {
+    resolve_option(given, "CLEMENTINEPICK_LOG", "--log")
 }
 
-fn entries(given: Vec<String>) -> Result<Vec<String>, CommandError> {
+fn list_entries(given: Vec<String>) -> Result<Vec<String>, CommandError> {
     if !given.is_empty() {
         return Ok(given);
     }
-    let listed = address(None, "CLEMENTINEPICK_ENTRIES", "--entry")?;
+    let listed = resolve_option(None, "CLEMENTINEPICK_ENTRIES", "--entry")?;
     Ok(listed
         .split(',')
         .map(|entry| entry.trim().to_owned())
@@ -79,23 +83,23 @@
     }
     let mut exit = ExitCode::Success;
     let mut text = String::new();
-    let mut answers = Vec::new();
+    let mut results = Vec::new();
     for path in files {
         match Document::parse(&read_file(path)?) {
             Ok(document) => {
-                let _ = writeln!(text, "{path}: right, for `{}`", document.service);
-                answers.push(json!({ "file": path, "service": document.service }));
+                let _ = writeln!(text, "{path}: valid, for service `{}`", document.service);
+                results.push(json!({ "file": path, "service": document.service }));
             }
             Err(err) => {
                 exit = ExitCode::InvalidDocument;
                 let _ = writeln!(text, "{path}: {err}");
-                answers.push(json!({ "file": path, "wrong": err.to_string() }));
+                results.push(json!({ "file": path, "wrong": err.to_string() }));
             }
         }
     }
     Ok(Report {
         text: text.trim_end().to_owned(),
-        json: json!({ "documents": answers }),
+        json: json!({ "documents": results }),
         exit,
     })
 }
@@ -103,13 +107,13 @@
 async fn read_history(client: &HttpClient, log: &str) -> Result<History, CommandError> {
     let mut history = History::default();
     loop {
-        let Some(answer) = client.read_config(log, history.position()).await else {
+        let Some(batch) = client.read_config(log, history.position()).await else {
             return Err(CommandError::Unreachable {
                 address: log.to_owned(),
-                detail: "the log gives no answer".to_owned(),
+                detail: "the configuration stream can't be read".to_owned(),
             });
         };
-        if !history.replay_batch(&answer) {
+        if !history.replay_batch(&batch) {
             break;
         }
     }
@@ -124,9 +128,9 @@
     let new = read_file(&args.file)?;
     let document = match Document::parse(&new) {
         Ok(document) => document,
-        Err(err) => return Ok(wrong(&err.to_string())),
+        Err(err) => return Ok(report_invalid(&err.to_string())),
     };
-    let history = read_history(client, &log_address(args.log)?).await?;
+    let history = read_history(client, &resolve_log(args.log)?).await?;
     let current = history.replay().state().documents.get(&document.service);
     let (revision, old) = current.map_or((0, ""), |c| (c.revision.0, c.text.as_str()));
     let changes = diff(old, &new);
@@ -147,32 +151,32 @@
     })
 }
 
-fn wrong(detail: &str) -> Report {
+fn report_invalid(detail: &str) -> Report {
     Report {
-        text: format!("wrong: {detail}; nothing was published"),
+        text: format!("invalid document: {detail}; nothing was published"),
         json: json!({ "wrong": detail }),
         exit: ExitCode::InvalidDocument,
     }
 }
 
-fn author(given: Option<VmId>) -> Result<VmId, CommandError> {
+fn resolve_author(given: Option<VmId>) -> Result<VmId, CommandError> {
     if let Some(author) = given {
         return Ok(author);
     }
     let user = env::var("USER").unwrap_or_else(|_| "operator".to_owned());
-    let bad = |_| CommandError::Usage("the user's name is no name here: give --author".to_owned());
-    user.parse().map_err(bad)
+    let invalid = |_| CommandError::Usage("USER is not a valid author: give --author".to_owned());
+    user.parse().map_err(invalid)
 }
 
 async fn run_publish(client: &HttpClient, args: args::Publish) -> Result<Report, CommandError> {
-    let log = log_address(args.log)?;
+    let log = resolve_log(args.log)?;
     if args.file.is_none() && args.resume.is_none() {
         return Err(CommandError::Usage(
             "give the document to publish".to_owned(),
         ));
     }
     if args.file.is_some() && args.resume.is_some() && args.base.is_none() {
-        let detail = "give --base with --resume, as the earlier run printed it";
+        let detail = "give --base with --resume, as printed by the earlier run";
         return Err(CommandError::Usage(detail.to_owned()));
     }
     let text = args.file.as_deref().map(read_file).transpose()?;
@@ -181,7 +185,7 @@
         .unwrap_or_else(|| OperationId::draw(&mut rand::rng()));
     let mut publish = Publish::new(PublishSettings {
         operation,
-        author: author(args.author)?,
+        author: resolve_author(args.author)?,
         base: args.base,
         is_resume: args.resume.is_some(),
         text,
@@ -189,9 +193,9 @@
         backoff_us: SpanUs::from_ms(200),
     });
     let mut step = publish.start();
-    let ended = loop {
+    let outcome = loop {
         step = match step {
-            Step::Finished(ended) => break ended,
+            Step::Finished(outcome) => break outcome,
             Step::Read { from, after_us } => {
                 wait(after_us).await;
                 publish.on_read(client.read_config(&log, from).await.as_ref())
@@ -202,7 +206,7 @@
             }
         };
     };
-    Ok(report_publish(operation, &ended))
+    Ok(report_publish(operation, &outcome))
 }
 
 async fn wait(span: SpanUs) {
@@ -211,25 +215,25 @@
     }
 }
 
-/// What `publish` prints, and its exit code.
+/// Returns the output and exit code of `publish` for an outcome.
 #[must_use]
-pub fn report_publish(operation: OperationId, ended: &PublishOutcome) -> Report {
-    let (outcome, exit) = outcome_of(ended);
-    let (base, publication) = match ended {
+pub fn report_publish(operation: OperationId, outcome: &PublishOutcome) -> Report {
+    let (label, exit) = classify_outcome(outcome);
+    let (base, publication) = match outcome {
         PublishOutcome::Unknown { base } => (Some(*base), None),
         PublishOutcome::Recorded(publication) => (None, Some(publication)),
         _ => (None, None),
     };
-    let text = sentence(operation, ended);
+    let text = describe_outcome(operation, outcome);
     let json = json!({
-        "outcome": outcome, "operation": operation, "base": base, "publication": publication,
+        "outcome": label, "operation": operation, "base": base, "publication": publication,
         "message": text,
     });
     Report { text, json, exit }
 }
 
-const fn outcome_of(ended: &PublishOutcome) -> (&'static str, ExitCode) {
-    match ended {
+const fn classify_outcome(outcome: &PublishOutcome) -> (&'static str, ExitCode) {
+    match outcome {
         PublishOutcome::Recorded(publication) => match publication.verdict {
             Verdict::Accepted { .. } => ("accepted", ExitCode::Success),
             Verdict::Outrun { .. } => ("outrun", ExitCode::Conflict),
@@ -245,22 +249,23 @@
     }
 }
 
-fn sentence(operation: OperationId, ended: &PublishOutcome) -> String {
-    match ended {
+fn describe_outcome(operation: OperationId, outcome: &PublishOutcome) -> String {
+    match outcome {
         PublishOutcome::Recorded(publication) => {
             let verdict = describe_verdict(&publication.verdict);
             format!("{}: {verdict} (operation {operation})", publication.service)
         }
-        PublishOutcome::Invalid { detail } => wrong(detail).text,
+        PublishOutcome::Invalid { detail } => report_invalid(detail).text,
         PublishOutcome::Unchanged { service, revision } => {
-            format!("{service}: revision {revision} is this document already")
+            format!("{service}: the document is already active as revision {revision}")
         }
         PublishOutcome::LogUnreachable => "the log can't be read; nothing was published".to_owned(),
         PublishOutcome::Refused => "the log refused the record; nothing was published".to_owned(),
         PublishOutcome::Incomplete => CommandError::Incomplete.to_string(),
         PublishOutcome::NotFound { end } => format!(
-            "the log does not hold operation {operation} up to offset {end}; it may still arrive. \
-             Ask again, or give the document and --base to append it again: it counts once"
+            "operation {operation} is not in the log up to offset {end}; a delayed append may still \
+             arrive. Run again, or give the document and --base to append it again: it takes effect \
+             only once"
         ),
         PublishOutcome::Unknown { base } => format!(
             "unknown: the log gave no answer after the record was sent. Find out with --resume \
@@ -270,7 +275,7 @@
 }
 
 async fn run_history(client: &HttpClient, args: args::History) -> Result<Report, CommandError> {
-    let history = read_history(client, &log_address(args.log)?).await?;
+    let history = read_history(client, &resolve_log(args.log)?).await?;
     let Some(operation) = args.show else {
         return Ok(history.report(args.service.as_ref()));
     };
@@ -281,7 +286,7 @@
             exit: ExitCode::Success,
         },
         None => Report {
-            text: format!("the log keeps no document of operation {operation}"),
+            text: format!("the log holds no document of operation {operation}"),
             json: json!({ "operation": operation, "document": Value::Null }),
             exit: ExitCode::NotFound,
         },
@@ -290,7 +295,7 @@
 
 async fn run_status(client: &HttpClient, args: args::Status) -> Result<Report, CommandError> {
     let mut status = Status::default();
-    for entry in entries(args.entry)? {
+    for entry in list_entries(args.entry)? {
         let dump = client.fetch_dump(&entry).await;
         let dump = dump
             .ok()
@@ -303,7 +308,7 @@
             None => status.add_unreachable(entry),
         }
     }
-    let vms = address(args.vms, "CLEMENTINEPICK_VMS", "--vms");
+    let vms = resolve_option(args.vms, "CLEMENTINEPICK_VMS", "--vms");
     if let Ok(vms) = vms {
         match client.fetch_vms(&vms).await {
             Ok(list) => status.add_vms(list),
@@ -332,7 +337,7 @@
 
 async fn run_programs(client: &HttpClient, entries: &[String]) -> Result<Report, CommandError> {
     let mut text = String::new();
-    let mut owners = Vec::new();
+    let mut entry_programs = Vec::new();
     for entry in entries {
         let dump = client.fetch_dump(entry).await?;
         let programs = dump["state"]["programs"].clone();
@@ -340,40 +345,42 @@
             let name = program.as_str().map_or(program.to_string(), str::to_owned);
             let _ = writeln!(text, "{name}  at {entry}");
         }
-        owners.push(json!({ "address": entry, "programs": programs }));
+        entry_programs.push(json!({ "address": entry, "programs": programs }));
     }
     Ok(Report {
         text: text.trim_end().to_owned(),
-        json: json!({ "entries": owners }),
+        json: json!({ "entries": entry_programs }),
         exit: ExitCode::Success,
     })
 }
 
 async fn run_drain(client: &HttpClient, args: args::Drain) -> Result<Report, CommandError> {
-    // No default from the environment: it names all entries, and those must not leave at once.
+    // No default from the environment, which lists all entries: they must not drain all at once.
     let [entry] = &args.entry[..] else {
-        return Err(CommandError::Usage("give one --entry to drain".to_owned()));
+        return Err(CommandError::Usage(
+            "give exactly one --entry to drain".to_owned(),
+        ));
     };
     let key = match args.key_file {
         Some(path) => read_file(&path)?,
-        None => address(None, "CLEMENTINEPICK_ADMIN_KEY", "--key-file")?,
+        None => resolve_option(None, "CLEMENTINEPICK_ADMIN_KEY", "--key-file")?,
     };
     client.drain(entry, key.trim()).await?;
     Ok(Report {
-        text: format!("{entry} takes no new work and exits when all has finished"),
+        text: format!("{entry} accepts no new work and exits when its running calls have finished"),
         json: json!({ "address": entry, "leaving": true }),
         exit: ExitCode::Success,
     })
 }
 
-fn run_events(what: Option<&str>) -> Report {
+fn run_events(selector: Option<&str>) -> Report {
     let events: Vec<&EventKind> = EventKind::ALL
         .iter()
-        .filter(|k| what.is_none_or(|w| w == k.name() || w == k.number().to_string()))
+        .filter(|k| selector.is_none_or(|s| s == k.name() || s == k.number().to_string()))
         .collect();
     let errors: Vec<&ErrorKind> = ErrorKind::ALL
         .iter()
-        .filter(|k| what.is_none_or(|w| w == k.response().code))
+        .filter(|k| selector.is_none_or(|s| s == k.response().code))
         .collect();
     let mut text = String::new();
     for kind in &events {
@@ -381,19 +388,19 @@
         let _ = writeln!(text, "{number} {name} ({severity:?}): {}", kind.meaning());
     }
     for kind in &errors {
-        let answer = kind.response();
+        let error = kind.response();
         let _ = writeln!(
             text,
-            "{} (status {}, not_run {}, repeat safe {}): {}",
-            answer.code,
-            answer.status,
-            answer.not_run,
-            answer.repeat_safe,
+            "{} (status {}, not_run: {}, repeat_safe: {}): {}",
+            error.code,
+            error.status,
+            error.not_run,
+            error.repeat_safe,
             kind.meaning()
         );
     }
     let exit = if events.is_empty() && errors.is_empty() {
-        text.push_str("there is no such event or error");
+        text.push_str("no such event or error");
         ExitCode::NotFound
     } else {
         ExitCode::Success
@@ -415,9 +422,9 @@
 }
 
 fn error_json(kind: ErrorKind) -> Value {
-    let answer = kind.response();
+    let error = kind.response();
     json!({
-        "code": answer.code, "status": answer.status, "not_run": answer.not_run,
-        "repeat_safe": answer.repeat_safe, "meaning": kind.meaning(),
+        "code": error.code, "status": error.status, "not_run": error.not_run,
+        "repeat_safe": error.repeat_safe, "meaning": kind.meaning(),
     })
 }
--- a/clementinepickctl/src/status.rs
+++ b/clementinepickctl/src/status.rs
@@ -1,4 +1,4 @@
-//! Where which revision is in force.
+//! Computes on which processes the newest revision of each service is active.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -11,7 +11,7 @@
 
 use crate::exit::{ExitCode, Report};
 
-/// The part of a process's dump that `status` reads.
+/// The part of a process's state dump that `status` reads.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ProcessDump {
     peer: Peer,
@@ -22,7 +22,7 @@
     peers: Vec<PeerDump>,
 }
 
-/// What an entry knows of a peer by its last heartbeat.
+/// A peer as an entry knows it from the last heartbeat.
 #[derive(Debug, Clone, Deserialize)]
 struct PeerDump {
     #[serde(flatten)]
@@ -32,31 +32,31 @@
     revisions: Option<BTreeMap<ServiceName, Revision>>,
 }
 
-/// One process, as far as it is known.
+/// The known state of a process.
 #[derive(Debug, Clone, Serialize)]
 struct Process {
     role: VmRole,
     service: Option<ServiceName>,
-    /// The life that the rest is about; absent for a process that is only listed.
+    /// The incarnation that the state belongs to; `None` if the process is only in the VM list.
     incarnation: Option<Incarnation>,
     leaving: bool,
-    /// Absent when nobody has heard of it.
+    /// The active revisions; `None` if no entry has heard from the process.
     revisions: Option<BTreeMap<ServiceName, Revision>>,
 }
 
-/// How far one service's newest revision has come.
+/// The rollout of the newest revision of one service.
 #[derive(Debug, Clone, Default, Serialize)]
 struct ServiceStatus {
     revision: Revision,
     in_force: usize,
     processes: usize,
-    /// The processes that have an older revision or none.
+    /// The processes that have an older revision, or none (revision 0).
     behind: BTreeMap<VmId, Revision>,
-    /// The processes that nobody has heard of.
+    /// The processes that no entry has heard from.
     unknown: Vec<VmId>,
 }
 
-/// All processes that are known.
+/// Merges state dumps and the VM list into the state of all known processes.
 #[derive(Debug, Default)]
 pub struct Status {
     processes: BTreeMap<VmId, Process>,
@@ -64,7 +64,7 @@
 }
 
 impl Status {
-    /// Takes in what a process says.
+    /// Adds the dump of a process, with its peers.
     pub fn add_dump(&mut self, dump: ProcessDump) {
         for known in dump.peers {
             self.add(known.peer, known.leaving, known.revisions);
@@ -72,12 +72,12 @@
         self.add(dump.peer, dump.leaving, Some(dump.revisions));
     }
 
-    /// Takes note of a process that did not answer.
+    /// Records an address that did not respond.
     pub fn add_unreachable(&mut self, address: String) {
         self.unreachable.push(address);
     }
 
-    /// Takes in the list of VMs.
+    /// Adds the list of VMs.
     pub fn add_vms(&mut self, vms: Vec<Vm>) {
         for vm in vms {
             let listed = Process {
@@ -98,7 +98,7 @@
         leaving: bool,
         revisions: Option<BTreeMap<ServiceName, Revision>>,
     ) {
-        let heard = Process {
+        let reported = Process {
             role: peer.role,
             service: peer.service,
             incarnation: Some(peer.incarnation),
@@ -106,20 +106,20 @@
             revisions,
         };
         let Some(known) = self.processes.get_mut(&peer.vm) else {
-            self.processes.insert(peer.vm, heard);
+            self.processes.insert(peer.vm, reported);
             return;
         };
-        if known.incarnation == heard.incarnation {
-            // Several tell of the same life of a process, each at its own time. A revision never
-            // goes down within one life, so the highest is the latest.
-            known.leaving |= heard.leaving;
-            for (service, revision) in heard.revisions.unwrap_or_default() {
+        if known.incarnation == reported.incarnation {
+            // Several dumps may describe the same incarnation at different times. Revisions never
+            // decrease within an incarnation, so the highest one is the latest.
+            known.leaving |= reported.leaving;
+            for (service, revision) in reported.revisions.unwrap_or_default() {
                 let all = known.revisions.get_or_insert_default();
                 let newest = all.entry(service).or_default();
                 *newest = revision.max(*newest);
             }
-        } else if known.incarnation < heard.incarnation {
-            *known = heard;
+        } else if known.incarnation < reported.incarnation {
+            *known = reported;
         }
     }
 
@@ -144,12 +144,12 @@
             revision: newest,
             ..ServiceStatus::default()
         };
-        // A sidecar needs its own service's document only.
-        let concerned = self
+        // A sidecar needs only the document of its own service.
+        let relevant = self
             .processes
             .iter()
             .filter(|(_, p)| p.role == VmRole::Entry || p.service.as_ref() == Some(service));
-        for (vm, process) in concerned {
+        for (vm, process) in relevant {
             status.processes += 1;
             let Some(revisions) = &process.revisions else {
                 status.unknown.push(vm.clone());
@@ -165,27 +165,27 @@
         status
     }
 
-    /// How many of how many processes have the newest revision of each service.
+    /// Reports, for each service, how many of its processes have the newest revision.
     #[must_use]
     pub fn report(&self) -> Report {
         let services = self.services();
         let mut text = String::new();
         for (name, status) in &services {
-            print_service(&mut text, name, status);
+            write_service(&mut text, name, status);
         }
         for (vm, process) in self.processes.iter().filter(|(_, p)| p.leaving) {
             let _ = writeln!(text, "leaving: {vm} ({})", process.role);
         }
         for address in &self.unreachable {
-            let _ = writeln!(text, "no answer: {address}");
+            let _ = writeln!(text, "no response: {address}");
         }
-        let everywhere = services.values().all(|s| s.in_force == s.processes);
+        let is_up_to_date = services.values().all(|s| s.in_force == s.processes);
         let exit = if self.processes.is_empty() {
             ExitCode::Unreachable
         } else if services.is_empty() {
-            text.push_str("no document is in force\n");
+            text.push_str("no document is active\n");
             ExitCode::NotFound
-        } else if everywhere && self.unreachable.is_empty() {
+        } else if is_up_to_date && self.unreachable.is_empty() {
             ExitCode::Success
         } else {
             ExitCode::Mismatch
@@ -202,7 +202,7 @@
     }
 }
 
-fn print_service(text: &mut String, name: &ServiceName, status: &ServiceStatus) {
+fn write_service(text: &mut String, name: &ServiceName, status: &ServiceStatus) {
     let ServiceStatus {
         revision,
         in_force,
--- a/clementinepickctl/tests/exit_codes.rs
+++ b/clementinepickctl/tests/exit_codes.rs
@@ -1,4 +1,4 @@
-//! The page for operators lists the exit codes as they are.
+//! Compares the exit codes with their table in `docs/OPERATIONS.md`.
 
 use std::fs;
 use std::path::Path;
@@ -6,7 +6,7 @@
 use clementinepickctl::exit::ExitCode;
 
 #[test]
-fn every_exit_code_stands_on_the_operators_page_and_the_reverse() {
+fn documented_exit_codes_match_the_code() {
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs/OPERATIONS.md");
     let page = fs::read_to_string(page).expect("the page");
     let (_, table) = page
@@ -16,10 +16,10 @@
         .lines()
         .skip(2)
         .take_while(|line| line.starts_with('|'));
-    let written: Vec<String> = rows.map(str::to_owned).collect();
+    let documented: Vec<String> = rows.map(str::to_owned).collect();
     let codes = ExitCode::ALL.iter();
     let in_code: Vec<String> = codes
         .map(|code| format!("| {} | {} |", code.number(), code.meaning()))
         .collect();
-    assert_eq!(written, in_code);
+    assert_eq!(documented, in_code);
 }
--- a/clementinepickctl/tests/platform_commands.rs
+++ b/clementinepickctl/tests/platform_commands.rs
@@ -1,4 +1,4 @@
-//! The commands about gateways, against a gateway on the stand-ins.
+//! Tests the gateway commands against a real gateway with simulated backends and store.
 
 use std::path::Path;
 
@@ -9,7 +9,7 @@
 use standins::platform_run::PlatformRun;
 use standins::platform_store::StoreMode;
 
-fn carry_out(command: Command) -> Result<Report, CommandError> {
+fn run_command(command: Command) -> Result<Report, CommandError> {
     let args = Args {
         json: false,
         timeout_s: 5,
@@ -24,60 +24,59 @@
     turn: Option<&str>,
 ) -> Result<Report, CommandError> {
     let address = run.gateways[0].addresses.metrics.expect("an address");
-    carry_out(Command::Ledger(Ledger {
+    run_command(Command::Ledger(Ledger {
         address: address.to_string(),
         program: program.map(str::to_owned),
         turn: turn.map(str::to_owned),
     }))
 }
 
-fn turn(run: &PlatformRun, id: &str, previous: Option<&str>) {
+fn send_turn(run: &PlatformRun, id: &str, previous: Option<&str>) {
     let turn = CallerRequest::turn("/chat/1", id, "a/b c", id).with("Token-Budget", "400");
     let turn = match previous {
         Some(previous) => turn.with("Previous-Turn", previous),
         None => turn,
     };
-    let answer = turn.send(run.callers(0)).expect("an answer");
-    assert_eq!(answer.status, 200);
+    let response = turn.send(run.callers(0)).expect("a response");
+    assert_eq!(response.status, 200);
 }
 
-/// An operator asks what a gateway believes. Its answer names its kind, without which the command
-/// would take it for a broken one.
+/// `/state` must have a JSON content type; the client rejects any other response.
 #[test]
-fn a_gateway_says_what_it_believes() {
+fn the_state_of_a_gateway_is_shown() {
     let run = PlatformRun::start(1).expect("a run");
     let address = run.gateways[0].addresses.metrics.expect("an address");
     let command = Command::Gateway(GatewayArgs {
         addresses: vec![address.to_string()],
     });
-    let report = carry_out(command).expect("a report");
+    let report = run_command(command).expect("a report");
     assert_eq!(report.exit, ExitCode::Success);
-    let believes = "ready true, draining false, configuration 1";
-    assert!(report.text.contains(believes), "{}", report.text);
+    let expected = "ready: true, draining: false, configuration version: 1";
+    assert!(report.text.contains(expected), "{}", report.text);
 }
 
-/// A caller says that its budget was spent too early. The ledger shows who holds how much of it; ids
-/// may have any characters.
+/// The ledger shows which gateway holds how many tokens; program ids may have any characters.
 #[test]
 fn the_budget_of_a_program_is_shown() {
     let run = PlatformRun::start(1).expect("a run");
-    turn(&run, "t1", None);
+    send_turn(&run, "t1", None);
     let report = ledger(&run, Some("a/b c"), None).expect("a report");
     assert_eq!(report.exit, ExitCode::Success);
     let holder = run.gateways[0].addresses.peers;
-    let slice = format!("slice of 100 tokens, of {holder}");
+    let slice = format!("slice of 100 tokens, held by {holder}");
     assert!(report.text.contains(&slice), "{}", report.text);
-    let held = "this gateway holds 100 tokens, 0 of them standing: 40 spent, 0 for running turns";
+    let held = "this gateway holds 100 tokens, 0 of them in standing slices: 40 spent, 0 reserved for \
+                running turns";
     assert!(report.text.contains(held), "{}", report.text);
     assert_eq!(report.json["held_here"]["spent_tokens"], 40);
 }
 
-/// A caller says that its turn was not known. The ledger shows the chain, the newest turn first.
+/// The ledger shows a turn and the turns before it, the newest first.
 #[test]
-fn a_chain_of_turns_is_shown() {
+fn a_turn_chain_is_shown() {
     let run = PlatformRun::start(1).expect("a run");
-    turn(&run, "t1", None);
-    turn(&run, "t2", Some("t1"));
+    send_turn(&run, "t1", None);
+    send_turn(&run, "t2", Some("t1"));
     let report = ledger(&run, None, Some("t2")).expect("a report");
     let lines: Vec<&str> = report.text.lines().collect();
     assert_eq!(lines.len(), 2);
@@ -86,33 +85,33 @@
         "{}",
         lines[0]
     );
-    assert!(lines[0].contains("continues from t1"), "{}", lines[0]);
-    assert!(lines[1].contains("continues from nothing"), "{}", lines[1]);
+    assert!(lines[0].contains("previous turn: t1,"), "{}", lines[0]);
+    assert!(lines[1].contains("previous turn: none,"), "{}", lines[1]);
     assert_eq!(report.json["turns"][0]["output_bytes"], 20);
 }
 
-/// What the ledger does not have, and a store that does not answer, are different answers.
+/// A missing record and an unavailable store have different exit codes.
 #[test]
-fn nothing_and_no_answer_are_told_apart() {
+fn missing_records_and_an_unavailable_store_differ() {
     let run = PlatformRun::start(1).expect("a run");
     for (program, turn) in [(Some("never"), None), (None, Some("never"))] {
-        let err = ledger(&run, program, turn).expect_err("nothing");
+        let err = ledger(&run, program, turn).expect_err("no record");
         assert_eq!(err, CommandError::NotInLedger("never".to_owned()));
         assert_eq!(err.exit(), ExitCode::NotFound);
     }
     run.doors[0].set_mode(StoreMode::Busy);
-    let err = ledger(&run, None, Some("never")).expect_err("no answer");
+    let err = ledger(&run, None, Some("never")).expect_err("no response");
     assert_eq!(err.exit(), ExitCode::Unreachable);
-    let err = ledger(&run, None, None).expect_err("no question");
+    let err = ledger(&run, None, None).expect_err("neither program nor turn");
     assert_eq!(err.exit(), ExitCode::Usage);
 }
 
 #[test]
-fn the_files_of_the_repository_are_right() {
+fn the_deployment_file_of_the_repository_is_valid() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"))
         .parent()
         .expect("a root");
     let file = root.join("deploy/system.toml").display().to_string();
-    let report = carry_out(Command::CheckDeploy(CheckDeploy { file })).expect("a report");
+    let report = run_command(Command::CheckDeploy(CheckDeploy { file })).expect("a report");
     assert_eq!(report.exit, ExitCode::Success, "{}", report.text);
 }
