--- a/clementinepickctl/tests/explain_run.rs
+++ b/clementinepickctl/tests/explain_run.rs
@@ -1,4 +1,4 @@
-//! Three requests that failed, each explained by the logs and metrics of its gateway alone.
+//! Checks that a gateway's logs and metrics alone explain why a request failed.
 
 use std::io::{self, Write};
 use std::net::TcpStream;
@@ -11,7 +11,7 @@
 use standins::platform_run::{PlatformRun, wait_until};
 use standins::platform_store::StoreMode;
 
-/// A log in memory.
+/// An in-memory log.
 #[derive(Debug, Clone, Default)]
 struct Log(Arc<Mutex<Vec<u8>>>);
 
@@ -31,7 +31,7 @@
         String::from_utf8_lossy(&self.0.lock().expect("a log")).into_owned()
     }
 
-    /// The last line of a request, once it is there.
+    /// Waits for a log line of the request and returns the last one.
     fn last_line(&self, id: &str) -> LogLine {
         let lines = || select_lines(id, parse_log(&self.text()));
         wait_until(|| !lines().is_empty()).expect("a line");
@@ -39,7 +39,7 @@
     }
 }
 
-fn run() -> (PlatformRun, Log) {
+fn start_run() -> (PlatformRun, Log) {
     let log = Log::default();
     let mut run = PlatformRun::start(0).expect("a run");
     run.add_logging_gateway(log.clone()).expect("a gateway");
@@ -52,35 +52,35 @@
     exchange(address, request).expect("metrics").body
 }
 
-/// A caller disputes a refusal: "the service was up". The line of its request says that the store
-/// was away and that no server was asked, an earlier line since when, and the metrics how often.
+/// The request's line must show that the store was unavailable and that no server was tried, an
+/// earlier line must record the store's failure, and the metrics must count the refusal.
 #[test]
-fn a_disputed_refusal_is_explained() {
-    let (run, log) = run();
+fn a_refusal_during_a_store_outage_is_explained() {
+    let (run, log) = start_run();
     run.doors[0].set_mode(StoreMode::Busy);
-    wait_until(|| log.text().contains("log_down")).expect("the loss of the store is logged");
+    wait_until(|| log.text().contains("log_down")).expect("the outage of the store is logged");
     let turn = CallerRequest::turn("/draft/1", "r1", "p1", "x").with("Token-Budget", "400");
-    assert_eq!(turn.send(run.callers(0)).expect("an answer").status, 503);
+    assert_eq!(turn.send(run.callers(0)).expect("a response").status, 503);
     let line = log.last_line("r1");
     assert_eq!(line.fields["reason"], "ledger_away");
     assert_eq!(line.fields["store_away"], "true");
-    assert!(!line.fields.contains_key("servers"), "a server was asked");
-    let counted = "clementinepick_requests_total{outcome=\"ledger_away\"} 1";
-    assert!(metrics(&run).contains(counted));
+    assert!(!line.fields.contains_key("servers"), "a server was tried");
+    let counter = "clementinepick_requests_total{outcome=\"ledger_away\"} 1";
+    assert!(metrics(&run).contains(counter));
 }
 
-/// A program is told that its budget is spent. The line says what is reserved of which budget, and
-/// the program's other lines when each slice was.
+/// The request's line must show the reserved tokens and the budget, and the program's other lines
+/// must show when each slice was reserved.
 #[test]
-fn a_spent_budget_is_explained() {
-    let (run, log) = run();
+fn an_exhausted_budget_is_explained() {
+    let (run, log) = start_run();
     let mut number = 0;
     let status = loop {
         let turn = CallerRequest::turn("/draft/1", &format!("r{number}"), "p1", "x");
         let turn = turn.with("Token-Budget", "200");
-        let answer = turn.send(run.callers(0)).expect("an answer");
-        if answer.status != 200 {
-            break answer.status;
+        let response = turn.send(run.callers(0)).expect("a response");
+        if response.status != 200 {
+            break response.status;
         }
         number += 1;
     };
@@ -89,21 +89,26 @@
     assert_eq!(line.fields["reason"], "budget_spent");
     assert_eq!(line.fields["budget"], "200 tokens");
     assert_eq!(line.fields["reserved"], "200 tokens");
-    let told = select_lines("p1", parse_log(&log.text()));
-    let slices = told.iter().filter(|line| line.name == "budget_reserved");
+    let selected = select_lines("p1", parse_log(&log.text()));
+    let slices = selected
+        .iter()
+        .filter(|line| line.name == "budget_reserved");
     assert_eq!(slices.count(), 4, "slices of 50 tokens");
 }
 
-/// A booking that may not run twice has no answer. The line names the server that may have run it,
-/// why that one was chosen, and that its answer was lost.
+/// The line of a non-idempotent request must name the server that may have run it, why that server
+/// was selected, and that its response was lost.
 #[test]
-fn a_lost_booking_is_explained() {
-    let (run, log) = run();
+fn a_lost_response_is_explained() {
+    let (run, log) = start_run();
     for plain in &run.plains {
         plain.spoil(BackendFault::LoseAnswer);
     }
     let booking = CallerRequest::new("POST", "/book/1", "r1");
-    assert_eq!(booking.send(run.callers(0)).expect("an answer").status, 502);
+    assert_eq!(
+        booking.send(run.callers(0)).expect("a response").status,
+        502
+    );
     let line = log.last_line("r1");
     assert_eq!(line.fields["reason"], "server_lost");
     assert_eq!(line.fields["chosen_by"], "load 0, 0 tokens to read");
@@ -117,22 +122,22 @@
     assert_eq!(ran[0].request.headers["expect-instance"], server);
 }
 
-/// A caller gives up while the end of its turn waits for the store. Its line says that it left, and
-/// that the engine was done long before.
+/// If the caller disconnects while the end of its turn waits for the store, its line must show the
+/// disconnect and that the engine had finished.
 #[test]
-fn a_caller_that_gave_up_is_explained() {
-    let (run, log) = run();
+fn a_disconnected_caller_is_explained() {
+    let (run, log) = start_run();
     let first = CallerRequest::turn("/chat/1", "r1", "p1", "x").with("Token-Budget", "400");
-    assert_eq!(first.send(run.callers(0)).expect("an answer").status, 200);
+    assert_eq!(first.send(run.callers(0)).expect("a response").status, 200);
     run.doors[0].set_mode(StoreMode::Silent);
     let second = CallerRequest::turn("/chat/1", "r2", "p1", "x").with("Token-Budget", "400");
     let mut caller = TcpStream::connect(run.callers(0)).expect("a connection");
     caller.write_all(&second.bytes()).expect("sent");
-    let has_run = || {
+    let is_executed = || {
         let ran = run.engines.iter().flat_map(PlatformBackend::executions);
         ran.filter(|execution| execution.id == "r2").count() == 1
     };
-    wait_until(has_run).expect("the turn runs");
+    wait_until(is_executed).expect("the turn runs");
     std::thread::sleep(Duration::from_millis(300));
     drop(caller);
     let line = log.last_line("r2");
@@ -140,25 +145,25 @@
     assert!(line.fields.contains_key("generated_ms"), "{line:?}");
 }
 
-/// A caller's body and headers that may hold secrets stand in no line, also where it fails.
+/// Log lines must not contain bodies, queries or headers, even if the request fails.
 #[test]
-fn lines_hold_no_bodies() {
-    let (run, log) = run();
+fn log_lines_contain_no_secrets_of_callers() {
+    let (run, log) = start_run();
     let mut booking = CallerRequest::new("POST", "/book/1?token=secret-in-query", "r1")
         .with("Authorization", "secret-in-header");
     booking.body = "secret-in-body".to_owned();
-    booking.send(run.callers(0)).expect("an answer");
+    booking.send(run.callers(0)).expect("a response");
     run.plains[0].spoil(BackendFault::LoseAnswer);
     run.plains[1].spoil(BackendFault::LoseAnswer);
-    booking.send(run.callers(0)).expect("an answer");
+    booking.send(run.callers(0)).expect("a response");
     log.last_line("r1");
     assert!(!log.text().contains("secret"), "{}", log.text());
 }
 
-/// A log that nobody reads.
-struct Stuck;
+/// A log whose reader has stalled.
+struct StalledLog;
 
-impl Write for Stuck {
+impl Write for StalledLog {
     fn write(&mut self, _: &[u8]) -> io::Result<usize> {
         std::thread::sleep(Duration::from_mins(1));
         Ok(0)
@@ -169,21 +174,24 @@
     }
 }
 
-/// Whoever reads the log stands still. Lines are dropped and requests go on as fast as before.
+/// If the log's reader stalls, lines are dropped instead of delaying requests.
 #[test]
-fn a_log_that_stands_still_slows_no_request() {
+fn a_stalled_log_does_not_delay_requests() {
     let mut run = PlatformRun::start(0).expect("a run");
-    run.add_logging_gateway(Stuck).expect("a gateway");
-    let begun = std::time::Instant::now();
+    run.add_logging_gateway(StalledLog).expect("a gateway");
+    let started = std::time::Instant::now();
     for number in 0..200 {
         let request = CallerRequest::new("GET", "/look/1", &format!("r{number}"));
-        assert_eq!(request.send(run.callers(0)).expect("an answer").status, 200);
+        assert_eq!(
+            request.send(run.callers(0)).expect("a response").status,
+            200
+        );
     }
     assert!(
-        begun.elapsed() < Duration::from_secs(10),
+        started.elapsed() < Duration::from_secs(10),
         "{:?}",
-        begun.elapsed()
+        started.elapsed()
     );
-    // Its logger's thread sleeps on; the run is left to the end of the test program.
+    // The logger's thread is still asleep, so the run is leaked until the test process exits.
     std::mem::forget(run);
 }
--- a/clementinepickctl/tests/publish.rs
+++ b/clementinepickctl/tests/publish.rs
@@ -1,4 +1,4 @@
-//! `publish` against a log that loses answers, refuses, is out, or takes records late.
+//! Tests `publish` with a log that loses responses, refuses appends, fails, or delays records.
 
 use clementinepick::config_replay::Verdict;
 use clementinepick::ids::{Offset, OperationId, Revision};
@@ -11,29 +11,29 @@
 use clementinepickctl::run::report_publish;
 use expect_test::expect;
 
-/// What the log does with the next append.
+/// A fault of the log in an append.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
     LostRequest,
-    LostAnswer,
-    /// It takes effect only after the next read.
-    Late,
+    LostResponse,
+    /// The record appears only after the next read, and the response is lost.
+    Delayed,
     Refused,
 }
 
 #[derive(Default)]
 struct Log {
     records: Vec<Record>,
-    late: Vec<Record>,
+    delayed: Vec<Record>,
     faults: Vec<Fault>,
-    reads_fail: bool,
-    /// Published by another operator just before the next append.
+    is_unreadable: bool,
+    /// A record of another operator, appended just before the next append.
     rival: Option<Record>,
 }
 
 impl Log {
     fn read(&mut self, from: Offset) -> Option<ReadResponse> {
-        if self.reads_fail {
+        if self.is_unreadable {
             return None;
         }
         let stored = (0..)
@@ -42,13 +42,13 @@
                 offset: Offset(offset),
                 text: serde_json::to_string(record).expect("serializable"),
             });
-        let answer = ReadResponse {
+        let response = ReadResponse {
             earliest: Offset(0),
             end: Offset(self.records.len() as u64),
             records: stored.filter(|stored| stored.offset >= from).collect(),
         };
-        self.records.append(&mut self.late);
-        Some(answer)
+        self.records.append(&mut self.delayed);
+        Some(response)
     }
 
     fn append(&mut self, record: Record) -> AppendOutcome {
@@ -57,8 +57,8 @@
         match fault {
             Some(Fault::Refused) => return AppendOutcome::Refused,
             Some(Fault::LostRequest) => return AppendOutcome::Unknown,
-            Some(Fault::Late) => self.late.push(record),
-            Some(Fault::LostAnswer) | None => self.records.push(record),
+            Some(Fault::Delayed) => self.delayed.push(record),
+            Some(Fault::LostResponse) | None => self.records.push(record),
         }
         match fault {
             None => AppendOutcome::Appended(Offset(self.records.len() as u64 - 1)),
@@ -71,7 +71,7 @@
         let mut step = publish.start();
         loop {
             step = match step {
-                Step::Finished(ended) => return ended,
+                Step::Finished(outcome) => return outcome,
                 Step::Read { from, .. } => publish.on_read(self.read(from).as_ref()),
                 Step::Append { record, .. } => publish.on_append(self.append(*record)),
             };
@@ -95,8 +95,8 @@
     }
 }
 
-fn accepted(ended: &PublishOutcome) -> Option<u64> {
-    match ended {
+fn accepted_revision(outcome: &PublishOutcome) -> Option<u64> {
+    match outcome {
         PublishOutcome::Recorded(publication) => match publication.verdict {
             Verdict::Accepted { revision } => Some(revision.0),
             Verdict::Outrun { .. } | Verdict::Wrong { .. } => None,
@@ -105,52 +105,52 @@
     }
 }
 
-fn exit(ended: &PublishOutcome) -> ExitCode {
-    report_publish(OperationId(1), ended).exit
+fn exit(outcome: &PublishOutcome) -> ExitCode {
+    report_publish(OperationId(1), outcome).exit
 }
 
 #[test]
 fn a_document_is_published_and_read_back() {
     let mut log = Log::default();
-    assert_eq!(accepted(&log.run(settings(1, "ana", 1))), Some(1));
-    assert_eq!(accepted(&log.run(settings(2, "ana", 2))), Some(2));
+    assert_eq!(accepted_revision(&log.run(settings(1, "ana", 1))), Some(1));
+    assert_eq!(accepted_revision(&log.run(settings(2, "ana", 2))), Some(2));
     let again = log.run(settings(3, "ana", 2));
     assert!(matches!(again, PublishOutcome::Unchanged { .. }));
     assert_eq!(log.records.len(), 2);
 }
 
 #[test]
-fn a_wrong_document_is_never_sent() {
+fn an_invalid_document_is_not_appended() {
     let mut log = Log::default();
-    let wrong = PublishSettings {
+    let invalid = PublishSettings {
         text: Some("[service]\nnmae = s\n".to_owned()),
         ..settings(1, "ana", 1)
     };
-    let ended = log.run(wrong);
-    assert_eq!(exit(&ended), ExitCode::InvalidDocument);
+    let outcome = log.run(invalid);
+    assert_eq!(exit(&outcome), ExitCode::InvalidDocument);
     assert!(log.records.is_empty());
 }
 
-// Two operators read revision 1 and publish; the other's record comes first. This one is told by
-// whom it was outrun and at which revision, and its document is not in force.
+// Two operators publish documents based on revision 1. The second record in the log loses, and its
+// operator sees the winning author and revision.
 #[test]
-fn the_loser_of_a_race_is_told_by_whom() {
+fn a_conflict_names_the_winning_author_and_revision() {
     let mut log = Log::default();
     log.run(settings(1, "ana", 1));
     let mut rivals = Log::default();
     rivals.run(settings(1, "ana", 1));
     rivals.run(settings(2, "bo", 2));
     log.rival = rivals.records.pop();
-    let ended = log.run(settings(3, "ana", 3));
-    assert_eq!(exit(&ended), ExitCode::Conflict);
+    let outcome = log.run(settings(3, "ana", 3));
+    assert_eq!(exit(&outcome), ExitCode::Conflict);
     expect!["s: outrun by bo: revision 2 is in force (operation 00000000000000000000000000000003)"]
-        .assert_eq(&report_publish(OperationId(3), &ended).text);
+        .assert_eq(&report_publish(OperationId(3), &outcome).text);
 }
 
-// The operator read revision 1 yesterday; someone has published revision 2 since. `--base 1` keeps
-// the operator from replacing unseen what the other has changed.
+// `--base 1` keeps the operator from overwriting revision 2, which another operator has published
+// since.
 #[test]
-fn a_document_written_from_an_old_revision_is_refused() {
+fn a_document_based_on_an_old_revision_is_refused() {
     let mut log = Log::default();
     log.run(settings(1, "ana", 1));
     log.run(settings(2, "bo", 2));
@@ -161,88 +161,89 @@
     assert_eq!(exit(&log.run(stale)), ExitCode::Conflict);
 }
 
-// The log takes the record and the answer is lost. Reading on shows the record, so that nothing is
-// appended a second time.
+// The record is appended but the response is lost: reading finds the record, and nothing is appended
+// again.
 #[test]
-fn a_lost_answer_is_found_by_reading_on() {
+fn after_a_lost_response_the_record_is_found_by_reading() {
     let mut log = Log {
-        faults: vec![Fault::LostAnswer],
+        faults: vec![Fault::LostResponse],
         ..Log::default()
     };
-    assert_eq!(accepted(&log.run(settings(1, "ana", 1))), Some(1));
+    assert_eq!(accepted_revision(&log.run(settings(1, "ana", 1))), Some(1));
     assert_eq!(log.records.len(), 1);
 }
 
-// The request is lost: the log shows nothing, and the record is appended again.
+// The request is lost: reading does not find the record, so it is appended again.
 #[test]
-fn a_lost_request_is_sent_again() {
+fn after_a_lost_request_the_record_is_appended_again() {
     let mut log = Log {
         faults: vec![Fault::LostRequest, Fault::Refused],
         ..Log::default()
     };
-    assert_eq!(accepted(&log.run(settings(1, "ana", 1))), Some(1));
+    assert_eq!(accepted_revision(&log.run(settings(1, "ana", 1))), Some(1));
     assert_eq!(log.records.len(), 1);
 }
 
-// The answer is lost and the record takes effect only after the log was read again, so that the
-// same record is appended a second time. Both have one id and one operation: they count once.
+// The response is lost and the record appears only after the next read, so it is appended twice. Both
+// records have the same id and operation and must count once.
 #[test]
-fn a_late_record_and_its_double_count_once() {
+fn a_delayed_record_and_its_duplicate_count_once() {
     let mut log = Log {
-        faults: vec![Fault::Late],
+        faults: vec![Fault::Delayed],
         ..Log::default()
     };
-    assert_eq!(accepted(&log.run(settings(1, "ana", 1))), Some(1));
+    assert_eq!(accepted_revision(&log.run(settings(1, "ana", 1))), Some(1));
     assert_eq!(log.records.len(), 2);
     assert_eq!(log.records[0].id, log.records[1].id);
-    assert_eq!(accepted(&log.run(settings(2, "ana", 2))), Some(2));
+    assert_eq!(accepted_revision(&log.run(settings(2, "ana", 2))), Some(2));
 }
 
-// The log goes out right after it took the record: the operator hears `unknown` with the base, not
-// `failed`. When the log is back, `--resume` finds revision 1 and appends nothing.
+// The log fails right after the append: the outcome must be unknown, with the base, rather than a
+// failure. Once the log is back, `--resume` finds revision 1 and appends nothing.
 #[test]
-fn an_outage_after_the_append_is_unknown_until_resumed() {
+fn after_an_outage_following_the_append_the_outcome_is_unknown_until_resumed() {
     let mut log = Log::default();
     let mut publish = Publish::new(settings(1, "ana", 1));
     publish.start();
-    let answer = log.read(Offset(0));
-    let Step::Append { record, .. } = publish.on_read(answer.as_ref()) else {
-        panic!("the log is empty, so that it must append");
+    let response = log.read(Offset(0));
+    let Step::Append { record, .. } = publish.on_read(response.as_ref()) else {
+        panic!("the log is empty, so the next step must be an append");
     };
     log.append(*record);
     let mut step = publish.on_append(AppendOutcome::Unknown);
     while matches!(step, Step::Read { .. }) {
         step = publish.on_read(None);
     }
-    let Step::Finished(ended) = step else {
-        panic!("it must not append while it can't read: {step:?}");
+    let Step::Finished(outcome) = step else {
+        panic!("an unreadable log must end the run without an append: {step:?}");
     };
-    assert_eq!(ended, PublishOutcome::Unknown { base: Revision(0) });
-    assert_eq!(exit(&ended), ExitCode::Unknown);
+    assert_eq!(outcome, PublishOutcome::Unknown { base: Revision(0) });
+    assert_eq!(exit(&outcome), ExitCode::Unknown);
 
     let resumed = PublishSettings {
         is_resume: true,
         base: Some(Revision(0)),
         ..settings(1, "ana", 1)
     };
-    assert_eq!(accepted(&log.run(resumed)), Some(1));
+    assert_eq!(accepted_revision(&log.run(resumed)), Some(1));
     assert_eq!(log.records.len(), 1);
 }
 
-// The log was out before anything was sent: that is surely not published, and not `unknown`.
+// The log fails before any append: the document is definitely not published, so the outcome must not
+// be unknown.
 #[test]
-fn an_outage_before_the_append_is_surely_nothing() {
+fn after_an_outage_before_the_append_nothing_is_published() {
     let mut log = Log {
-        reads_fail: true,
+        is_unreadable: true,
         ..Log::default()
     };
-    let ended = log.run(settings(1, "ana", 1));
-    assert_eq!(ended, PublishOutcome::LogUnreachable);
-    assert_eq!(exit(&ended), ExitCode::Unreachable);
+    let outcome = log.run(settings(1, "ana", 1));
+    assert_eq!(outcome, PublishOutcome::LogUnreachable);
+    assert_eq!(exit(&outcome), ExitCode::Unreachable);
 }
 
 #[test]
-fn a_log_that_refuses_every_append_has_taken_none() {
+fn refused_appends_are_unknown_only_after_a_lost_request() {
     let mut log = Log {
         faults: vec![Fault::Refused; 9],
         ..Log::default()
@@ -254,22 +255,25 @@
         Fault::Refused,
         Fault::Refused,
     ];
-    let ended = log.run(settings(1, "ana", 1));
-    assert!(matches!(ended, PublishOutcome::Unknown { .. }), "{ended:?}");
+    let outcome = log.run(settings(1, "ana", 1));
+    assert!(
+        matches!(outcome, PublishOutcome::Unknown { .. }),
+        "{outcome:?}"
+    );
 }
 
-// An operator resumes without the document, only to ask. Nothing may be appended.
+// Resuming without a document only queries the outcome; nothing may be appended.
 #[test]
-fn asking_for_an_operation_appends_nothing() {
+fn querying_an_operation_appends_nothing() {
     let mut log = Log::default();
-    let ask = |operation| PublishSettings {
+    let query = |operation| PublishSettings {
         is_resume: true,
         text: None,
         ..settings(operation, "ana", 1)
     };
-    let ended = log.run(ask(1));
-    assert_eq!(exit(&ended), ExitCode::NotFound);
+    let outcome = log.run(query(1));
+    assert_eq!(exit(&outcome), ExitCode::NotFound);
     assert!(log.records.is_empty());
     log.run(settings(1, "ana", 1));
-    assert_eq!(accepted(&log.run(ask(1))), Some(1));
+    assert_eq!(accepted_revision(&log.run(query(1))), Some(1));
 }
--- a/clementinepickctl/tests/sockets.rs
+++ b/clementinepickctl/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! The command line over sockets, against the stand-in of the log and two real daemons.
+//! Tests the command line over sockets, with a simulated log and two real daemons.
 
 use std::fs;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -22,11 +22,11 @@
 use standins::weight_store::WeightSettings;
 
 const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
-/// How often a state is asked for until the test counts as hanging.
-const MAX_ASKS: usize = 600;
-const PAUSE: Duration = Duration::from_millis(50);
+/// The number of polls after which the test fails.
+const MAX_POLLS: usize = 600;
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-fn servers() -> Servers {
+fn start_servers() -> Servers {
     let settings = ServerSettings {
         log: (ANY_PORT, LogSettings::default()),
         vms: (ANY_PORT, SpanUs(0)),
@@ -40,10 +40,10 @@
     Servers::start(&settings).expect("free ports")
 }
 
-/// A document in a file that goes away with this value.
-struct File(PathBuf);
+/// A temporary file, deleted on drop.
+struct TempFile(PathBuf);
 
-impl File {
+impl TempFile {
     fn new(name: &str, text: &str) -> Self {
         let name = format!("clementinepickctl-{}-{name}", std::process::id());
         let path = std::env::temp_dir().join(name);
@@ -56,37 +56,42 @@
     }
 }
 
-impl Drop for File {
+impl Drop for TempFile {
     fn drop(&mut self) {
         let _ = fs::remove_file(&self.0);
     }
 }
 
-fn text(rank: u32) -> String {
+fn document(rank: u32) -> String {
     format!("[service]\nname = s\nkind = plain\n[class c]\nrank = {rank}\n")
 }
 
-async fn ctl(args: &[&str]) -> Result<Report, CommandError> {
-    run(Args::from_args(&["clementinepickctl"], args).expect("right arguments")).await
+async fn run_command(args: &[&str]) -> Result<Report, CommandError> {
+    run(Args::from_args(&["clementinepickctl"], args).expect("valid arguments")).await
 }
 
 async fn exit(args: &[&str]) -> ExitCode {
-    ctl(args).await.map_or_else(|err| err.exit(), |r| r.exit)
+    run_command(args)
+        .await
+        .map_or_else(|err| err.exit(), |r| r.exit)
 }
 
 #[actix_rt::test]
-async fn documents_are_checked_compared_published_and_listed() {
-    let servers = servers();
+async fn documents_are_validated_compared_published_and_listed() {
+    let servers = start_servers();
     let log = servers.addresses.log.to_string();
-    let (first, second) = (File::new("1", &text(1)), File::new("2", &text(2)));
-    let wrong = File::new("3", "[service]\nnmae = s\n");
+    let (first, second) = (
+        TempFile::new("1", &document(1)),
+        TempFile::new("2", &document(2)),
+    );
+    let invalid = TempFile::new("3", "[service]\nnmae = s\n");
     assert_eq!(exit(&["check", first.path()]).await, ExitCode::Success);
     assert_eq!(
-        exit(&["check", wrong.path()]).await,
+        exit(&["check", invalid.path()]).await,
         ExitCode::InvalidDocument
     );
-    let publish = |file: &File| ["publish", file.path(), "--log", &log].map(str::to_owned);
-    let run_publish = async |file: &File, more: &[&str]| {
+    let publish = |file: &TempFile| ["publish", file.path(), "--log", &log].map(str::to_owned);
+    let run_publish = async |file: &TempFile, more: &[&str]| {
         let args = publish(file);
         let args: Vec<&str> = args
             .iter()
@@ -99,8 +104,8 @@
         run_publish(&first, &["--author", "ana"]).await,
         ExitCode::Success
     );
-    assert_eq!(run_publish(&wrong, &[]).await, ExitCode::InvalidDocument);
-    let diff = ctl(&["diff", second.path(), "--log", &log])
+    assert_eq!(run_publish(&invalid, &[]).await, ExitCode::InvalidDocument);
+    let diff = run_command(&["diff", second.path(), "--log", &log])
         .await
         .expect("a log");
     assert_eq!(
@@ -115,7 +120,9 @@
         run_publish(&first, &["--base", "1"]).await,
         ExitCode::Conflict
     );
-    let history = ctl(&["history", "s", "--log", &log]).await.expect("a log");
+    let history = run_command(&["history", "s", "--log", &log])
+        .await
+        .expect("a log");
     let verdicts = history.json["publications"].as_array().expect("a list");
     assert_eq!((verdicts.len(), &verdicts[0]["author"]), (3, &"ana".into()));
     servers.stop().expect("joined");
@@ -148,7 +155,7 @@
     }
 }
 
-fn listed(vm: &str, role: VmRole, daemon: &Daemon) -> Vm {
+fn vm_list_item(vm: &str, role: VmRole, daemon: &Daemon) -> Vm {
     let id: VmId = vm.parse().expect("a name");
     Vm {
         id,
@@ -160,11 +167,11 @@
     }
 }
 
-// A document is published while an entry and a sidecar run; `status` says when it is in force at
-// both, as the entry has heard, and names the VM that is on the list and was never heard.
+// After a publication, `status` must report it as active on both processes once the entry has heard
+// so, and must report a listed VM that no entry has heard from.
 #[actix_rt::test]
-async fn status_tells_when_a_document_is_in_force_everywhere() {
-    let servers = servers();
+async fn status_reports_when_a_document_is_active_everywhere() {
+    let servers = start_servers();
     let (log, vms) = (servers.addresses.log, servers.addresses.vms);
     let sidecar = Daemon::start(settings(
         "car-1",
@@ -185,34 +192,40 @@
         }),
     ));
     let entry = entry.expect("free ports");
-    servers.vms.set(listed("entry-a", VmRole::Entry, &entry));
-    servers.vms.set(listed("car-1", VmRole::Sidecar, &sidecar));
-
-    let file = File::new("status", &text(1));
+    servers
+        .vms
+        .set(vm_list_item("entry-a", VmRole::Entry, &entry));
+    servers
+        .vms
+        .set(vm_list_item("car-1", VmRole::Sidecar, &sidecar));
+
+    let file = TempFile::new("status", &document(1));
     let log = log.to_string();
     let published = exit(&["publish", file.path(), "--log", &log]).await;
     assert_eq!(published, ExitCode::Success);
     let (address, vms) = (entry.http_address().to_string(), vms.to_string());
     let args = ["status", "--entry", &address, "--vms", &vms];
-    let mut report = ctl(&args).await.expect("an entry");
-    for _ in 0..MAX_ASKS {
+    let mut report = run_command(&args).await.expect("an entry");
+    for _ in 0..MAX_POLLS {
         if report.exit == ExitCode::Success {
             break;
         }
-        actix_rt::time::sleep(PAUSE).await;
-        report = ctl(&args).await.expect("an entry");
+        actix_rt::time::sleep(POLL_INTERVAL).await;
+        report = run_command(&args).await.expect("an entry");
     }
     assert_eq!(report.text, "s: revision 1 is in force on 2 of 2");
 
-    let mut silent = listed("car-2", VmRole::Sidecar, &sidecar);
+    let mut silent = vm_list_item("car-2", VmRole::Sidecar, &sidecar);
     silent.link_address = "127.0.0.1:1".to_owned();
     servers.vms.set(silent);
-    let report = ctl(&args).await.expect("an entry");
+    let report = run_command(&args).await.expect("an entry");
     assert_eq!(report.exit, ExitCode::Mismatch, "{}", report.text);
-    let dump = ctl(&["dump", "--entry", &address]).await.expect("an entry");
+    let dump = run_command(&["dump", "--entry", &address])
+        .await
+        .expect("an entry");
     assert_eq!(dump.json["processes"][0]["ready"], true);
-    let key = File::new("key", "a key for operators\n");
-    let wrong = File::new("wrong-key", "a key for others\n");
+    let key = TempFile::new("key", "a key for operators\n");
+    let wrong = TempFile::new("wrong-key", "a key for others\n");
     for daemon in [&entry, &sidecar] {
         let address = daemon.http_address().to_string();
         let drain = ["drain", "--entry", &address, "--key-file"];
--- a/clementinepickctl/tests/status.rs
+++ b/clementinepickctl/tests/status.rs
@@ -1,4 +1,4 @@
-//! `status`: how many of how many processes have which revision.
+//! Tests how `status` counts the processes that have the newest revision.
 
 use clementinepick::platform::Vm;
 use clementinepickctl::exit::ExitCode;
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn an_entry_tells_of_itself_and_of_its_peers() {
+fn an_entry_reports_itself_and_its_peers() {
     let mut status = Status::default();
     let peers = json!([
         with_revisions(peer("car-1", 1, Some("s")), json!({ "s": 2 })),
@@ -39,10 +39,10 @@
     assert_eq!(report.exit, ExitCode::Success);
 }
 
-// One sidecar lags, one is on the platform's list and no entry has a link to it. `status` must not
-// say that the revision is in force everywhere.
+// With an outdated sidecar, a peer without revisions and a VM that is only listed, `status` must not
+// report the revision as active everywhere.
 #[test]
-fn who_lags_and_who_is_silent_is_named() {
+fn outdated_and_unknown_processes_are_named() {
     let mut status = Status::default();
     let peers = json!([
         with_revisions(peer("car-1", 1, Some("s")), json!({ "s": 1 })),
@@ -66,10 +66,10 @@
     assert_eq!(report.exit, ExitCode::Mismatch);
 }
 
-// Two entries tell of the same sidecar. One of them last heard of its former life; what that life
-// had in force says nothing about the new one.
+// Two entries report the same sidecar, one of them an earlier incarnation, whose revisions say nothing
+// about the current one.
 #[test]
-fn the_newest_life_of_a_process_counts() {
+fn the_newest_incarnation_of_a_process_counts() {
     let mut status = Status::default();
     let old = json!([with_revisions(
         peer("car-1", 1, Some("s")),
