--- a/clementinepickctl/src/run.rs
+++ b/clementinepickctl/src/run.rs
@@ -1,4 +1,4 @@
-//! Carries out one command.
+//! Executes the commands.
 
 use std::env;
 use std::fmt::Write;
@@ -14,126 +14,130 @@
 use serde_json::{Value, json};
 
 use crate::args::{self, Args, Command};
-use crate::client::{Ctl, Readiness};
+use crate::client::{HttpClient, Readiness};
 use crate::diff::diff;
-use crate::exit::{CtlError, ExitCode, Report};
+use crate::exit::{CommandError, ExitCode, Report};
 use crate::history::History;
 use crate::platform_commands::{run_check_deploy, run_explain, run_gateway, run_ledger};
-use crate::publish::{Ended, Publish, PublishSettings, Step, describe};
+use crate::publish::{Publish, PublishOutcome, PublishSettings, Step, describe_verdict};
 use crate::status::{ProcessDump, Status};
 
-/// Carries out a command.
+/// Executes a command.
 ///
 /// # Errors
 ///
-/// When nothing could be found out.
-pub async fn run(args: Args) -> Result<Report, CtlError> {
-    let ctl = Ctl::new(Duration::from_secs(args.timeout_s));
+/// Returns an error if the arguments are invalid or a file, a process or the log can't be read.
+pub async fn run(args: Args) -> Result<Report, CommandError> {
+    let client = HttpClient::new(Duration::from_secs(args.timeout_s));
     match args.command {
         Command::Check(check) => run_check(&check.files),
-        Command::Diff(diff) => run_diff(&ctl, diff).await,
-        Command::Publish(publish) => run_publish(&ctl, publish).await,
-        Command::History(history) => run_history(&ctl, history).await,
-        Command::Status(status) => run_status(&ctl, status).await,
-        Command::Dump(dump) => run_dump(&ctl, &entries(dump.entry)?).await,
-        Command::Programs(programs) => run_programs(&ctl, &entries(programs.entry)?).await,
-        Command::Drain(drain) => run_drain(&ctl, drain).await,
+        Command::Diff(diff) => run_diff(&client, diff).await,
+        Command::Publish(publish) => run_publish(&client, publish).await,
+        Command::History(history) => run_history(&client, history).await,
+        Command::Status(status) => run_status(&client, status).await,
+        Command::Dump(dump) => run_dump(&client, &list_entries(dump.entry)?).await,
+        Command::Programs(programs) => run_programs(&client, &list_entries(programs.entry)?).await,
+        Command::Drain(drain) => run_drain(&client, drain).await,
         Command::Events(events) => Ok(run_events(events.what.as_deref())),
-        Command::Gateway(gateway) => run_gateway(&ctl, &gateway.addresses).await,
+        Command::Gateway(gateway) => run_gateway(&client, &gateway.addresses).await,
         Command::Explain(explain) => run_explain(&explain),
-        Command::Ledger(ledger) => run_ledger(&ctl, &ledger).await,
+        Command::Ledger(ledger) => run_ledger(&client, &ledger).await,
         Command::CheckDeploy(check) => run_check_deploy(&check.file),
     }
 }
 
-pub(crate) fn read_file(path: &str) -> Result<String, CtlError> {
-    fs::read_to_string(path).map_err(|err| CtlError::File {
+pub(crate) fn read_file(path: &str) -> Result<String, CommandError> {
+    fs::read_to_string(path).map_err(|err| CommandError::File {
         path: path.to_owned(),
         detail: err.to_string(),
     })
 }
 
-fn address(given: Option<String>, variable: &str, option: &str) -> Result<String, CtlError> {
-    let address = given.or_else(|| env::var(variable).ok());
-    address.ok_or_else(|| CtlError::Usage(format!("give {option}, or set {variable}")))
+fn resolve_option(
+    given: Option<String>,
+    variable: &str,
+    option: &str,
+) -> Result<String, CommandError> {
+    let value = given.or_else(|| env::var(variable).ok());
+    value.ok_or_else(|| CommandError::Usage(format!("give {option}, or set {variable}")))
 }
 
-fn log_address(given: Option<String>) -> Result<String, CtlError> {
-    address(given, "CLEMENTINEPICK_LOG", "--log")
+fn resolve_log(given: Option<String>) -> Result<String, CommandError> {
+    resolve_option(given, "CLEMENTINEPICK_LOG", "--log")
 }
 
-fn entries(given: Vec<String>) -> Result<Vec<String>, CtlError> {
+fn list_entries(given: Vec<String>) -> Result<Vec<String>, CommandError> {
     if !given.is_empty() {
         return Ok(given);
     }
-    let listed = address(None, "CLEMENTINEPICK_ENTRIES", "--entry")?;
+    let listed = resolve_option(None, "CLEMENTINEPICK_ENTRIES", "--entry")?;
     Ok(listed
         .split(',')
         .map(|entry| entry.trim().to_owned())
         .collect())
 }
 
-fn run_check(files: &[String]) -> Result<Report, CtlError> {
+fn run_check(files: &[String]) -> Result<Report, CommandError> {
     if files.is_empty() {
-        return Err(CtlError::Usage("give at least one document".to_owned()));
+        return Err(CommandError::Usage("give at least one document".to_owned()));
     }
-    let mut exit = ExitCode::Done;
+    let mut exit = ExitCode::Success;
     let mut text = String::new();
-    let mut answers = Vec::new();
+    let mut results = Vec::new();
     for path in files {
         match Document::parse(&read_file(path)?) {
             Ok(document) => {
-                let _ = writeln!(text, "{path}: right, for `{}`", document.service);
-                answers.push(json!({ "file": path, "service": document.service }));
+                let _ = writeln!(text, "{path}: valid, for service `{}`", document.service);
+                results.push(json!({ "file": path, "service": document.service }));
             }
             Err(err) => {
-                exit = ExitCode::WrongDocument;
+                exit = ExitCode::InvalidDocument;
                 let _ = writeln!(text, "{path}: {err}");
-                answers.push(json!({ "file": path, "wrong": err.to_string() }));
+                results.push(json!({ "file": path, "wrong": err.to_string() }));
             }
         }
     }
     Ok(Report {
         text: text.trim_end().to_owned(),
-        json: json!({ "documents": answers }),
+        json: json!({ "documents": results }),
         exit,
     })
 }
 
-async fn read_history(ctl: &Ctl, log: &str) -> Result<History, CtlError> {
+async fn read_history(client: &HttpClient, log: &str) -> Result<History, CommandError> {
     let mut history = History::default();
     loop {
-        let Some(answer) = ctl.read(log, history.position()).await else {
-            return Err(CtlError::Unreachable {
+        let Some(batch) = client.read_config(log, history.position()).await else {
+            return Err(CommandError::Unreachable {
                 address: log.to_owned(),
-                detail: "the log gives no answer".to_owned(),
+                detail: "the configuration stream can't be read".to_owned(),
             });
         };
-        if !history.take(&answer) {
+        if !history.replay_batch(&batch) {
             break;
         }
     }
     if history.replay().is_complete() {
         Ok(history)
     } else {
-        Err(CtlError::Incomplete)
+        Err(CommandError::Incomplete)
     }
 }
 
-async fn run_diff(ctl: &Ctl, args: args::Diff) -> Result<Report, CtlError> {
+async fn run_diff(client: &HttpClient, args: args::Diff) -> Result<Report, CommandError> {
     let new = read_file(&args.file)?;
     let document = match Document::parse(&new) {
         Ok(document) => document,
-        Err(err) => return Ok(wrong(&err.to_string())),
+        Err(err) => return Ok(report_invalid(&err.to_string())),
     };
-    let history = read_history(ctl, &log_address(args.log)?).await?;
+    let history = read_history(client, &resolve_log(args.log)?).await?;
     let current = history.replay().state().documents.get(&document.service);
     let (revision, old) = current.map_or((0, ""), |c| (c.revision.0, c.text.as_str()));
     let changes = diff(old, &new);
     let exit = if changes.is_empty() {
-        ExitCode::Done
+        ExitCode::Success
     } else {
-        ExitCode::No
+        ExitCode::Mismatch
     };
     Ok(Report {
         json: json!({ "service": document.service, "base": revision, "changes": changes }),
@@ -147,31 +151,33 @@
     })
 }
 
-fn wrong(detail: &str) -> Report {
+fn report_invalid(detail: &str) -> Report {
     Report {
-        text: format!("wrong: {detail}; nothing was published"),
+        text: format!("invalid document: {detail}; nothing was published"),
         json: json!({ "wrong": detail }),
-        exit: ExitCode::WrongDocument,
+        exit: ExitCode::InvalidDocument,
     }
 }
 
-fn author(given: Option<VmId>) -> Result<VmId, CtlError> {
+fn resolve_author(given: Option<VmId>) -> Result<VmId, CommandError> {
     if let Some(author) = given {
         return Ok(author);
     }
     let user = env::var("USER").unwrap_or_else(|_| "operator".to_owned());
-    let bad = |_| CtlError::Usage("the user's name is no name here: give --author".to_owned());
-    user.parse().map_err(bad)
+    let invalid = |_| CommandError::Usage("USER is not a valid author: give --author".to_owned());
+    user.parse().map_err(invalid)
 }
 
-async fn run_publish(ctl: &Ctl, args: args::Publish) -> Result<Report, CtlError> {
-    let log = log_address(args.log)?;
+async fn run_publish(client: &HttpClient, args: args::Publish) -> Result<Report, CommandError> {
+    let log = resolve_log(args.log)?;
     if args.file.is_none() && args.resume.is_none() {
-        return Err(CtlError::Usage("give the document to publish".to_owned()));
+        return Err(CommandError::Usage(
+            "give the document to publish".to_owned(),
+        ));
     }
     if args.file.is_some() && args.resume.is_some() && args.base.is_none() {
-        let detail = "give --base with --resume, as the earlier run printed it";
-        return Err(CtlError::Usage(detail.to_owned()));
+        let detail = "give --base with --resume, as printed by the earlier run";
+        return Err(CommandError::Usage(detail.to_owned()));
     }
     let text = args.file.as_deref().map(read_file).transpose()?;
     let operation = args
@@ -179,28 +185,28 @@
         .unwrap_or_else(|| OperationId::draw(&mut rand::rng()));
     let mut publish = Publish::new(PublishSettings {
         operation,
-        author: author(args.author)?,
+        author: resolve_author(args.author)?,
         base: args.base,
-        resumes: args.resume.is_some(),
+        is_resume: args.resume.is_some(),
         text,
         max_failures: args.max_failures,
         backoff_us: SpanUs::from_ms(200),
     });
     let mut step = publish.start();
-    let ended = loop {
+    let outcome = loop {
         step = match step {
-            Step::Ended(ended) => break ended,
+            Step::Finished(outcome) => break outcome,
             Step::Read { from, after_us } => {
                 wait(after_us).await;
-                publish.on_read(ctl.read(&log, from).await.as_ref())
+                publish.on_read(client.read_config(&log, from).await.as_ref())
             }
             Step::Append { record, after_us } => {
                 wait(after_us).await;
-                publish.on_append(ctl.append(&log, &record).await)
+                publish.on_append(client.append_config(&log, &record).await)
             }
         };
     };
-    Ok(report_publish(operation, &ended))
+    Ok(report_publish(operation, &outcome))
 }
 
 async fn wait(span: SpanUs) {
@@ -209,87 +215,88 @@
     }
 }
 
-/// What `publish` prints, and its exit code.
+/// Returns the output and exit code of `publish` for an outcome.
 #[must_use]
-pub fn report_publish(operation: OperationId, ended: &Ended) -> Report {
-    let (outcome, exit) = outcome_of(ended);
-    let (base, publication) = match ended {
-        Ended::Unknown { base } => (Some(*base), None),
-        Ended::Judged(publication) => (None, Some(publication)),
+pub fn report_publish(operation: OperationId, outcome: &PublishOutcome) -> Report {
+    let (label, exit) = classify_outcome(outcome);
+    let (base, publication) = match outcome {
+        PublishOutcome::Unknown { base } => (Some(*base), None),
+        PublishOutcome::Recorded(publication) => (None, Some(publication)),
         _ => (None, None),
     };
-    let text = sentence(operation, ended);
+    let text = describe_outcome(operation, outcome);
     let json = json!({
-        "outcome": outcome, "operation": operation, "base": base, "publication": publication,
+        "outcome": label, "operation": operation, "base": base, "publication": publication,
         "message": text,
     });
     Report { text, json, exit }
 }
 
-const fn outcome_of(ended: &Ended) -> (&'static str, ExitCode) {
-    match ended {
-        Ended::Judged(publication) => match publication.verdict {
-            Verdict::Accepted { .. } => ("accepted", ExitCode::Done),
-            Verdict::Outrun { .. } => ("outrun", ExitCode::Outrun),
-            Verdict::Wrong { .. } => ("wrong", ExitCode::WrongDocument),
+const fn classify_outcome(outcome: &PublishOutcome) -> (&'static str, ExitCode) {
+    match outcome {
+        PublishOutcome::Recorded(publication) => match publication.verdict {
+            Verdict::Accepted { .. } => ("accepted", ExitCode::Success),
+            Verdict::Outrun { .. } => ("outrun", ExitCode::Conflict),
+            Verdict::Wrong { .. } => ("wrong", ExitCode::InvalidDocument),
         },
-        Ended::Wrong { .. } => ("wrong", ExitCode::WrongDocument),
-        Ended::Unchanged { .. } => ("unchanged", ExitCode::Done),
-        Ended::NotStarted | Ended::Refused | Ended::Incomplete => {
+        PublishOutcome::Invalid { .. } => ("wrong", ExitCode::InvalidDocument),
+        PublishOutcome::Unchanged { .. } => ("unchanged", ExitCode::Success),
+        PublishOutcome::LogUnreachable | PublishOutcome::Refused | PublishOutcome::Incomplete => {
             ("not_published", ExitCode::Unreachable)
         }
-        Ended::NotFound { .. } => ("not_found", ExitCode::NotFound),
-        Ended::Unknown { .. } => ("unknown", ExitCode::Unknown),
+        PublishOutcome::NotFound { .. } => ("not_found", ExitCode::NotFound),
+        PublishOutcome::Unknown { .. } => ("unknown", ExitCode::Unknown),
     }
 }
 
-fn sentence(operation: OperationId, ended: &Ended) -> String {
-    match ended {
-        Ended::Judged(publication) => {
-            let verdict = describe(&publication.verdict);
+fn describe_outcome(operation: OperationId, outcome: &PublishOutcome) -> String {
+    match outcome {
+        PublishOutcome::Recorded(publication) => {
+            let verdict = describe_verdict(&publication.verdict);
             format!("{}: {verdict} (operation {operation})", publication.service)
         }
-        Ended::Wrong { detail } => wrong(detail).text,
-        Ended::Unchanged { service, revision } => {
-            format!("{service}: revision {revision} is this document already")
+        PublishOutcome::Invalid { detail } => report_invalid(detail).text,
+        PublishOutcome::Unchanged { service, revision } => {
+            format!("{service}: the document is already active as revision {revision}")
         }
-        Ended::NotStarted => "the log can't be read; nothing was published".to_owned(),
-        Ended::Refused => "the log refused the record; nothing was published".to_owned(),
-        Ended::Incomplete => CtlError::Incomplete.to_string(),
-        Ended::NotFound { end } => format!(
-            "the log does not hold operation {operation} up to offset {end}; it may still arrive. \
-             Ask again, or give the document and --base to append it again: it counts once"
+        PublishOutcome::LogUnreachable => "the log can't be read; nothing was published".to_owned(),
+        PublishOutcome::Refused => "the log refused the record; nothing was published".to_owned(),
+        PublishOutcome::Incomplete => CommandError::Incomplete.to_string(),
+        PublishOutcome::NotFound { end } => format!(
+            "operation {operation} is not in the log up to offset {end}; a delayed append may still \
+             arrive. Run again, or give the document and --base to append it again: it takes effect \
+             only once"
         ),
-        Ended::Unknown { base } => format!(
+        PublishOutcome::Unknown { base } => format!(
             "unknown: the log gave no answer after the record was sent. Find out with --resume \
              {operation}, or go on with the document and --resume {operation} --base {base}"
         ),
     }
 }
 
-async fn run_history(ctl: &Ctl, args: args::History) -> Result<Report, CtlError> {
-    let history = read_history(ctl, &log_address(args.log)?).await?;
+async fn run_history(client: &HttpClient, args: args::History) -> Result<Report, CommandError> {
+    let history = read_history(client, &resolve_log(args.log)?).await?;
     let Some(operation) = args.show else {
         return Ok(history.report(args.service.as_ref()));
     };
-    Ok(match history.text(operation) {
+    Ok(match history.document_text(operation) {
         Some(text) => Report {
             text: text.to_owned(),
             json: json!({ "operation": operation, "document": text }),
-            exit: ExitCode::Done,
+            exit: ExitCode::Success,
         },
         None => Report {
-            text: format!("the log keeps no document of operation {operation}"),
+            text: format!("the log holds no document of operation {operation}"),
             json: json!({ "operation": operation, "document": Value::Null }),
             exit: ExitCode::NotFound,
         },
     })
 }
 
-async fn run_status(ctl: &Ctl, args: args::Status) -> Result<Report, CtlError> {
+async fn run_status(client: &HttpClient, args: args::Status) -> Result<Report, CommandError> {
     let mut status = Status::default();
-    for entry in entries(args.entry)? {
-        let dump = ctl.dump(&entry).await;
+    for entry in list_entries(args.entry)? {
+        let dump = client.fetch_dump(&entry).await;
         let dump = dump
             .ok()
             .and_then(|d| serde_json::from_value(d["state"].clone()).ok());
@@ -301,9 +308,9 @@
             None => status.add_unreachable(entry),
         }
     }
-    let vms = address(args.vms, "CLEMENTINEPICK_VMS", "--vms");
+    let vms = resolve_option(args.vms, "CLEMENTINEPICK_VMS", "--vms");
     if let Ok(vms) = vms {
-        match ctl.vms(&vms).await {
+        match client.fetch_vms(&vms).await {
             Ok(list) => status.add_vms(list),
             Err(_) => status.add_unreachable(vms),
         }
@@ -311,11 +318,11 @@
     Ok(status.report())
 }
 
-async fn run_dump(ctl: &Ctl, entries: &[String]) -> Result<Report, CtlError> {
+async fn run_dump(client: &HttpClient, entries: &[String]) -> Result<Report, CommandError> {
     let mut dumps = Vec::new();
     for entry in entries {
-        let ready = ctl.readiness(entry).await? == Readiness::Ready;
-        let mut dump = ctl.dump(entry).await?;
+        let ready = client.check_readiness(entry).await? == Readiness::Ready;
+        let mut dump = client.fetch_dump(entry).await?;
         dump["address"] = json!(entry);
         dump["ready"] = json!(ready);
         dumps.push(dump);
@@ -324,54 +331,56 @@
     Ok(Report {
         text: format!("{json:#}"),
         json,
-        exit: ExitCode::Done,
+        exit: ExitCode::Success,
     })
 }
 
-async fn run_programs(ctl: &Ctl, entries: &[String]) -> Result<Report, CtlError> {
+async fn run_programs(client: &HttpClient, entries: &[String]) -> Result<Report, CommandError> {
     let mut text = String::new();
-    let mut owners = Vec::new();
+    let mut entry_programs = Vec::new();
     for entry in entries {
-        let dump = ctl.dump(entry).await?;
+        let dump = client.fetch_dump(entry).await?;
         let programs = dump["state"]["programs"].clone();
         for program in programs.as_array().into_iter().flatten() {
             let name = program.as_str().map_or(program.to_string(), str::to_owned);
             let _ = writeln!(text, "{name}  at {entry}");
         }
-        owners.push(json!({ "address": entry, "programs": programs }));
+        entry_programs.push(json!({ "address": entry, "programs": programs }));
     }
     Ok(Report {
         text: text.trim_end().to_owned(),
-        json: json!({ "entries": owners }),
-        exit: ExitCode::Done,
+        json: json!({ "entries": entry_programs }),
+        exit: ExitCode::Success,
     })
 }
 
-async fn run_drain(ctl: &Ctl, args: args::Drain) -> Result<Report, CtlError> {
-    // No default from the environment: it names all entries, and those must not leave at once.
+async fn run_drain(client: &HttpClient, args: args::Drain) -> Result<Report, CommandError> {
+    // No default from the environment, which lists all entries: they must not drain all at once.
     let [entry] = &args.entry[..] else {
-        return Err(CtlError::Usage("give one --entry to drain".to_owned()));
+        return Err(CommandError::Usage(
+            "give exactly one --entry to drain".to_owned(),
+        ));
     };
     let key = match args.key_file {
         Some(path) => read_file(&path)?,
-        None => address(None, "CLEMENTINEPICK_ADMIN_KEY", "--key-file")?,
+        None => resolve_option(None, "CLEMENTINEPICK_ADMIN_KEY", "--key-file")?,
     };
-    ctl.drain(entry, key.trim()).await?;
+    client.drain(entry, key.trim()).await?;
     Ok(Report {
-        text: format!("{entry} takes no new work and exits when all has finished"),
+        text: format!("{entry} accepts no new work and exits when its running calls have finished"),
         json: json!({ "address": entry, "leaving": true }),
-        exit: ExitCode::Done,
+        exit: ExitCode::Success,
     })
 }
 
-fn run_events(what: Option<&str>) -> Report {
+fn run_events(selector: Option<&str>) -> Report {
     let events: Vec<&EventKind> = EventKind::ALL
         .iter()
-        .filter(|k| what.is_none_or(|w| w == k.name() || w == k.number().to_string()))
+        .filter(|k| selector.is_none_or(|s| s == k.name() || s == k.number().to_string()))
         .collect();
     let errors: Vec<&ErrorKind> = ErrorKind::ALL
         .iter()
-        .filter(|k| what.is_none_or(|w| w == k.response().code))
+        .filter(|k| selector.is_none_or(|s| s == k.response().code))
         .collect();
     let mut text = String::new();
     for kind in &events {
@@ -379,22 +388,22 @@
         let _ = writeln!(text, "{number} {name} ({severity:?}): {}", kind.meaning());
     }
     for kind in &errors {
-        let answer = kind.response();
+        let error = kind.response();
         let _ = writeln!(
             text,
-            "{} (status {}, not_run {}, repeat safe {}): {}",
-            answer.code,
-            answer.status,
-            answer.not_run,
-            answer.repeat_safe,
+            "{} (status {}, not_run: {}, repeat_safe: {}): {}",
+            error.code,
+            error.status,
+            error.not_run,
+            error.repeat_safe,
             kind.meaning()
         );
     }
     let exit = if events.is_empty() && errors.is_empty() {
-        text.push_str("there is no such event or error");
+        text.push_str("no such event or error");
         ExitCode::NotFound
     } else {
-        ExitCode::Done
+        ExitCode::Success
     };
     let events: Vec<Value> = events.iter().map(|kind| event_json(**kind)).collect();
     let errors: Vec<Value> = errors.iter().map(|kind| error_json(**kind)).collect();
@@ -413,9 +422,9 @@
 }
 
 fn error_json(kind: ErrorKind) -> Value {
-    let answer = kind.response();
+    let error = kind.response();
     json!({
-        "code": answer.code, "status": answer.status, "not_run": answer.not_run,
-        "repeat_safe": answer.repeat_safe, "meaning": kind.meaning(),
+        "code": error.code, "status": error.status, "not_run": error.not_run,
+        "repeat_safe": error.repeat_safe, "meaning": kind.meaning(),
     })
 }
