--- a/clementinepick/tests/at_most_once.rs
+++ b/clementinepick/tests/at_most_once.rs
@@ -4,14 +4,14 @@
 
 use clementinepick::message::Message;
 use clementinepick::record::{CallOutcome, PartitionRecord};
-use common::{LogMode, World, at, keyed, post, vm, within_ms};
+use common::{LogMode, World, post, vm, with_deadline_ms, with_idempotency_key, with_seq};
 
 const KEY: &str = "order-1";
 
 fn hold(
     name: &str,
 ) -> impl FnOnce(clementinepick::ids::RequestId) -> clementinepick::call::Request {
-    keyed(KEY, post(name, "/hold", "seat 7"))
+    with_idempotency_key(KEY, post(name, "/hold", "seat 7"))
 }
 
 fn started(entry: &PartitionRecord) -> bool {
@@ -30,7 +30,7 @@
 /// A world with a program whose owner is `e1`, and a first call done.
 fn with_owner() -> (World, String) {
     let mut world = World::new(3, 1, 1);
-    let name = world.program_of("e1", "p");
+    let name = world.program_owned_by("e1", "p");
     let id = world.call("e0", post(&name, "/check", "free?"));
     assert_eq!(world.wait(id).code(), "done");
     assert_eq!(world.owner_of(&name).as_deref(), Some("e1"));
@@ -51,7 +51,7 @@
     let answer = world.wait(id);
     assert_eq!(answer.code(), "done", "{:?}", answer.failed);
     assert_eq!(world.runs(), ["/hold seat 7"]);
-    assert_eq!(world.count(started), 1);
+    assert_eq!(world.count_records(started), 1);
 }
 
 // The caller sees its answer. The owner dies after the start is in the log and before it sends the
@@ -60,18 +60,18 @@
 #[test]
 fn owner_killed_between_the_record_and_the_dispatch() {
     let (mut world, name) = with_owner();
-    world.lose = |message| matches!(message, Message::Dispatch(_));
+    world.should_drop = |message| matches!(message, Message::Dispatch(_));
     let id = world.call("e0", hold(&name));
-    world.run_until(1_000, "the start", |w| w.count(started) == 1);
+    world.run_until(1_000, "the start", |w| w.count_records(started) == 1);
     world.run_ms(20);
     world.kill("e1");
-    world.lose = |_| false;
+    world.should_drop = |_| false;
     let answer = world.wait(id);
     assert_eq!(answer.code(), "done", "{:?}", answer.failed);
     assert_eq!(world.runs(), ["/hold seat 7"]);
-    assert_eq!(world.count(started), 2);
+    assert_eq!(world.count_records(started), 2);
     assert_eq!(
-        world.count(|e| matches!(
+        world.count_records(|e| matches!(
             e,
             PartitionRecord::CallEnded {
                 outcome: CallOutcome::NeverRan(_),
@@ -106,14 +106,14 @@
     let id = world.call("e0", hold(&name));
     world.run_until(1_000, "the run", |w| !w.runs().is_empty());
     world.log.mode = LogMode::Down;
-    world.answer_held("b0");
+    world.complete_held_calls("b0");
     world.run_ms(20);
     world.kill("e1");
     world.log.mode = LogMode::Up;
     let answer = world.wait(id);
     assert_eq!(answer.code(), "done", "{:?}", answer.failed);
     assert_eq!(world.runs(), ["/hold seat 7"]);
-    assert_eq!(world.count(ended), 1);
+    assert_eq!(world.count_records(ended), 1);
 }
 
 // The caller is told that the outcome is not known, and a repeat is told the same; the call is
@@ -142,9 +142,9 @@
     world.backend("b0").delay_us = Some(2_000_000);
     let id = world.call("e0", hold(&name));
     world.run_until(1_000, "the run", |w| !w.runs().is_empty());
-    world.cut("e1", "b0");
+    world.cut_link("e1", "b0");
     world.run_ms(2_500);
-    world.mend("e1", "b0");
+    world.restore_link("e1", "b0");
     assert_eq!(world.wait(id).code(), "done");
     assert_eq!(world.runs(), ["/hold seat 7"]);
 }
@@ -155,11 +155,11 @@
 fn link_to_the_sidecar_lost_over_the_deadline() {
     let (mut world, name) = with_owner();
     world.backend("b0").delay_us = Some(300_000);
-    let id = world.call("e0", within_ms(1_500, hold(&name)));
+    let id = world.call("e0", with_deadline_ms(1_500, hold(&name)));
     world.run_until(1_000, "the run", |w| !w.runs().is_empty());
-    world.cut("e1", "b0");
+    world.cut_link("e1", "b0");
     assert_eq!(world.wait(id).code(), "outcome_unknown");
-    world.mend("e1", "b0");
+    world.restore_link("e1", "b0");
     world.run_ms(500);
     let repeat = world.call("e2", hold(&name));
     let answer = world.wait(repeat);
@@ -177,7 +177,7 @@
     world.run_until(1_000, "the run", |w| !w.runs().is_empty());
     let second = world.call("e2", hold(&name));
     world.run_ms(100);
-    world.answer_held("b0");
+    world.complete_held_calls("b0");
     let (first, second) = (world.wait(first), world.wait(second));
     assert_eq!(body(&first), body(&second));
     let third = world.call("e1", hold(&name));
@@ -191,7 +191,10 @@
     let (mut world, name) = with_owner();
     let first = world.call("e0", hold(&name));
     world.wait(first);
-    let other = world.call("e2", keyed(KEY, post(&name, "/hold", "seat 8")));
+    let other = world.call(
+        "e2",
+        with_idempotency_key(KEY, post(&name, "/hold", "seat 8")),
+    );
     assert_eq!(world.wait(other).code(), "key_reused");
     assert_eq!(world.runs(), ["/hold seat 7"]);
 }
@@ -228,7 +231,7 @@
         single_call: true,
         ..hold("key-of-this-call")(id)
     };
-    let id = world.call("e0", within_ms(1_000, single));
+    let id = world.call("e0", with_deadline_ms(1_000, single));
     let refused = world.wait(id);
     assert!(["log_unavailable", "owner_unknown"].contains(&refused.code()));
     world.log.mode = LogMode::Up;
@@ -244,35 +247,38 @@
 #[test]
 fn a_call_refused_at_the_gate_is_tried_elsewhere() {
     let mut world = World::new(2, 1, 2);
-    let name = world.program_of("e1", "p");
+    let name = world.program_owned_by("e1", "p");
     let id = world.call("e0", post(&name, "/check", "free?"));
     world.wait(id);
     world.run_ms(50);
     for b in ["b0", "b1"] {
         world.backend(b).runs.clear();
     }
-    let first = world.call("e0", keyed("order-0", post(&name, "/hold", "seat 6")));
+    let first = world.call(
+        "e0",
+        with_idempotency_key("order-0", post(&name, "/hold", "seat 6")),
+    );
     world.wait(first);
     assert_eq!(world.backend("b0").runs.len(), 1, "the first choice is b0");
     world.backend("b0").runs.clear();
-    world.sidecar_input("b0", clementinepick::sidecar::SidecarInput::Shutdown);
+    world.send_sidecar_input("b0", clementinepick::sidecar::SidecarInput::Shutdown);
     let id = world.call("e0", hold(&name));
     let answer = world.wait(id);
     assert_eq!(answer.code(), "done", "{:?}", answer.failed);
     assert_eq!(world.backend("b1").runs, ["/hold seat 7"]);
     assert_eq!(world.runs(), ["/hold seat 7"]);
-    assert_eq!(world.count(started), 3);
+    assert_eq!(world.count_records(started), 3);
 }
 
 // The caller is refused at its deadline, as not run, and told when to come back; the call never
 // runs, also when the log is back and the append that was on its way takes effect after all.
 #[test]
 fn log_down_until_the_deadline() {
-    for mode in [LogMode::Down, LogMode::AnswersLost, LogMode::AppendsLost] {
+    for mode in [LogMode::Down, LogMode::ResponsesLost, LogMode::AppendsLost] {
         let (mut world, name) = with_owner();
         world.log.mode = mode;
         world.log.reads_down = true;
-        let id = world.call("e0", within_ms(1_000, hold(&name)));
+        let id = world.call("e0", with_deadline_ms(1_000, hold(&name)));
         let answer = world.wait(id);
         assert_eq!(answer.code(), "log_unavailable", "{mode:?}");
         assert!(answer.failed.expect("failed").retry_after_s().is_some());
@@ -332,11 +338,14 @@
 fn the_answer_of_each_kind_of_append_is_lost() {
     for lost_from in 0..12 {
         let mut world = World::new(2, 1, 1);
-        let name = world.program_of("e1", "p");
+        let name = world.program_owned_by("e1", "p");
         let ids = [
-            world.call("e0", at(0, common::chat(&name, &["hi"]))),
-            world.call("e0", at(1, hold(&name))),
-            world.call("e0", at(2, common::chat(&name, &["hi", "re: hi", "next"]))),
+            world.call("e0", with_seq(0, common::chat(&name, &["hi"]))),
+            world.call("e0", with_seq(1, hold(&name))),
+            world.call(
+                "e0",
+                with_seq(2, common::chat(&name, &["hi", "re: hi", "next"])),
+            ),
         ];
         let end_us = world.now_us + 20_000_000;
         let mut lost = false;
@@ -344,14 +353,14 @@
             let losing = world.log.appends == lost_from;
             lost |= losing;
             world.log.mode = if losing {
-                LogMode::AnswersLost
+                LogMode::ResponsesLost
             } else {
                 LogMode::Up
             };
             world.run_ms(1);
         }
         world.log.mode = LogMode::Up;
-        world.end("e0", &name, clementinepick::record::EndReason::Caller);
+        world.end_program("e0", &name, clementinepick::record::EndReason::Caller);
         world.run_ms(2_000);
         for id in ids {
             assert_eq!(world.answer(id).code(), "done", "append {lost_from}");
@@ -360,13 +369,13 @@
         let runs = world.runs();
         let holds = runs.iter().filter(|run| run.starts_with("/hold")).count();
         assert_eq!(holds, 1, "append {lost_from}");
-        assert_eq!(world.count(started), 1);
+        assert_eq!(world.count_records(started), 1);
         assert_eq!(
-            world.count(|e| matches!(e, PartitionRecord::TurnAdded { .. })),
+            world.count_records(|e| matches!(e, PartitionRecord::TurnAdded { .. })),
             2
         );
         assert_eq!(
-            world.count(|e| matches!(e, PartitionRecord::ProgramEnded { .. })),
+            world.count_records(|e| matches!(e, PartitionRecord::ProgramEnded { .. })),
             1
         );
     }
@@ -399,9 +408,9 @@
     world.run_until(1_000, "the run", |w| !w.runs().is_empty());
     world.log.mode = LogMode::Down;
     world.run_ms(250);
-    world.cut("e0", "e1");
+    world.cut_link("e0", "e1");
     world.run_ms(150);
-    world.mend("e0", "e1");
+    world.restore_link("e0", "e1");
     let answer = world.wait(id);
     assert_eq!(answer.code(), "done", "{:?}", answer.failed);
     assert_eq!(body(&answer), "/hold run 1");
--- a/clementinepick/tests/common/mod.rs
+++ b/clementinepick/tests/common/mod.rs
@@ -35,10 +35,10 @@
 const LINK_US: u64 = 1_000;
 const RECONNECT_US: u64 = 100_000;
 
-pub const ENGINES: &str = "[service]\nname = llm\nkind = engine\n[class c]\nrank = 1\n\
+pub const ENGINE_DOCUMENT: &str = "[service]\nname = llm\nkind = engine\n[class c]\nrank = 1\n\
     deadline = 20 s\nmax_output = 100\n[program]\nbudget_tokens = 16000\nbudget_calls = 160\n\
     gap = 2 s\nidle = 1200 s\n";
-pub const PLAIN: &str = "[service]\nname = book\nkind = plain\n[class c]\nrank = 1\n\
+pub const PLAIN_DOCUMENT: &str = "[service]\nname = book\nkind = plain\n[class c]\nrank = 1\n\
     deadline = 20 s\n[program]\nbudget_calls = 50\n[route POST /]\nidempotent = no\n[route POST /check]\nidempotent = yes\n";
 
 /// What the log does with appends.
@@ -47,7 +47,7 @@
     Up,
     Down,
     /// Appends take effect and their answers are lost.
-    AnswersLost,
+    ResponsesLost,
     /// Neither appends nor their answers come through, and the writer can't tell.
     AppendsLost,
 }
@@ -62,13 +62,13 @@
     pub appends: u64,
     pub appended_records: u64,
     /// Processes that can't reach the log.
-    pub cut_off: BTreeSet<VmId>,
+    pub isolated_vms: BTreeSet<VmId>,
 }
 
 /// What a backend server does with what it is given.
 #[derive(Debug, Clone)]
 pub struct Backend {
-    /// The time from start to answer; `None` holds every call until [`World::answer_held`].
+    /// The time from start to answer; `None` holds every call until [`World::complete_held_calls`].
     pub delay_us: Option<u64>,
     /// The tokens that a turn generates, whatever was asked for.
     pub tokens: Option<u64>,
@@ -81,9 +81,9 @@
     /// Programs that hold cache.
     pub cached: BTreeSet<ProgramId>,
     /// Prefixes in the cache that no sidecar was told of.
-    pub untold: BTreeSet<ChainHash>,
+    pub unreported: BTreeSet<ChainHash>,
     /// Whether releases are answered.
-    pub releases: bool,
+    pub confirms_releases: bool,
     /// What the engine serves, where it takes orders.
     pub engine: Option<EngineState>,
     /// The time that an order takes.
@@ -156,11 +156,11 @@
     pub answers: BTreeMap<RequestId, Answer>,
     pub events: Vec<(u64, VmId, EventKind)>,
     pub safeguards: Safeguards,
-    pub tune: fn(&mut EntrySettings),
+    pub configure_entry: fn(&mut EntrySettings),
     /// Drops matching messages instead of delivering them.
-    pub lose: fn(&Message) -> bool,
+    pub should_drop: fn(&Message) -> bool,
     /// Drops everything from the first to the second, while their link stays up.
-    pub deaf: BTreeSet<(VmId, VmId)>,
+    pub blackholed: BTreeSet<(VmId, VmId)>,
     /// The bytes and messages that each process has sent over its links.
     pub sent_bytes: BTreeMap<VmId, (u64, u64)>,
 }
@@ -176,20 +176,25 @@
 impl World {
     /// Entries `e0`.. and sidecars: `g0`.. of engines, `b0`.. of the plain service.
     pub fn new(entries: usize, engines: usize, plain: usize) -> Self {
-        Self::with(entries, engines, plain, Safeguards::default(), |_| {})
+        Self::with_settings(entries, engines, plain, Safeguards::default(), |_| {})
     }
 
-    pub fn without(safeguard: &str, entries: usize, engines: usize, plain: usize) -> Self {
+    pub fn without_safeguard(
+        safeguard: &str,
+        entries: usize,
+        engines: usize,
+        plain: usize,
+    ) -> Self {
         let safeguards = Safeguards::without(safeguard).expect("a safeguard");
-        Self::with(entries, engines, plain, safeguards, |_| {})
+        Self::with_settings(entries, engines, plain, safeguards, |_| {})
     }
 
-    pub fn with(
+    pub fn with_settings(
         entries: usize,
         engines: usize,
         plain: usize,
         safeguards: Safeguards,
-        tune: fn(&mut EntrySettings),
+        configure_entry: fn(&mut EntrySettings),
     ) -> Self {
         let mut world = Self {
             now_us: 1_000_000,
@@ -211,18 +216,18 @@
                 append_us: 5_000,
                 appends: 0,
                 appended_records: 0,
-                cut_off: BTreeSet::new(),
+                isolated_vms: BTreeSet::new(),
             },
             backends: BTreeMap::new(),
             answers: BTreeMap::new(),
             events: Vec::new(),
             safeguards,
-            tune,
-            lose: |_| false,
-            deaf: BTreeSet::new(),
+            configure_entry,
+            should_drop: |_| false,
+            blackholed: BTreeSet::new(),
             sent_bytes: BTreeMap::new(),
         };
-        for (operation, text) in [(1, ENGINES), (2, PLAIN)] {
+        for (operation, text) in [(1, ENGINE_DOCUMENT), (2, PLAIN_DOCUMENT)] {
             world.publish(operation, 0, text);
         }
         let names = (0..engines).map(|n| format!("g{n}"));
@@ -264,7 +269,7 @@
             settings.partition_count = 8;
             settings.startup_claim_delay_us = SpanUs::from_s(3_600);
             settings.safeguards = self.safeguards.clone();
-            (self.tune)(&mut settings);
+            (self.configure_entry)(&mut settings);
             Process::Entry(Box::new(Entry::new(settings)))
         } else {
             let service = if name.starts_with('g') { "llm" } else { "book" };
@@ -278,8 +283,8 @@
                 runs: Vec::new(),
                 held: Vec::new(),
                 cached: BTreeSet::new(),
-                untold: BTreeSet::new(),
-                releases: true,
+                unreported: BTreeSet::new(),
+                confirms_releases: true,
                 engine: None,
                 order_us: 2_000_000,
                 orders: Vec::new(),
@@ -296,7 +301,7 @@
         };
         self.hosts.insert(id.clone(), host);
         if name.starts_with('g') {
-            self.tell_engine(&id, LINK_US);
+            self.send_engine_state(&id, LINK_US);
         }
         self.connect_all(&id);
     }
@@ -380,14 +385,14 @@
         }
     }
 
-    /// Cuts the link between two processes until [`World::mend`].
-    pub fn cut(&mut self, a: &str, b: &str) {
+    /// Cuts the link between two processes until [`World::restore_link`].
+    pub fn cut_link(&mut self, a: &str, b: &str) {
         let (a, b) = (vm(a), vm(b));
         self.cut.insert(order(&a, &b));
         self.disconnect(&a, &b);
     }
 
-    pub fn mend(&mut self, a: &str, b: &str) {
+    pub fn restore_link(&mut self, a: &str, b: &str) {
         let (a, b) = (vm(a), vm(b));
         self.cut.remove(&order(&a, &b));
         self.connect(&a, &b);
@@ -477,14 +482,14 @@
     }
 
     fn send(&mut self, from: &VmId, to: &VmId, message: &Message) {
-        if !self.links.contains(&order(from, to)) || (self.lose)(message) {
+        if !self.links.contains(&order(from, to)) || (self.should_drop)(message) {
             return;
         }
         let mut bytes = Vec::new();
         ciborium::into_writer(message, &mut bytes).expect("encodable");
         let sent = self.sent_bytes.entry(from.clone()).or_default();
         *sent = (sent.0 + bytes.len() as u64, sent.1 + 1);
-        if self.deaf.contains(&(from.clone(), to.clone())) {
+        if self.blackholed.contains(&(from.clone(), to.clone())) {
             return;
         }
         let message: Message = ciborium::from_reader(&bytes[..]).expect("decodable");
@@ -534,7 +539,7 @@
     }
 
     fn on_log(&mut self, id: &VmId, action: JournalAction) {
-        let cut_off = self.log.cut_off.contains(id);
+        let cut_off = self.log.isolated_vms.contains(id);
         match action {
             JournalAction::Append {
                 stream,
@@ -549,7 +554,7 @@
                 };
                 let stored = self.log.records.get_mut(&stream).expect("a stream");
                 let first = stored.len() as u64;
-                if matches!(mode, LogMode::Up | LogMode::AnswersLost) {
+                if matches!(mode, LogMode::Up | LogMode::ResponsesLost) {
                     self.log.appended_records += records.len() as u64;
                     stored.extend(
                         records
@@ -560,7 +565,7 @@
                 let outcome = match mode {
                     LogMode::Up => AppendOutcome::Appended(Offset(first)),
                     LogMode::Down => AppendOutcome::Refused,
-                    LogMode::AnswersLost | LogMode::AppendsLost => AppendOutcome::Unknown,
+                    LogMode::ResponsesLost | LogMode::AppendsLost => AppendOutcome::Unknown,
                 };
                 let input = EntryInput::LogAppended {
                     stream,
@@ -608,8 +613,8 @@
             }
             SidecarAction::Release { program, .. } => {
                 let backend = self.backends.get_mut(id).expect("a backend");
-                let freed_tokens = backend.releases.then_some(Tokens(1));
-                if backend.releases {
+                let freed_tokens = backend.confirms_releases.then_some(Tokens(1));
+                if backend.confirms_releases {
                     backend.cached.remove(&program);
                 }
                 let input = SidecarInput::Released {
@@ -622,25 +627,25 @@
             SidecarAction::Order { order, .. } => self.start_order(id, &order),
             SidecarAction::Retain { chains } => {
                 let backend = self.backends.get_mut(id).expect("a backend");
-                backend.untold.retain(|chain| chains.contains(chain));
+                backend.unreported.retain(|chain| chains.contains(chain));
             }
             SidecarAction::Cancel(_) | SidecarAction::Finished => {}
         }
     }
 
     /// Makes engines take orders, with what they serve at first.
-    pub fn take_orders(&mut self, state: &EngineState) {
+    pub fn enable_engine_orders(&mut self, state: &EngineState) {
         let ids: Vec<VmId> = self.backends.keys().cloned().collect();
         for id in ids {
             if id.as_str().starts_with('g') {
                 self.backends.get_mut(&id).expect("a backend").engine = Some(state.clone());
-                self.tell_engine(&id, 0);
+                self.send_engine_state(&id, 0);
             }
         }
     }
 
     /// Lets the sidecar read the engine's state.
-    pub fn tell_engine(&mut self, id: &VmId, delay_us: u64) {
+    pub fn send_engine_state(&mut self, id: &VmId, delay_us: u64) {
         if let Some(state) = self.backends[id].engine.clone() {
             self.push(delay_us, id, Input::Sidecar(SidecarInput::Engine(state)));
         }
@@ -656,7 +661,7 @@
         };
         backend.orders.push(body.order.clone());
         state.busy = Some(body.id);
-        self.tell_engine(id, 1_000);
+        self.send_engine_state(id, 1_000);
         let state = self.backends.get_mut(id).and_then(|b| b.engine.as_mut());
         let state = state.expect("it takes orders");
         state.busy = None;
@@ -675,7 +680,7 @@
             EngineOrder::SetRole { role } => state.role = role,
         }
         let order_us = self.backends[id].order_us;
-        self.tell_engine(id, order_us);
+        self.send_engine_state(id, order_us);
     }
 
     fn start_work(&mut self, id: &VmId, started: Started) {
@@ -772,7 +777,7 @@
     }
 
     /// Lets a backend answer what it holds.
-    pub fn answer_held(&mut self, name: &str) {
+    pub fn complete_held_calls(&mut self, name: &str) {
         let id = vm(name);
         let held = std::mem::take(&mut self.backends.get_mut(&id).expect("a backend").held);
         for started in held {
@@ -812,21 +817,21 @@
             position,
         };
         self.answers.entry(id).or_default().from = position;
-        self.input(entry, EntryInput::Fetch(Box::new(fetch)));
+        self.send_input(entry, EntryInput::Fetch(Box::new(fetch)));
         id
     }
 
-    pub fn input(&mut self, entry: &str, input: EntryInput) {
+    pub fn send_input(&mut self, entry: &str, input: EntryInput) {
         self.push(0, &vm(entry), Input::Entry(input));
     }
 
-    pub fn sidecar_input(&mut self, name: &str, input: SidecarInput) {
+    pub fn send_sidecar_input(&mut self, name: &str, input: SidecarInput) {
         self.push(0, &vm(name), Input::Sidecar(input));
     }
 
-    pub fn end(&mut self, entry: &str, name: &str, reason: EndReason) {
+    pub fn end_program(&mut self, entry: &str, name: &str, reason: EndReason) {
         let program = program(name);
-        self.input(entry, EntryInput::EndProgram { program, reason });
+        self.send_input(entry, EntryInput::EndProgram { program, reason });
     }
 
     pub fn answer(&self, id: RequestId) -> Answer {
@@ -873,7 +878,7 @@
     }
 
     /// A program name whose partition `entry` would claim, and one that is not `taken`.
-    pub fn program_of(&mut self, entry: &str, prefix: &str) -> String {
+    pub fn program_owned_by(&mut self, entry: &str, prefix: &str) -> String {
         let entries: Vec<VmId> = self
             .hosts
             .keys()
@@ -901,7 +906,7 @@
     }
 
     /// The count of owners' records in force that `wanted` picks.
-    pub fn count(&self, wanted: impl Fn(&PartitionRecord) -> bool) -> usize {
+    pub fn count_records(&self, wanted: impl Fn(&PartitionRecord) -> bool) -> usize {
         let mut partitions = Partitions::default();
         let mut seen = BTreeSet::new();
         self.records()
@@ -919,7 +924,7 @@
             .count()
     }
 
-    pub fn saw(&self, kind: EventKind) -> bool {
+    pub fn has_event(&self, kind: EventKind) -> bool {
         self.events.iter().any(|(_, _, seen)| *seen == kind)
     }
 }
@@ -987,7 +992,10 @@
 }
 
 /// The same request under a place in its program.
-pub fn at(seq: u64, make: impl FnOnce(RequestId) -> Request) -> impl FnOnce(RequestId) -> Request {
+pub fn with_seq(
+    seq: u64,
+    make: impl FnOnce(RequestId) -> Request,
+) -> impl FnOnce(RequestId) -> Request {
     move |id| Request {
         seq: Some(CallSeq(seq)),
         ..make(id)
@@ -995,7 +1003,7 @@
 }
 
 /// The same request under an idempotency key.
-pub fn keyed(
+pub fn with_idempotency_key(
     key: &str,
     make: impl FnOnce(RequestId) -> Request,
 ) -> impl FnOnce(RequestId) -> Request {
@@ -1007,7 +1015,7 @@
 }
 
 /// The same request with a deadline.
-pub fn within_ms(
+pub fn with_deadline_ms(
     ms: u64,
     make: impl FnOnce(RequestId) -> Request,
 ) -> impl FnOnce(RequestId) -> Request {
@@ -1018,7 +1026,7 @@
 }
 
 /// The same request as a sub-agent's of `parent`.
-pub fn child_of(
+pub fn with_parent(
     parent: &str,
     make: impl FnOnce(RequestId) -> Request,
 ) -> impl FnOnce(RequestId) -> Request {
--- a/clementinepick/tests/control_traffic.rs
+++ b/clementinepick/tests/control_traffic.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{ENGINES, World};
+use common::{ENGINE_DOCUMENT, World};
 
 /// How long the idle deployment is watched.
 const WATCH_S: u64 = 20;
@@ -60,7 +60,7 @@
 
     world.sent_bytes.clear();
     let started_us = world.now_us;
-    world.publish(10, 1, &format!("{ENGINES}[class d]\nrank = 2\n"));
+    world.publish(10, 1, &format!("{ENGINE_DOCUMENT}[class d]\nrank = 2\n"));
     let names = names(entries, engines);
     world.run_until(10_000, "in force everywhere", |world| {
         names.iter().all(|name| revision(world, name) == 2)
--- a/clementinepick/tests/history.rs
+++ b/clementinepick/tests/history.rs
@@ -7,10 +7,10 @@
 use clementinepick::ids::RequestId;
 use clementinepick::prompt::ChainHash;
 use clementinepick::record::PartitionRecord;
-use common::{Answer, LogMode, World, at, chat, keyed, program};
+use common::{Answer, LogMode, World, chat, program, with_idempotency_key, with_seq};
 
 fn turns(world: &World) -> usize {
-    world.count(|entry| matches!(entry, PartitionRecord::TurnAdded { .. }))
+    world.count_records(|entry| matches!(entry, PartitionRecord::TurnAdded { .. }))
 }
 
 fn turn_state(answer: &Answer) -> TurnState {
@@ -63,7 +63,7 @@
 #[test]
 fn a_pending_turn_outlives_its_owner_at_the_sidecar() {
     let mut world = World::new(3, 1, 1);
-    let name = world.program_of("e1", "p");
+    let name = world.program_owned_by("e1", "p");
     let first = world.call("e0", chat(&name, &["a"]));
     world.wait(first);
     world.log.mode = LogMode::Down;
@@ -86,7 +86,7 @@
 #[test]
 fn an_owner_that_may_lack_turns_asks_for_them() {
     let mut world = World::new(3, 1, 1);
-    let name = world.program_of("e1", "p");
+    let name = world.program_owned_by("e1", "p");
     let first = world.call("e0", chat(&name, &["a"]));
     world.wait(first);
     world.log.mode = LogMode::Down;
@@ -147,11 +147,11 @@
 fn a_cut_stream_is_resumed_from_its_position() {
     let mut world = World::new(2, 1, 1);
     world.backend("g0").delay_us = Some(400_000);
-    let id = world.call("e0", at(0, chat("p", &["tell"])));
+    let id = world.call("e0", with_seq(0, chat("p", &["tell"])));
     world.run_ms(300);
     let got = world.answer(id).text;
     assert!(!got.is_empty());
-    world.input("e0", EntryInput::CallerGone(id));
+    world.send_input("e0", EntryInput::CallerGone(id));
     world.answers.remove(&id);
     let position = got.chars().count() as u64;
     let fetch = world.fetch("e1", "p", 0, 0);
@@ -172,10 +172,13 @@
 #[test]
 fn a_repeated_turn_gets_the_first_answer() {
     let mut world = World::new(2, 1, 1);
-    let first = world.call("e0", at(0, keyed("k", chat("p", &["a"]))));
+    let first = world.call(
+        "e0",
+        with_seq(0, with_idempotency_key("k", chat("p", &["a"]))),
+    );
     let first = world.wait(first);
-    let by_key = world.call("e1", keyed("k", chat("p", &["a"])));
-    let by_place = world.call("e1", at(0, chat("p", &["a"])));
+    let by_key = world.call("e1", with_idempotency_key("k", chat("p", &["a"])));
+    let by_place = world.call("e1", with_seq(0, chat("p", &["a"])));
     for id in [by_key, by_place] {
         let answer = world.wait(id);
         assert_eq!((answer.code(), answer.text.as_str()), ("done", "re: a"));
@@ -200,13 +203,13 @@
 fn a_stream_that_nobody_resumes_is_stopped() {
     let mut world = World::new(2, 1, 1);
     world.backend("g0").delay_us = Some(15_000_000);
-    let id = world.call("e0", at(0, chat("p", &["tell"])));
+    let id = world.call("e0", with_seq(0, chat("p", &["tell"])));
     world.run_ms(300);
-    world.input("e0", EntryInput::CallerGone(id));
+    world.send_input("e0", EntryInput::CallerGone(id));
     world.run_ms(3_000);
     assert_eq!(world.dump("g0")["running"], 1);
     world.run_ms(3_000);
     assert_eq!(world.dump("g0")["running"], 0);
-    let again = world.call("e1", at(0, chat("p", &["tell"])));
+    let again = world.call("e1", with_seq(0, chat("p", &["tell"])));
     assert_eq!(world.wait(again).code(), "done");
 }
--- a/clementinepick/tests/log.rs
+++ b/clementinepick/tests/log.rs
@@ -11,7 +11,7 @@
 use clementinepick::record::{PartitionRecord, RecordBody};
 use clementinepick::safeguards::Safeguards;
 use clementinepick::units::SpanUs;
-use common::{LogMode, World, chat, keyed, post, vm, within_ms};
+use common::{LogMode, World, chat, post, vm, with_deadline_ms, with_idempotency_key};
 
 const TEN_MINUTES_MS: u64 = 600_000;
 
@@ -35,8 +35,8 @@
         let done = world.wait(id).done.expect("answered");
         assert_eq!(done.turn, TurnState::Pending);
     }
-    let hold = |name: &str| keyed("k", post(name, "/hold", "x"));
-    let id = world.call("e0", within_ms(5_000, hold("h")));
+    let hold = |name: &str| with_idempotency_key("k", post(name, "/hold", "x"));
+    let id = world.call("e0", with_deadline_ms(5_000, hold("h")));
     let answer = world.wait(id);
     assert!(["log_unavailable", "owner_unknown"].contains(&answer.code()));
     world.run_ms(TEN_MINUTES_MS / 2);
@@ -49,7 +49,7 @@
     world.run_ms(TEN_MINUTES_MS / 2);
     world.log.mode = LogMode::Up;
     world.run_ms(5_000);
-    let turns = world.count(|e| matches!(e, PartitionRecord::TurnAdded { .. }));
+    let turns = world.count_records(|e| matches!(e, PartitionRecord::TurnAdded { .. }));
     assert_eq!(turns, 12, "each turn is on record once");
     for name in &names {
         let id = world.call("e0", chat(name, &["a", "re: a", "b", "re: b", "c"]));
@@ -99,8 +99,8 @@
 // takes the snapshots, answers a repeat from them, and goes on with the history.
 #[test]
 fn an_entry_that_starts_after_the_retention_serves_from_snapshots() {
-    let mut world = World::with(2, 1, 1, Safeguards::default(), short_lived);
-    let hold = || keyed("k", post("p", "/hold", "x"));
+    let mut world = World::with_settings(2, 1, 1, Safeguards::default(), short_lived);
+    let hold = || with_idempotency_key("k", post("p", "/hold", "x"));
     let id = world.call("e0", hold());
     world.wait(id);
     let id = world.call("e0", chat("q", &["a"]));
@@ -112,7 +112,7 @@
     world.kill("e1");
     world.start("e2");
     world.run_ms(5_000);
-    assert!(world.saw(EventKind::RetentionPassed));
+    assert!(world.has_event(EventKind::RetentionPassed));
     let id = world.call("e2", hold());
     assert_eq!(world.wait(id).code(), "done");
     let id = world.call("e2", chat("q", &["a", "re: a", "b"]));
@@ -124,7 +124,7 @@
 // snapshot holds; the entry says so and does not serve, until the owners' next snapshots.
 #[test]
 fn a_reader_that_starts_too_late_says_so_and_does_not_serve() {
-    let mut world = World::with(1, 1, 1, Safeguards::default(), short_lived);
+    let mut world = World::with_settings(1, 1, 1, Safeguards::default(), short_lived);
     let id = world.call("e0", chat("q", &["a"]));
     world.wait(id);
     world.run_ms(1_500);
@@ -132,7 +132,7 @@
     world.log.earliest.insert(StreamName::Journal, end);
     world.start("e1");
     world.run_ms(500);
-    assert!(world.saw(EventKind::RetentionPassed));
+    assert!(world.has_event(EventKind::RetentionPassed));
     assert_eq!(world.dump("e1")["caught_up"], false);
     let id = world.call("e1", chat("q", &["a", "re: a", "b"]));
     assert_eq!(world.wait(id).code(), "not_ready");
@@ -146,7 +146,7 @@
 // from which the snapshots leave no hole.
 #[test]
 fn the_state_does_not_depend_on_where_a_reader_starts() {
-    let mut world = World::with(2, 1, 1, Safeguards::default(), short_lived);
+    let mut world = World::with_settings(2, 1, 1, Safeguards::default(), short_lived);
     for n in 0..8 {
         let id = world.call("e0", chat(&format!("p{n}"), &["a"]));
         world.wait(id);
@@ -196,12 +196,12 @@
 #[test]
 fn ended_programs_are_forgotten() {
     let tune = |settings: &mut EntrySettings| settings.ended_retention_us = SpanUs::from_s(5);
-    let mut world = World::with(1, 1, 1, Safeguards::default(), tune);
+    let mut world = World::with_settings(1, 1, 1, Safeguards::default(), tune);
     for n in 0..10 {
         let name = format!("p{n}");
         let id = world.call("e0", chat(&name, &["a"]));
         world.wait(id);
-        world.end("e0", &name, clementinepick::record::EndReason::Caller);
+        world.end_program("e0", &name, clementinepick::record::EndReason::Caller);
     }
     world.run_ms(10_000);
     let forgotten: usize = world
--- a/clementinepick/tests/measure.rs
+++ b/clementinepick/tests/measure.rs
@@ -30,7 +30,7 @@
     println!("append ms | idempotent ms | not idempotent ms | added ms");
     for append_ms in [2, 5, 10, 20, 50, 100] {
         let mut world = World::new(2, 1, 1);
-        let name = world.program_of("e0", "p");
+        let name = world.program_owned_by("e0", "p");
         world.log.append_us = append_ms * 1_000;
         mean_latency_us(&mut world, &name, "/check", 1);
         let plain_us = mean_latency_us(&mut world, &name, "/check", 10);
@@ -102,7 +102,7 @@
     println!("budget tokens | slice tokens | stranded tokens | of the budget");
     for budget in [2_000, 4_000, 8_000, 16_000] {
         let mut world = World::new(3, 1, 1);
-        let name = world.program_of("e1", "p");
+        let name = world.program_owned_by("e1", "p");
         let mut spent = 0;
         for crash_after in [3, 1_000] {
             for n in 0..crash_after {
@@ -165,7 +165,7 @@
         let mut worst_us = 0;
         for n in 0..5 {
             let mut world = World::new(3, 1, 1);
-            let name = world.program_of("e1", &format!("p{n}-"));
+            let name = world.program_owned_by("e1", &format!("p{n}-"));
             let id = world.call("e0", post(&name, "/check", "warm"));
             world.wait(id);
             world.run_ms(100 + 37 * n);
--- a/clementinepick/tests/operations.rs
+++ b/clementinepick/tests/operations.rs
@@ -10,7 +10,7 @@
 use clementinepick::platform::{EngineOrder, EngineRole, EngineState, StreamName};
 use clementinepick::safeguards::Safeguards;
 use clementinepick::units::SpanUs;
-use common::{ENGINES, World, at, chat, vm};
+use common::{ENGINE_DOCUMENT, World, chat, vm, with_seq};
 
 /// The revision of the engines' service at a process.
 fn revision(world: &World, name: &str) -> u64 {
@@ -28,8 +28,8 @@
 #[test]
 fn a_document_comes_to_entries_that_are_cut_off_from_the_log() {
     let mut world = World::new(3, 2, 0);
-    world.log.cut_off = [vm("e1"), vm("e2")].into();
-    world.publish(10, 1, &format!("{ENGINES}[class d]\nrank = 2\n"));
+    world.log.isolated_vms = [vm("e1"), vm("e2")].into();
+    world.publish(10, 1, &format!("{ENGINE_DOCUMENT}[class d]\nrank = 2\n"));
     world.run_until(3_000, "in force", |world| {
         everywhere(world, &["e0", "e1", "e2", "g0", "g1"], 2)
     });
@@ -40,7 +40,7 @@
 #[test]
 fn a_sidecar_that_starts_during_an_outage_gets_its_document() {
     let mut world = World::new(2, 2, 0);
-    world.publish(10, 1, &format!("{ENGINES}[class d]\nrank = 2\n"));
+    world.publish(10, 1, &format!("{ENGINE_DOCUMENT}[class d]\nrank = 2\n"));
     world.run_ms(1_000);
     world.log.mode = common::LogMode::Down;
     world.kill("g0");
@@ -52,10 +52,10 @@
 // carried the configuration forward; the late one comes to the same revision and serves.
 #[test]
 fn an_entry_that_starts_after_retention_comes_to_the_same_revision() {
-    let mut world = World::with(2, 2, 0, Safeguards::default(), |settings| {
+    let mut world = World::with_settings(2, 2, 0, Safeguards::default(), |settings| {
         settings.snapshot_us = SpanUs::from_s(20);
     });
-    world.publish(10, 1, &format!("{ENGINES}[class d]\nrank = 2\n"));
+    world.publish(10, 1, &format!("{ENGINE_DOCUMENT}[class d]\nrank = 2\n"));
     world.run_ms(60_000);
     let records = world.log.records[&StreamName::Config].len() as u64;
     assert!(
@@ -63,11 +63,11 @@
         "{records} records, of which 3 are documents"
     );
     world.log.earliest.insert(StreamName::Config, 3);
-    world.cut("e0", "e2");
-    world.cut("e1", "e2");
+    world.cut_link("e0", "e2");
+    world.cut_link("e1", "e2");
     world.start("e2");
     world.run_until(2_000, "read", |world| revision(world, "e2") == 2);
-    assert!(!world.saw(EventKind::RetentionPassed));
+    assert!(!world.has_event(EventKind::RetentionPassed));
 }
 
 // Without any snapshot the same start fails, and says so: serving by a part of the records would
@@ -76,12 +76,12 @@
 fn an_entry_that_lacks_records_says_that_it_cannot_start() {
     let mut world = World::new(2, 2, 0);
     world.log.earliest.insert(StreamName::Config, 2);
-    world.cut("e0", "e2");
-    world.cut("e1", "e2");
+    world.cut_link("e0", "e2");
+    world.cut_link("e1", "e2");
     world.start("e2");
     world.run_ms(2_000);
     assert_eq!(world.dump("e2")["caught_up"], false);
-    assert!(world.saw(EventKind::RetentionPassed));
+    assert!(world.has_event(EventKind::RetentionPassed));
 }
 
 // Call 1 of a program comes in under revision 1 and waits for call 0. Meanwhile revision 2 drops
@@ -99,17 +99,26 @@
         };
     let first = world.call(
         "e0",
-        classed("c", Box::new(at(1, chat("p", &["hi", "re: hi", "ho"])))),
+        classed(
+            "c",
+            Box::new(with_seq(1, chat("p", &["hi", "re: hi", "ho"]))),
+        ),
     );
     world.run_ms(200);
-    world.publish(10, 1, &ENGINES.replace("[class c]", "[class d]"));
+    world.publish(10, 1, &ENGINE_DOCUMENT.replace("[class c]", "[class d]"));
     world.run_until(2_000, "in force", |world| {
         everywhere(world, &["e0", "e1", "g0"], 2)
     });
-    let second = world.call("e1", classed("d", Box::new(at(0, chat("p", &["hi"])))));
+    let second = world.call(
+        "e1",
+        classed("d", Box::new(with_seq(0, chat("p", &["hi"])))),
+    );
     assert_eq!(world.wait(second).code(), "done");
     assert_eq!(world.wait(first).code(), "done");
-    let refused = world.call("e0", classed("c", Box::new(at(2, chat("p", &["hi"])))));
+    let refused = world.call(
+        "e0",
+        classed("c", Box::new(with_seq(2, chat("p", &["hi"])))),
+    );
     assert_eq!(world.wait(refused).code(), "unknown_class");
 }
 
@@ -119,7 +128,7 @@
 fn a_class_may_be_used_as_soon_as_an_entry_knows_it() {
     for entry in ["e0", "e1", "e2", "e3"] {
         let mut world = World::new(4, 1, 0);
-        world.publish(10, 1, &format!("{ENGINES}[class d]\nrank = 2\n"));
+        world.publish(10, 1, &format!("{ENGINE_DOCUMENT}[class d]\nrank = 2\n"));
         world.run_until(2_000, "in force", |world| revision(world, entry) == 2);
         let id = world.call(entry, |id| clementinepick::call::Request {
             class: Some("d".parse().expect("a name")),
@@ -134,18 +143,18 @@
 #[test]
 fn a_call_takes_its_document_along_to_the_owner() {
     let mut world = World::new(2, 1, 0);
-    world.log.cut_off = [vm("e1")].into();
-    world.publish(10, 1, &format!("{ENGINES}[class d]\nrank = 2\n"));
+    world.log.isolated_vms = [vm("e1")].into();
+    world.publish(10, 1, &format!("{ENGINE_DOCUMENT}[class d]\nrank = 2\n"));
     world.run_until(2_000, "in force", |world| revision(world, "e0") == 2);
     assert_eq!(revision(&world, "e1"), 1);
-    let name = world.program_of("e1", "p");
+    let name = world.program_owned_by("e1", "p");
     let id = world.call("e0", |id| clementinepick::call::Request {
         class: Some("d".parse().expect("a name")),
         ..chat(&name, &["hi"])(id)
     });
     world.run_ms(100);
     assert_eq!(revision(&world, "e1"), 2);
-    world.log.cut_off.clear();
+    world.log.isolated_vms.clear();
     assert_eq!(world.wait(id).code(), "done");
 }
 
@@ -154,7 +163,7 @@
 #[test]
 fn calls_leave_a_sidecar_that_hears_nothing() {
     let mut world = World::new(1, 2, 0);
-    world.deaf.insert((vm("e0"), vm("g0")));
+    world.blackholed.insert((vm("e0"), vm("g0")));
     let ids: Vec<_> = (0..6)
         .map(|n| world.call("e0", chat(&format!("p{n}"), &["hi"])))
         .collect();
@@ -164,13 +173,13 @@
     for id in ids {
         assert_eq!(world.answer(id).code(), "done");
     }
-    assert!(world.saw(EventKind::PeerDeaf));
+    assert!(world.has_event(EventKind::PeerDeaf));
     assert!(world.backends[&vm("g0")].runs.is_empty());
 }
 
 fn placed(version: &str) -> String {
     format!(
-        "{ENGINES}[model m]\nversion = {version}\n[placement]\nload_interval = 500 ms\n\
+        "{ENGINE_DOCUMENT}[model m]\nversion = {version}\n[placement]\nload_interval = 500 ms\n\
          max_loading = 2\nmin_serving = 50%\nretry_after = 1 s\n"
     )
 }
@@ -212,7 +221,7 @@
     for backend in world.backends.values_mut() {
         backend.delay_us = Some(400_000);
     }
-    world.take_orders(&serving("v1"));
+    world.enable_engine_orders(&serving("v1"));
     world.publish(10, 1, &placed("v2"));
     let mut ids = Vec::new();
     for n in 0..300 {
@@ -239,7 +248,7 @@
     let mut state = serving("v1");
     let old = "old".parse().expect("a name");
     state.models.insert(old, "v1".parse().expect("a name"));
-    world.take_orders(&state);
+    world.enable_engine_orders(&state);
     world.publish(10, 1, &placed("v1"));
     let mut ids = Vec::new();
     for n in 0..200 {
@@ -258,7 +267,7 @@
 #[test]
 fn the_next_decider_finishes_what_a_dead_one_began() {
     let mut world = World::new(2, 4, 0);
-    world.take_orders(&serving("v1"));
+    world.enable_engine_orders(&serving("v1"));
     world.publish(10, 1, &placed("v2"));
     world.run_until(10_000, "first orders", |world| loads(world) >= 1);
     let first = decider(&world, &["e0", "e1"]).expect("one decides");
@@ -276,7 +285,7 @@
 #[test]
 fn a_paused_decider_changes_nothing_when_it_wakes() {
     let mut world = World::new(2, 4, 0);
-    world.take_orders(&serving("v1"));
+    world.enable_engine_orders(&serving("v1"));
     world.publish(10, 1, &placed("v2"));
     world.run_until(10_000, "first orders", |world| loads(world) >= 1);
     let first = decider(&world, &["e0", "e1"]).expect("one decides");
@@ -299,8 +308,8 @@
 #[test]
 fn entries_that_cannot_see_each_other_do_not_depose_each_other_all_the_time() {
     let mut world = World::new(2, 4, 0);
-    world.take_orders(&serving("v1"));
-    world.cut("e0", "e1");
+    world.enable_engine_orders(&serving("v1"));
+    world.cut_link("e0", "e1");
     world.run_ms(4_000);
     world.publish(10, 1, &placed("v2"));
     world.run_ms(120_000);
@@ -318,7 +327,7 @@
 #[test]
 fn a_restarted_sidecar_takes_orders_again() {
     let mut world = World::new(2, 2, 0);
-    world.take_orders(&serving("v1"));
+    world.enable_engine_orders(&serving("v1"));
     world.publish(10, 1, &placed("v1"));
     world.run_ms(5_000);
     world.kill("g0");
@@ -334,7 +343,7 @@
 #[test]
 fn no_orders_are_given_while_the_log_is_out() {
     let mut world = World::new(2, 4, 0);
-    world.take_orders(&serving("v1"));
+    world.enable_engine_orders(&serving("v1"));
     world.publish(10, 1, &placed("v2"));
     world.run_until(10_000, "first orders", |world| loads(world) >= 1);
     world.log.mode = common::LogMode::Down;
@@ -353,7 +362,7 @@
 #[test]
 fn a_late_document_does_not_revert_an_entry() {
     let mut world = World::new(2, 1, 0);
-    world.publish(10, 1, &format!("{ENGINES}[class d]\nrank = 2\n"));
+    world.publish(10, 1, &format!("{ENGINE_DOCUMENT}[class d]\nrank = 2\n"));
     world.run_until(2_000, "in force", |world| {
         everywhere(world, &["e0", "e1", "g0"], 2)
     });
@@ -362,12 +371,12 @@
         revision: Revision(1),
         operation: clementinepick::ids::OperationId(1),
         author: vm("operator"),
-        text: ENGINES.to_owned(),
+        text: ENGINE_DOCUMENT.to_owned(),
     };
     for name in ["e0", "e1"] {
         let message = Message::Documents(vec![old.clone()]);
         let from = vm(if name == "e0" { "e1" } else { "e0" });
-        world.input(
+        world.send_input(
             name,
             clementinepick::entry::EntryInput::Link { from, message },
         );
--- a/clementinepick/tests/ownership.rs
+++ b/clementinepick/tests/ownership.rs
@@ -6,7 +6,7 @@
 use clementinepick::event::EventKind;
 use clementinepick::message::Message;
 use clementinepick::record::{PartitionRecord, RecordBody};
-use common::{LogMode, World, at, chat, post, program, vm};
+use common::{LogMode, World, chat, post, program, vm, with_seq};
 
 fn claims(world: &World) -> usize {
     let records = world.records();
@@ -17,7 +17,7 @@
 }
 
 fn owned_by(world: &mut World, entry: &str) -> String {
-    let name = world.program_of(entry, "p");
+    let name = world.program_owned_by(entry, "p");
     let id = world.call("e0", chat(&name, &["hi"]));
     assert_eq!(world.wait(id).code(), "done");
     assert_eq!(world.owner_of(&name).as_deref(), Some(entry));
@@ -43,13 +43,13 @@
 #[test]
 fn two_entries_claim_at_once() {
     let mut world = World::new(2, 1, 1);
-    world.cut("e0", "e1");
+    world.cut_link("e0", "e1");
     world.run_ms(50);
-    let first = world.call("e0", at(0, post("p", "/hold", "one")));
-    let second = world.call("e1", at(1, post("p", "/hold", "two")));
+    let first = world.call("e0", with_seq(0, post("p", "/hold", "one")));
+    let second = world.call("e1", with_seq(1, post("p", "/hold", "two")));
     world.run_ms(500);
     assert_eq!(claims(&world), 2);
-    world.mend("e0", "e1");
+    world.restore_link("e0", "e1");
     assert_eq!(world.wait(first).code(), "done");
     assert_eq!(world.wait(second).code(), "done");
     assert_eq!(world.runs(), ["/hold one", "/hold two"]);
@@ -74,7 +74,7 @@
     );
     let answer = world.wait(late);
     assert_eq!((answer.code(), answer.text.as_str()), ("done", "re: last"));
-    let turns = world.count(|e| matches!(e, PartitionRecord::TurnAdded { .. }));
+    let turns = world.count_records(|e| matches!(e, PartitionRecord::TurnAdded { .. }));
     assert_eq!(turns, 3);
     assert_eq!(world.runs(), ["hi", "more", "last"]);
 }
@@ -128,11 +128,11 @@
     let name = owned_by(&mut world, "e1");
     let before = claims(&world);
     for _ in 0..5 {
-        world.cut("e0", "e1");
-        world.cut("e2", "e1");
+        world.cut_link("e0", "e1");
+        world.cut_link("e2", "e1");
         world.run_ms(400);
-        world.mend("e0", "e1");
-        world.mend("e2", "e1");
+        world.restore_link("e0", "e1");
+        world.restore_link("e2", "e1");
         world.run_ms(600);
     }
     assert_eq!(claims(&world), before);
@@ -146,7 +146,7 @@
     let mut world = World::new(2, 1, 1);
     let name = owned_by(&mut world, "e1");
     let before = claims(&world);
-    world.cut("e0", "e1");
+    world.cut_link("e0", "e1");
     world.run_ms(60_000);
     let changes = claims(&world) - before;
     assert!((1..=12).contains(&changes), "{changes} claims in a minute");
@@ -162,14 +162,14 @@
     world.backend("g0").delay_us = Some(1_000_000);
     let running = world.call("e1", chat(&name, &["hi", "re: hi", "more"]));
     world.run_ms(100);
-    world.input("e1", EntryInput::Shutdown);
+    world.send_input("e1", EntryInput::Shutdown);
     world.run_ms(100);
-    let other = world.program_of("e1", "q");
+    let other = world.program_owned_by("e1", "q");
     let queued = world.call("e0", chat(&other, &["new"]));
     assert_eq!(world.wait(running).code(), "done");
     assert_eq!(world.wait(queued).code(), "done");
     world.run_until(5_000, "its end", |w| !w.is_alive("e1"));
-    assert!(world.count(|e| *e == PartitionRecord::Yielded) >= 1);
+    assert!(world.count_records(|e| *e == PartitionRecord::Yielded) >= 1);
     let next = world.call(
         "e2",
         chat(&name, &["hi", "re: hi", "more", "re: more", "on"]),
@@ -192,9 +192,15 @@
     let name = owned_by(&mut world, "e1");
     world.log.mode = LogMode::Down;
     world.kill("e1");
-    let passed_on = world.call("e0", common::within_ms(3_000, post(&name, "/hold", "w")));
+    let passed_on = world.call(
+        "e0",
+        common::with_deadline_ms(3_000, post(&name, "/hold", "w")),
+    );
     world.run_ms(10);
-    let late = world.call("e0", common::within_ms(3_000, post(&name, "/hold", "x")));
+    let late = world.call(
+        "e0",
+        common::with_deadline_ms(3_000, post(&name, "/hold", "x")),
+    );
     assert_eq!(world.wait(passed_on).code(), "outcome_unknown");
     assert_eq!(world.wait(late).code(), "owner_unknown");
     world.log.mode = LogMode::Up;
@@ -211,11 +217,11 @@
     world.backend("b0").delay_us = Some(9_000_000);
     let id = world.call("e0", post(&name, "/hold", "x"));
     world.run_until(2_000, "the run", |w| w.runs().len() == 2);
-    world.lose = |message| matches!(message, Message::Fence { .. });
+    world.should_drop = |message| matches!(message, Message::Fence { .. });
     world.kill("e1");
     world.run_ms(4_000);
-    assert!(world.saw(EventKind::FenceStarted));
-    world.lose = |_| false;
+    assert!(world.has_event(EventKind::FenceStarted));
+    world.should_drop = |_| false;
     let answer = world.wait(id);
     assert_eq!(answer.code(), "done", "{:?}", answer.failed);
     assert_eq!(world.runs(), ["/hold x", "hi"]);
--- a/clementinepick/tests/programs.rs
+++ b/clementinepick/tests/programs.rs
@@ -8,7 +8,10 @@
 use clementinepick::message::Message;
 use clementinepick::record::{EndReason, PartitionRecord};
 use clementinepick::units::Tokens;
-use common::{LogMode, World, at, chat, child_of, keyed, post, program, vm, within_ms};
+use common::{
+    LogMode, World, chat, post, program, vm, with_deadline_ms, with_idempotency_key, with_parent,
+    with_seq,
+};
 
 fn ended(world: &World, name: &str) -> Option<EndReason> {
     world
@@ -43,7 +46,7 @@
     let mut world = World::new(3, 1, 1);
     let ids: Vec<RequestId> = [(3, "e0"), (1, "e1"), (0, "e2"), (2, "e0")]
         .into_iter()
-        .map(|(seq, entry)| world.call(entry, at(seq, post("p", "/hold", &seq.to_string()))))
+        .map(|(seq, entry)| world.call(entry, with_seq(seq, post("p", "/hold", &seq.to_string()))))
         .collect();
     for id in ids {
         assert_eq!(world.wait(id).code(), "done");
@@ -56,15 +59,15 @@
 #[test]
 fn a_gap_is_waited_for_only_so_long() {
     let mut world = World::new(2, 1, 1);
-    let first = world.call("e0", at(0, post("p", "/hold", "0")));
+    let first = world.call("e0", with_seq(0, post("p", "/hold", "0")));
     world.wait(first);
     let asked_us = world.now_us;
-    let late = world.call("e0", at(2, post("p", "/hold", "2")));
+    let late = world.call("e0", with_seq(2, post("p", "/hold", "2")));
     let answer = world.wait(late);
     assert_eq!(answer.code(), "out_of_order");
     assert!(answer.at_us - asked_us < 6_000_000);
     for seq in [1, 2] {
-        let id = world.call("e1", at(seq, post("p", "/hold", &seq.to_string())));
+        let id = world.call("e1", with_seq(seq, post("p", "/hold", &seq.to_string())));
         assert_eq!(world.wait(id).code(), "done");
     }
     assert_eq!(world.runs(), ["/hold 0", "/hold 1", "/hold 2"]);
@@ -75,13 +78,16 @@
 #[test]
 fn a_refused_call_may_come_again_under_its_number() {
     let mut world = World::new(2, 1, 1);
-    let first = world.call("e0", at(0, post("p", "/hold", "0")));
+    let first = world.call("e0", with_seq(0, post("p", "/hold", "0")));
     world.wait(first);
     world.log.mode = LogMode::Down;
-    let refused = world.call("e0", within_ms(500, at(1, post("p", "/hold", "1"))));
+    let refused = world.call(
+        "e0",
+        with_deadline_ms(500, with_seq(1, post("p", "/hold", "1"))),
+    );
     assert_eq!(world.wait(refused).code(), "log_unavailable");
     world.log.mode = LogMode::Up;
-    let again = world.call("e0", at(1, post("p", "/hold", "1")));
+    let again = world.call("e0", with_seq(1, post("p", "/hold", "1")));
     assert_eq!(world.wait(again).code(), "done");
     let next = world.call("e1", post("p", "/hold", "2"));
     assert_eq!(world.wait(next).code(), "done");
@@ -93,16 +99,16 @@
 #[test]
 fn numbers_go_on_after_a_take_over() {
     let mut world = World::new(3, 1, 1);
-    let name = world.program_of("e1", "p");
+    let name = world.program_owned_by("e1", "p");
     for seq in 0..4 {
-        let id = world.call("e0", at(seq, post(&name, "/check", &seq.to_string())));
+        let id = world.call("e0", with_seq(seq, post(&name, "/check", &seq.to_string())));
         assert_eq!(world.wait(id).code(), "done");
     }
     world.kill("e1");
     world.run_ms(3_000);
-    let id = world.call("e0", at(4, post(&name, "/check", "4")));
+    let id = world.call("e0", with_seq(4, post(&name, "/check", "4")));
     assert_eq!(world.wait(id).code(), "done");
-    let late = world.call("e0", at(2, post(&name, "/check", "late")));
+    let late = world.call("e0", with_seq(2, post(&name, "/check", "late")));
     assert_eq!(world.wait(late).code(), "out_of_order");
 }
 
@@ -128,7 +134,7 @@
             })
             .collect();
         let transcript: Vec<&str> = transcript.iter().map(String::as_str).collect();
-        let id = world.call(&entry, child_of("root", chat(&name, &transcript)));
+        let id = world.call(&entry, with_parent("root", chat(&name, &transcript)));
         let answer = world.wait(id);
         if let Some(done) = &answer.done {
             spent += done.usage.prompt_tokens.0 + done.usage.output_tokens.0;
@@ -150,17 +156,17 @@
 #[test]
 fn a_sub_agent_without_its_parent_named_stays_one_program() {
     let mut world = World::new(2, 1, 1);
-    let root = world.program_of("e0", "root");
-    let child = world.program_of("e1", "child");
+    let root = world.program_owned_by("e0", "root");
+    let child = world.program_owned_by("e1", "child");
     let first = world.call("e0", chat(&root, &["plan"]));
     world.wait(first);
-    let second = world.call("e0", child_of(&root, chat(&child, &["a"])));
+    let second = world.call("e0", with_parent(&root, chat(&child, &["a"])));
     assert_eq!(world.wait(second).code(), "done");
     let third = world.call("e1", chat(&child, &["a", "re: a", "b"]));
     assert_eq!(world.wait(third).code(), "done");
     let opened = |e: &PartitionRecord| matches!(e, PartitionRecord::ProgramOpened { .. });
-    assert_eq!(world.count(opened), 2);
-    let orphan = world.call("e1", child_of("nobody", chat("x", &["a"])));
+    assert_eq!(world.count_records(opened), 2);
+    let orphan = world.call("e1", with_parent("nobody", chat("x", &["a"])));
     assert_eq!(world.wait(orphan).code(), "unknown_call");
 }
 
@@ -169,7 +175,7 @@
 #[test]
 fn a_budget_holds_over_the_deaths_of_owners() {
     let mut world = World::new(4, 1, 1);
-    let name = world.program_of("e2", "p");
+    let name = world.program_owned_by("e2", "p");
     let mut answered = 0;
     for round in 0..3 {
         for n in 0..100 {
@@ -208,7 +214,7 @@
     assert_eq!(codes.iter().filter(|code| *code == "done").count(), 8);
     assert_eq!(codes[8], "loop_stopped");
     assert_eq!(ended(&world, "p"), Some(EndReason::Loop));
-    assert!(world.saw(EventKind::LoopStopped));
+    assert!(world.has_event(EventKind::LoopStopped));
 }
 
 // The caller is told that the program has ended, and the engine's memory is free, whichever way
@@ -219,19 +225,19 @@
         let mut world = World::new(2, 2, 1);
         let root = world.call("e0", chat("root", &["plan"]));
         world.wait(root);
-        let id = world.call("e0", child_of("root", chat("p", &["a"])));
+        let id = world.call("e0", with_parent("root", chat("p", &["a"])));
         world.wait(id);
         let reason = match way {
             "caller" => {
-                world.end("e1", "p", EndReason::Caller);
+                world.end_program("e1", "p", EndReason::Caller);
                 EndReason::Caller
             }
             "operator" => {
-                world.end("e0", "p", EndReason::Operator);
+                world.end_program("e0", "p", EndReason::Operator);
                 EndReason::Operator
             }
             "parent" => {
-                world.end("e0", "root", EndReason::Caller);
+                world.end_program("e0", "root", EndReason::Caller);
                 EndReason::Parent
             }
             _ => {
@@ -258,14 +264,14 @@
 #[test]
 fn memory_is_freed_when_the_owner_dies_before_the_release() {
     let mut world = World::new(2, 1, 1);
-    let name = world.program_of("e1", "p");
+    let name = world.program_owned_by("e1", "p");
     let id = world.call("e0", chat(&name, &["a"]));
     world.wait(id);
-    world.lose = |message| matches!(message, Message::Release { .. });
-    world.end("e0", &name, EndReason::Caller);
+    world.should_drop = |message| matches!(message, Message::Release { .. });
+    world.end_program("e0", &name, EndReason::Caller);
     world.run_ms(100);
     world.kill("e1");
-    world.lose = |_| false;
+    world.should_drop = |_| false;
     world.run_ms(40_000);
     assert!(world.backend("g0").cached.is_empty());
 }
@@ -277,11 +283,11 @@
     let mut world = World::new(1, 1, 1);
     let id = world.call("e0", chat("p", &["a"]));
     world.wait(id);
-    world.backend("g0").releases = false;
-    world.end("e0", "p", EndReason::Caller);
+    world.backend("g0").confirms_releases = false;
+    world.end_program("e0", "p", EndReason::Caller);
     world.run_ms(5_000);
     assert!(!world.backend("g0").cached.is_empty());
-    world.backend("g0").releases = true;
+    world.backend("g0").confirms_releases = true;
     world.run_ms(5_000);
     assert!(world.backend("g0").cached.is_empty());
     assert!(
@@ -297,11 +303,11 @@
 fn a_call_that_may_not_run_twice_is_let_finish_when_its_program_ends() {
     let mut world = World::new(2, 1, 1);
     world.backend("b0").delay_us = Some(1_000_000);
-    let id = world.call("e0", keyed("k", post("p", "/hold", "x")));
+    let id = world.call("e0", with_idempotency_key("k", post("p", "/hold", "x")));
     world.run_until(2_000, "the run", |w| !w.runs().is_empty());
-    world.end("e1", "p", EndReason::Operator);
+    world.end_program("e1", "p", EndReason::Operator);
     assert_eq!(world.wait(id).code(), "done");
-    let repeat = world.call("e1", keyed("k", post("p", "/hold", "x")));
+    let repeat = world.call("e1", with_idempotency_key("k", post("p", "/hold", "x")));
     assert_eq!(world.wait(repeat).code(), "done");
     assert_eq!(world.runs(), ["/hold x"]);
     assert!(world.is_alive(vm("e0").as_str()));
--- a/clementinepick/tests/safeguards.rs
+++ b/clementinepick/tests/safeguards.rs
@@ -12,22 +12,22 @@
 use clementinepick::safeguards::Safeguards;
 use clementinepick::sidecar::SidecarInput;
 use clementinepick::units::Tokens;
-use common::{LogMode, World, at, chat, keyed, post, program, vm};
+use common::{LogMode, World, chat, post, program, vm, with_idempotency_key, with_seq};
 
 /// Runs a scenario with all safeguards and without one; it says whether the failure came about.
 fn shows(safeguard: &str, entries: usize, engines: usize, plain: usize, fails: fn(World) -> bool) {
     let whole = World::new(entries, engines, plain);
     assert!(!fails(whole), "it fails with all safeguards");
-    let without = World::without(safeguard, entries, engines, plain);
+    let without = World::without_safeguard(safeguard, entries, engines, plain);
     assert!(fails(without), "nothing fails without {safeguard}");
 }
 
 fn hold(name: &str) -> impl FnOnce(RequestId) -> Request {
-    keyed("order-1", post(name, "/hold", "seat 7"))
+    with_idempotency_key("order-1", post(name, "/hold", "seat 7"))
 }
 
 fn owned_by(world: &mut World, entry: &str) -> String {
-    let name = world.program_of(entry, "p");
+    let name = world.program_owned_by(entry, "p");
     let id = world.call("e0", post(&name, "/check", "free?"));
     world.wait(id);
     assert_eq!(world.owner_of(&name).as_deref(), Some(entry));
@@ -73,9 +73,9 @@
 fn without_the_epoch_check_a_deposed_owner_runs_calls() {
     shows("epoch_check", 3, 1, 1, |mut world| {
         let name = owned_by(&mut world, "e1");
-        world.log.cut_off.insert(vm("e1"));
+        world.log.isolated_vms.insert(vm("e1"));
         for other in ["e0", "e2"] {
-            world.cut("e1", other);
+            world.cut_link("e1", other);
         }
         world.run_until(10_000, "a take-over", |w| {
             ["e0", "e2"].iter().any(|e| {
@@ -110,7 +110,7 @@
 fn without_compare_and_swap_two_claims_are_both_in_force() {
     shows("claim_cas", 3, 1, 1, |mut world| {
         let name = owned_by(&mut world, "e1");
-        world.cut("e0", "e2");
+        world.cut_link("e0", "e2");
         world.kill("e1");
         let from_us = world.now_us;
         world.run_ms(2_000);
@@ -183,7 +183,7 @@
         let mut spend = |world: &mut World, entry: &str| {
             for n in 0..200 {
                 let check = post(&name, "/check", &format!("{entry} {n}"));
-                let id = world.call(entry, common::within_ms(200, check));
+                let id = world.call(entry, common::with_deadline_ms(200, check));
                 if world.wait(id).code() == "done" {
                     answered += 1;
                 } else {
@@ -216,9 +216,9 @@
             text: text.to_owned(),
         };
         for revision in [3, 2] {
-            let message = Message::Documents(vec![published(revision, common::PLAIN)]);
+            let message = Message::Documents(vec![published(revision, common::PLAIN_DOCUMENT)]);
             let from = vm("e0");
-            world.sidecar_input("b0", SidecarInput::Link { from, message });
+            world.send_sidecar_input("b0", SidecarInput::Link { from, message });
         }
         world.run_ms(5);
         world.dump("b0")["revisions"]["book"] != 3
@@ -230,10 +230,10 @@
     shows("release_repeat", 1, 1, 1, |mut world| {
         let id = world.call("e0", chat("p", &["hi"]));
         world.wait(id);
-        world.lose = |message| matches!(message, Message::Release { .. });
-        world.end("e0", "p", EndReason::Caller);
+        world.should_drop = |message| matches!(message, Message::Release { .. });
+        world.end_program("e0", "p", EndReason::Caller);
         world.run_ms(500);
-        world.lose = |_| false;
+        world.should_drop = |_| false;
         world.run_ms(10_000);
         !world.backend("g0").cached.is_empty()
     });
@@ -249,10 +249,10 @@
             cache_size_tokens: Tokens(1_000),
             ..LoadReport::default()
         };
-        world.sidecar_input("g0", SidecarInput::Load(load));
-        world.backend("g0").untold.insert(ChainHash(7));
+        world.send_sidecar_input("g0", SidecarInput::Load(load));
+        world.backend("g0").unreported.insert(ChainHash(7));
         world.run_ms(40_000);
-        !world.backend("g0").untold.is_empty()
+        !world.backend("g0").unreported.is_empty()
     });
 }
 
@@ -261,9 +261,9 @@
     shows("order", 2, 1, 1, |mut world| {
         let name = owned_by(&mut world, "e1");
         world.backend("b0").delay_us = Some(500_000);
-        let first = world.call("e0", at(1, post(&name, "/hold", "first")));
+        let first = world.call("e0", with_seq(1, post(&name, "/hold", "first")));
         world.run_until(5_000, "the first run", |w| !w.runs().is_empty());
-        let second = world.call("e1", at(2, post(&name, "/hold", "second")));
+        let second = world.call("e1", with_seq(2, post(&name, "/hold", "second")));
         world.run_ms(400);
         let overtaken = world.runs().len() > 1 && !world.is_answered(first);
         world.wait(second);
--- a/clementinepickd/src/gateway_call.rs
+++ b/clementinepickd/src/gateway_call.rs
@@ -94,7 +94,7 @@
     };
     let answer = WholeAnswer {
         status: answering.head.status,
-        headers: platform::answer::forwarded(&answering.head.headers),
+        headers: platform::response::forwarded_headers(&answering.head.headers),
         body,
     };
     answering.release_connection(shared);
--- a/clementinepickd/src/gateway_exchange.rs
+++ b/clementinepickd/src/gateway_exchange.rs
@@ -8,7 +8,7 @@
 use clementinepick::server_list::BackendServer;
 use clementinepick::server_selection::{Affinity, SelectionReason};
 use clementinepick::traffic_config::TrafficRoute;
-use platform::request::{RequestInfo, SendInfo, forwarded};
+use platform::request::{RequestInfo, SchedulerHeaders, forwarded_headers};
 
 use crate::gateway_attempts::AttemptError;
 use crate::gateway_connection::ReceivedRequest;
@@ -105,7 +105,7 @@
             .filter(|server| choice.in_flight(&server.id) < limit)
             .collect();
         let affinity = Affinity {
-            parts: &self.info.parts,
+            parts: &self.info.prompt_parts,
             last_server,
         };
         let now = shared.now_us(Instant::now());
@@ -156,7 +156,7 @@
             slot.record_failure();
             return Err(AttemptError::ConnectFailed);
         };
-        let send = SendInfo {
+        let send = SchedulerHeaders {
             time_left: self.time_left(Instant::now()),
             server_id: &slot.server.id,
             last_event_id,
@@ -164,7 +164,7 @@
         let request = Outgoing {
             method: self.received.head.method().clone(),
             target: target(self.received),
-            headers: forwarded(&self.received.head.head().headers, &send),
+            headers: forwarded_headers(&self.received.head.head().headers, &send),
             body,
         };
         let Ok(head) = connection.exchange(&request).await else {
@@ -181,19 +181,20 @@
         mut connection: Connection,
         head: ResponseHead,
     ) -> Result<ServerResponse, AttemptError> {
-        let is_own = platform::answer::belongs_to(&head.headers, &self.info.id);
+        let is_own = platform::response::matches_request_id(&head.headers, &self.info.id);
         if !is_own && !Safeguard::OwnAnswer.is_left_out() {
             // A late answer to an earlier request, or one that can't be told from it.
-            let is_refusal = platform::answer::says_not_run(head.status.as_u16(), &head.headers);
+            let is_refusal =
+                platform::response::is_not_executed(head.status.as_u16(), &head.headers);
             slot.record_failure();
-            return if is_refusal && !platform::answer::has_request_id(&head.headers) {
+            return if is_refusal && !platform::response::has_request_id(&head.headers) {
                 Err(AttemptError::NotRun)
             } else {
                 Err(AttemptError::ResponseLost)
             };
         }
-        if platform::answer::says_not_run(head.status.as_u16(), &head.headers) {
-            let is_another = platform::answer::says_another(head.status.as_u16());
+        if platform::response::is_not_executed(head.status.as_u16(), &head.headers) {
+            let is_another = platform::response::is_misdirected(head.status.as_u16());
             shared.record_refusal(&slot.server.id, is_another);
             if connection.body(MAX_REFUSAL_BYTES).await.is_ok() {
                 let address = slot.server.address;
--- a/clementinepickd/src/gateway_peer.rs
+++ b/clementinepickd/src/gateway_peer.rs
@@ -82,7 +82,7 @@
                 answer
             } else if target == TURN_PATH {
                 gateway_peer_turns::handle_fetch(&self.shared, &request.body)
-            } else if platform::store::is_call(&target) {
+            } else if platform::store::is_store_target(&target) {
                 let call = StoreCall {
                     purpose: StorePurpose::Relay,
                     method: request.head.method().clone(),
--- a/clementinepickd/src/gateway_reply.rs
+++ b/clementinepickd/src/gateway_reply.rs
@@ -150,7 +150,7 @@
         }
         let id = request_id.and_then(|id| HeaderValue::from_str(id).ok());
         if let Some(id) = id {
-            let name: HeaderName = platform::answer::request_id_header();
+            let name: HeaderName = platform::response::request_id_header();
             headers.insert(name, id);
         }
         let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
--- a/clementinepickd/src/gateway_request.rs
+++ b/clementinepickd/src/gateway_request.rs
@@ -41,7 +41,7 @@
         reply: &'a mut Reply<'_>,
     ) -> Pin<Box<dyn Future<Output = ()> + 'a>> {
         Box::pin(async move {
-            let info = platform::request::read(&request.head.head().headers).ok();
+            let info = platform::request::parse(&request.head.head().headers).ok();
             let id = info.as_ref().map(|info| info.id.clone());
             let trace = Trace::default();
             if let Some(program) = info.as_ref().and_then(|info| info.program.as_ref()) {
--- a/clementinepickd/src/gateway_stream.rs
+++ b/clementinepickd/src/gateway_stream.rs
@@ -157,7 +157,7 @@
         turn_id: &job.info.id,
         previous_id: job.info.previous_turn.as_deref().filter(|_| keeps_context),
         keeps_context,
-        lines: job.info.parts.get(1..).unwrap_or_default(),
+        lines: job.info.prompt_parts.get(1..).unwrap_or_default(),
     };
     match gateway_budget::reserve(shared, trace, &request, deadline).await {
         Ok(reserved) => Ok(Some(reserved)),
@@ -173,7 +173,9 @@
 
 /// What the turn generates at most.
 fn most_tokens(job: &RoutedRequest<'_>) -> Tokens {
-    job.info.most_tokens.map_or(DEFAULT_TURN_TOKENS, Tokens)
+    job.info
+        .max_output_tokens
+        .map_or(DEFAULT_TURN_TOKENS, Tokens)
 }
 
 /// Until when the store is waited for before a request is refused. A caller that comes back is
@@ -247,7 +249,7 @@
     fn record_placement(&mut self, server: &str) {
         self.server = Some(server.to_owned());
         let info = self.job.info;
-        let line = info.parts.get(1..).and_then(<[PromptPart]>::last);
+        let line = info.prompt_parts.get(1..).and_then(<[PromptPart]>::last);
         if let (Some(hold), Some(program), Some(line)) = (&mut self.hold, &info.program, line) {
             gateway_budget::record_placement(self.shared, hold, program, &line.id, server);
         }
@@ -273,7 +275,7 @@
             return self.deliver_failure(answering, reply).await;
         }
         if reply.state() == ReplyState::Open {
-            let headers = platform::answer::forwarded(&answering.head.headers);
+            let headers = platform::response::forwarded_headers(&answering.head.headers);
             reply.send_head(StatusCode::OK, headers).await?;
             self.trace.status.set(StatusCode::OK.as_u16());
         }
@@ -292,7 +294,7 @@
         let Ok(body) = answering.connection.body(MAX_FAILURE_BYTES).await else {
             return Ok(Err(AttemptError::ResponseLost));
         };
-        let headers = platform::answer::forwarded(&answering.head.headers);
+        let headers = platform::response::forwarded_headers(&answering.head.headers);
         let status = answering.head.status;
         answering.release_connection(self.shared);
         reply.send_full(status, headers, body).await?;
--- a/clementinepickd/src/outbound.rs
+++ b/clementinepickd/src/outbound.rs
@@ -171,7 +171,7 @@
                 head.status,
                 StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED
             );
-        self.keep_alive = platform::answer::keep_alive(&head.headers);
+        self.keep_alive = platform::response::keep_alive_timeout(&head.headers);
         if is_unframed {
             self.is_reusable = false;
             self.codec = Codec::UntilClose;
