--- a/clementinepick/benches/decisions.rs
+++ b/clementinepick/benches/decisions.rs
@@ -1,8 +1,8 @@
-//! The cost of one choice of a backend server and of one passage of the gate, over the count of
-//! backend servers and of calls that wait. Prints nanoseconds, and the slope over the whole range.
+//! Measures how the time of one routing choice grows with the number of backend servers, and that of
+//! one admission with the number of queued calls.
 //!
-//! Times are for reading; what is held to a bound is the count of backend servers looked at, in
-//! `tests/backends.rs`.
+//! Prints nanoseconds and the slope over the whole range. The times have no bounds;
+//! `tests/backends.rs` bounds the number of candidates that a choice examines.
 
 use std::collections::BTreeSet;
 use std::hint::black_box;
@@ -15,20 +15,20 @@
 use clementinepick::route::{RouteQuery, RouteSettings, Router};
 use clementinepick::units::{SpanUs, TimeUs, Tokens};
 
-/// Backend servers of the smallest and the largest deployment, and between.
+/// The numbers of backend servers to measure, from the smallest to the largest deployment.
 const SERVERS: [u64; 4] = [12, 100, 1_000, 10_000];
-/// Calls that wait at one gate.
-const WAITING: [u64; 4] = [12, 100, 1_000, 10_000];
-/// Decisions of one measurement.
+/// The numbers of calls in the queue of one backend server to measure.
+const QUEUED_CALLS: [u64; 4] = [12, 100, 1_000, 10_000];
+/// The number of decisions in one measurement.
 const ROUNDS: u64 = 20_000;
-/// Segments of a prompt: a conversation of some twenty turns.
+/// The number of segments of a prompt: a conversation of about twenty turns.
 const SEGMENTS: u64 = 40;
 
-fn name<T: std::str::FromStr>(text: &str) -> T
+fn parse_name<T: std::str::FromStr>(text: &str) -> T
 where
     T::Err: std::fmt::Debug,
 {
-    text.parse().expect("a name")
+    text.parse().expect("valid name")
 }
 
 fn prompt(program: u64) -> Prompt {
@@ -41,12 +41,12 @@
     }
 }
 
-/// A router in which each backend server has the prefixes of four programs.
+/// Creates a router in which each backend server has the prefixes of four programs cached.
 fn router(servers: u64, service: &ServiceName) -> Router {
     let mut router = Router::new(RouteSettings::default());
     for n in 0..servers {
-        let vm: VmId = name(&format!("vm-{n}"));
-        router.add(vm.clone(), service.clone(), name("zone"));
+        let vm: VmId = parse_name(&format!("vm-{n}"));
+        router.add(vm.clone(), service.clone(), parse_name("zone"));
         let programs = (0..4).map(|k| prompt(n * 4 + k + 1));
         let segments = programs.flat_map(|prompt| prompt.segments);
         let events: Vec<CacheEvent> = segments.map(CacheEvent::Stored).collect();
@@ -55,13 +55,14 @@
     router
 }
 
-/// Nanoseconds of one choice with its bookkeeping, and the most backend servers looked at.
-fn route(servers: u64) -> (u128, u32) {
-    let service: ServiceName = name("service");
+/// Measures one routing choice with its bookkeeping. Returns its time in nanoseconds and the maximum
+/// number of candidates.
+fn measure_route(servers: u64) -> (u128, u32) {
+    let service: ServiceName = parse_name("service");
     let mut router = router(servers, &service);
     let tried = BTreeSet::new();
     let prompts: Vec<Prompt> = (1..=servers * 4).map(prompt).collect();
-    let mut most = 0;
+    let mut max_candidates = 0;
     let start = Instant::now();
     for round in 0..ROUNDS {
         let at = usize::try_from(round * 7_919 % prompts.len() as u64).unwrap_or(0);
@@ -71,25 +72,29 @@
             last: None,
             tried: &tried,
         };
-        let choice = black_box(router.pick(TimeUs(round), &query)).expect("a backend server");
+        let choice =
+            black_box(router.pick(TimeUs(round), &query)).expect("available backend server");
         router.on_sent(&choice.vm, choice.uncached_tokens);
         router.on_ended(&choice.vm, choice.uncached_tokens, false);
-        most = most.max(choice.candidate_count);
+        max_candidates = max_candidates.max(choice.candidate_count);
     }
-    (start.elapsed().as_nanos() / u128::from(ROUNDS), most)
+    (
+        start.elapsed().as_nanos() / u128::from(ROUNDS),
+        max_candidates,
+    )
 }
 
-/// Nanoseconds of one call's way through a gate at which others wait.
-fn gate(waiting: u64) -> u128 {
-    let mut gate = AdmissionQueue::new(AdmissionSettings {
+/// Measures the admission of one call through a queue of `waiting` others, in nanoseconds.
+fn measure_admission(waiting: u64) -> u128 {
+    let mut queue = AdmissionQueue::new(AdmissionSettings {
         max_running: 1,
         max_waiting: u32::MAX,
         ..Default::default()
     });
     let call = |n: u64| QueuedCall {
         attempt: AttemptId(u128::from(n)),
-        program: name("program"),
-        class: name("class"),
+        program: parse_name("program"),
+        class: parse_name("class"),
         category: None,
         rank: u32::try_from(n % 3).unwrap_or(0),
         weight: 1,
@@ -101,19 +106,19 @@
         prefill_tokens: Tokens(100),
     };
     for n in 0..waiting {
-        gate.push(call(n)).expect("room");
+        queue.push(call(n)).expect("queue has room");
     }
     let start = Instant::now();
     for n in waiting..waiting + ROUNDS {
-        gate.push(call(n)).expect("room");
-        for attempt in black_box(gate.admit(TimeUs(n))) {
-            gate.remove(attempt);
+        queue.push(call(n)).expect("queue has room");
+        for attempt in black_box(queue.admit(TimeUs(n))) {
+            queue.remove(attempt);
         }
     }
     start.elapsed().as_nanos() / u128::from(ROUNDS)
 }
 
-/// The growth from the first to the last point for each further thousand.
+/// Returns the growth per 1,000 from the first to the last point.
 fn slope(points: &[(u64, u128)]) -> i128 {
     let [(x0, y0), .., (x1, y1)] = points else {
         return 0;
@@ -123,19 +128,19 @@
 }
 
 fn main() {
-    println!("{:>22} {:>10} {:>10}", "", "ns", "looked at");
+    println!("{:>22} {:>10} {:>10}", "", "ns", "candidates");
     let mut points = Vec::new();
     for servers in SERVERS {
-        let (ns, most) = route(servers);
-        println!("route, {servers:>6} servers {ns:>10} {most:>10}");
+        let (ns, max_candidates) = measure_route(servers);
+        println!("route, {servers:>6} servers {ns:>10} {max_candidates:>10}");
         points.push((servers, ns));
     }
-    println!("route: {} ns more for each 1,000 servers", slope(&points));
+    println!("route: {} ns more per 1,000 servers", slope(&points));
     let mut points = Vec::new();
-    for waiting in WAITING {
-        let ns = gate(waiting);
-        println!("gate,  {waiting:>6} waiting {ns:>10}");
+    for waiting in QUEUED_CALLS {
+        let ns = measure_admission(waiting);
+        println!("queue, {waiting:>6} waiting {ns:>10}");
         points.push((waiting, ns));
     }
-    println!("gate: {} ns more for each 1,000 waiting", slope(&points));
+    println!("queue: {} ns more per 1,000 waiting", slope(&points));
 }
--- a/clementinepick/tests/backends.rs
+++ b/clementinepick/tests/backends.rs
@@ -1,4 +1,5 @@
-//! Backend servers that can't take a call: what callers are told, and when.
+//! Tests calls that no backend server accepts, and the bounds on retries and on the candidates of a
+//! routing choice.
 
 mod common;
 
@@ -12,23 +13,22 @@
 use clementinepick::units::{TimeUs, Tokens};
 use common::{World, chat, post};
 
-// All engines are gone. The caller is told within a moment that its call did not run and when to
-// come back, although its deadline is minutes away; an answer held back until then would only keep
-// it from going elsewhere.
+// Without a backend server a call must not wait for its deadline, minutes away: the caller has to
+// learn soon that the call didn't run and when to retry.
 #[test]
-fn a_call_without_a_backend_server_is_given_up_at_once() {
+fn call_without_a_backend_server_is_refused_promptly() {
     let mut world = World::new(2, 1, 1);
     world.kill("g0");
     world.run_ms(100);
-    let asked_us = world.now_us;
+    let sent_us = world.now_us;
     let id = world.call("e0", chat("p", &["hello"]));
     world.run_ms(2_000);
     let answer = world.answer(id);
     assert_eq!(answer.code(), "no_backend");
     assert!(
-        answer.at_us - asked_us < 1_500_000,
+        answer.at_us - sent_us < 1_500_000,
         "{}",
-        answer.at_us - asked_us
+        answer.at_us - sent_us
     );
     assert!(
         answer
@@ -38,9 +38,9 @@
     );
 }
 
-// A backend server that comes back within that moment gets the call, and the caller sees nothing.
+// A restart of the only backend server that is shorter than that wait must not fail the call.
 #[test]
-fn a_backend_server_that_comes_back_in_time_is_waited_for() {
+fn call_waits_for_a_restarting_backend_server() {
     let mut world = World::new(2, 1, 1);
     world.kill("b0");
     world.run_ms(100);
@@ -52,11 +52,10 @@
     assert_eq!(world.runs(), ["/hold 1"]);
 }
 
-// Every call fails at every backend server, and may be repeated. Its caller hears so; the entry
-// sends it elsewhere only as long as the budget of retries lasts, so that the outage does not meet
-// three times the load.
+// All backend servers fail calls that may be repeated. The retry budget must keep the entry from
+// multiplying the load by sending every call to each of them.
 #[test]
-fn an_outage_raises_no_storm_of_retries() {
+fn retry_budget_limits_retries_in_an_outage() {
     const CALLS: usize = 100;
     let mut world = World::new(1, 3, 0);
     for name in ["g0", "g1", "g2"] {
@@ -73,12 +72,12 @@
     assert!((100..=120).contains(&sent), "{sent} sends of {CALLS} calls");
 }
 
-// However many backend servers there are, and also when all of them hold the prefix that a class
-// shares, one choice looks at the few that are worth it.
+// The cost of a choice must not grow with the number of backend servers, even if all of them have
+// a common prefix in the cache.
 #[test]
-fn a_choice_looks_at_a_handful_of_ten_thousand() {
-    const MOST: u32 = 9;
-    let service: ServiceName = "s".parse().expect("a name");
+fn choice_among_ten_thousand_servers_examines_few_candidates() {
+    const MAX_CANDIDATES: u32 = 9;
+    let service: ServiceName = "s".parse().expect("valid name");
     let shared = Segment {
         chain: ChainHash(1),
         length_tokens: Tokens(1_500),
@@ -88,8 +87,12 @@
     };
     let mut router = Router::new(RouteSettings::default());
     for n in 0..10_000_u64 {
-        let vm: VmId = format!("vm-{n}").parse().expect("a name");
-        router.add(vm.clone(), service.clone(), "z".parse().expect("a name"));
+        let vm: VmId = format!("vm-{n}").parse().expect("valid name");
+        router.add(
+            vm.clone(),
+            service.clone(),
+            "z".parse().expect("valid name"),
+        );
         router.on_cache(&vm, 0, &[CacheEvent::Stored(shared)]);
         let load = BackendLoad {
             waiting_tokens: Tokens(n % 977),
@@ -107,8 +110,12 @@
         };
         let choice = router
             .pick(TimeUs(round), &query)
-            .expect("a backend server");
-        assert!(choice.candidate_count <= MOST, "{}", choice.candidate_count);
+            .expect("available backend server");
+        assert!(
+            choice.candidate_count <= MAX_CANDIDATES,
+            "{}",
+            choice.candidate_count
+        );
         router.on_sent(&choice.vm, Tokens(400));
     }
 }
--- a/clementinepick/tests/common/mod.rs
+++ b/clementinepick/tests/common/mod.rs
@@ -1,8 +1,10 @@
-//! A few entries and sidecars in virtual time, with a log in memory, a scripted backend and links
-//! that can be cut. Everything is ordered by time and then by the order of sending, so that each
-//! run is the same.
+//! Simulates entries and sidecars in virtual time, with an in-memory log, scripted backend servers
+//! and links that can be cut.
+//!
+//! Inputs are delivered in the order of their time and then of their scheduling, so that every run
+//! of a test is the same.
 
-#![allow(dead_code, reason = "each suite uses its part of the harness")]
+#![allow(dead_code, reason = "each test file uses only a part of the harness")]
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -31,9 +33,9 @@
 };
 use clementinepick::units::{SpanUs, TimeUs, Tokens};
 
-const TICK_US: u64 = 10_000;
-const LINK_US: u64 = 1_000;
-const RECONNECT_US: u64 = 100_000;
+const TICK_INTERVAL_US: u64 = 10_000;
+const LINK_DELAY_US: u64 = 1_000;
+const RECONNECT_DELAY_US: u64 = 100_000;
 
 pub const ENGINE_DOCUMENT: &str = "[service]\nname = llm\nkind = engine\n[class c]\nrank = 1\n\
     deadline = 20 s\nmax_output = 100\n[program]\nbudget_tokens = 16000\nbudget_calls = 160\n\
@@ -41,14 +43,14 @@
 pub const PLAIN_DOCUMENT: &str = "[service]\nname = book\nkind = plain\n[class c]\nrank = 1\n\
     deadline = 20 s\n[program]\nbudget_calls = 50\n[route POST /]\nidempotent = no\n[route POST /check]\nidempotent = yes\n";
 
-/// What the log does with appends.
+/// How the log handles appends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogMode {
     Up,
     Down,
-    /// Appends take effect and their answers are lost.
+    /// Appends take effect, but their responses are lost.
     ResponsesLost,
-    /// Neither appends nor their answers come through, and the writer can't tell.
+    /// Appends are lost, and the writer can't tell whether they took effect.
     AppendsLost,
 }
 
@@ -56,47 +58,48 @@
     pub records: BTreeMap<StreamName, Vec<String>>,
     pub earliest: BTreeMap<StreamName, u64>,
     pub mode: LogMode,
-    /// Reads fail, whatever becomes of appends.
+    /// Reads fail, regardless of `mode`.
     pub reads_down: bool,
     pub append_us: u64,
     pub appends: u64,
     pub appended_records: u64,
-    /// Processes that can't reach the log.
+    /// The VMs whose processes can't reach the log.
     pub isolated_vms: BTreeSet<VmId>,
 }
 
-/// What a backend server does with what it is given.
+/// The scripted behaviour of a backend server, and what it has received.
 #[derive(Debug, Clone)]
 pub struct Backend {
-    /// The time from start to answer; `None` holds every call until [`World::complete_held_calls`].
+    /// The time from the start of a call to its answer; `None` holds every call until
+    /// [`World::complete_held_calls`].
     pub delay_us: Option<u64>,
-    /// The tokens that a turn generates, whatever was asked for.
+    /// The number of tokens that a turn generates, regardless of the requested limit.
     pub tokens: Option<u64>,
-    /// How many of the next calls fail after they were started.
+    /// The number of next calls that fail after their start.
     pub failures: u32,
-    /// The calls that were started, in order: a path with its body, or the last message.
+    /// The started calls, in order: the path with the body, or the last message of a turn.
     pub runs: Vec<String>,
-    /// Attempts that are held.
-    held: Vec<Started>,
-    /// Programs that hold cache.
+    held_attempts: Vec<StartedAttempt>,
+    /// The programs with a prefix in the cache.
     pub cached: BTreeSet<ProgramId>,
-    /// Prefixes in the cache that no sidecar was told of.
+    /// Prefixes in the cache that were never reported to the sidecar.
     pub unreported: BTreeSet<ChainHash>,
-    /// Whether releases are answered.
+    /// Whether the server carries out and confirms releases.
     pub confirms_releases: bool,
-    /// What the engine serves, where it takes orders.
+    /// The state of the engine; `None` if it takes no orders.
     pub engine: Option<EngineState>,
-    /// The time that an order takes.
+    /// The duration of an order.
     pub order_us: u64,
-    /// The orders that the engine has carried out.
+    /// The orders that the engine has received.
     pub orders: Vec<EngineOrder>,
-    /// When the last call that was started ends, and when the order that was started does.
-    calls_until_us: u64,
-    order_until_us: u64,
+    /// When the last started call ends.
+    calls_end_us: u64,
+    /// When the last started order ends.
+    order_end_us: u64,
 }
 
 #[derive(Debug, Clone)]
-enum Started {
+enum StartedAttempt {
     Turn(Box<GenerateBody>),
     Call(clementinepick::ids::AttemptId, PlainCall),
 }
@@ -116,20 +119,21 @@
 struct Host {
     process: Option<Process>,
     incarnation: u64,
-    paused: bool,
-    waiting: Vec<Input>,
+    is_paused: bool,
+    pending: Vec<Input>,
 }
 
 #[derive(Debug, Clone, Default)]
 pub struct Answer {
-    /// The position that was asked for.
-    pub from: u64,
+    /// The requested position of the text.
+    pub start_position: u64,
     pub text: String,
     pub plain: Option<PlainAnswer>,
     pub done: Option<CallDone>,
     pub failed: Option<CallError>,
     pub at_us: u64,
-    pub ends: u32,
+    /// How many final parts arrived; never above 1.
+    pub end_count: u32,
 }
 
 impl Answer {
@@ -146,35 +150,37 @@
     pub now_us: u64,
     hosts: BTreeMap<VmId, Host>,
     links: BTreeSet<(VmId, VmId)>,
-    cut: BTreeSet<(VmId, VmId)>,
+    cut_links: BTreeSet<(VmId, VmId)>,
     queue: BTreeMap<(u64, u64), (VmId, u64, Input)>,
-    sent: u64,
+    scheduled_inputs: u64,
     next_tick_us: u64,
-    next_id: u128,
+    next_request_id: u128,
     pub log: Log,
     pub backends: BTreeMap<VmId, Backend>,
     pub answers: BTreeMap<RequestId, Answer>,
     pub events: Vec<(u64, VmId, EventKind)>,
     pub safeguards: Safeguards,
     pub configure_entry: fn(&mut EntrySettings),
-    /// Drops matching messages instead of delivering them.
+    /// Selects messages that are dropped instead of delivered.
     pub should_drop: fn(&Message) -> bool,
-    /// Drops everything from the first to the second, while their link stays up.
+    /// Pairs of a sender and a receiver: all messages between them are dropped in this direction,
+    /// while their link stays up.
     pub blackholed: BTreeSet<(VmId, VmId)>,
-    /// The bytes and messages that each process has sent over its links.
+    /// The bytes and the messages that each process has sent over its links.
     pub sent_bytes: BTreeMap<VmId, (u64, u64)>,
 }
 
 pub fn vm(name: &str) -> VmId {
-    name.parse().expect("a name")
+    name.parse().expect("valid name")
 }
 
 pub fn program(name: &str) -> ProgramId {
-    name.parse().expect("a name")
+    name.parse().expect("valid name")
 }
 
 impl World {
-    /// Entries `e0`.. and sidecars: `g0`.. of engines, `b0`.. of the plain service.
+    /// Starts entries `e0`, `e1`, ... and sidecars: `g0`, ... of engines and `b0`, ... of the plain
+    /// service.
     pub fn new(entries: usize, engines: usize, plain: usize) -> Self {
         Self::with_settings(entries, engines, plain, Safeguards::default(), |_| {})
     }
@@ -185,7 +191,7 @@
         engines: usize,
         plain: usize,
     ) -> Self {
-        let safeguards = Safeguards::without(safeguard).expect("a safeguard");
+        let safeguards = Safeguards::without(safeguard).expect("known safeguard");
         Self::with_settings(entries, engines, plain, safeguards, |_| {})
     }
 
@@ -200,11 +206,11 @@
             now_us: 1_000_000,
             hosts: BTreeMap::new(),
             links: BTreeSet::new(),
-            cut: BTreeSet::new(),
+            cut_links: BTreeSet::new(),
             queue: BTreeMap::new(),
-            sent: 0,
+            scheduled_inputs: 0,
             next_tick_us: 1_000_000,
-            next_id: 1,
+            next_request_id: 1,
             log: Log {
                 records: StreamName::ALL
                     .into_iter()
@@ -239,9 +245,9 @@
         world
     }
 
-    /// Appends a publication over the revision `base`.
+    /// Appends a publication that replaces the revision `base`.
     pub fn publish(&mut self, operation: u128, base: u64, text: &str) {
-        let document = clementinepick::document::Document::parse(text).expect("right");
+        let document = clementinepick::document::Document::parse(text).expect("valid document");
         let record = Record {
             id: RecordId(operation),
             writer: vm("operator"),
@@ -255,17 +261,18 @@
         };
         let text = serde_json::to_string(&record).expect("serializable");
         let stream = self.log.records.get_mut(&StreamName::Config);
-        stream.expect("a stream").push(text);
+        stream.expect("known stream").push(text);
     }
 
-    /// Starts a process, or starts it anew after it was killed.
+    /// Starts a process, or restarts it with the next incarnation.
     pub fn start(&mut self, name: &str) {
         let id = vm(name);
         let incarnation = self.hosts.get(&id).map_or(1, |host| host.incarnation + 1);
-        let life = Incarnation(u64::from(id.as_str().as_bytes()[1]) * 1_000 + incarnation);
-        let zone = "z".parse().expect("a name");
+        let unique_incarnation =
+            Incarnation(u64::from(id.as_str().as_bytes()[1]) * 1_000 + incarnation);
+        let zone = "z".parse().expect("valid name");
         let process = if name.starts_with('e') {
-            let mut settings = EntrySettings::new(id.clone(), life, zone);
+            let mut settings = EntrySettings::new(id.clone(), unique_incarnation, zone);
             settings.partition_count = 8;
             settings.startup_claim_delay_us = SpanUs::from_s(3_600);
             settings.safeguards = self.safeguards.clone();
@@ -273,35 +280,35 @@
             Process::Entry(Box::new(Entry::new(settings)))
         } else {
             let service = if name.starts_with('g') { "llm" } else { "book" };
-            let service = service.parse().expect("a name");
-            let mut settings = SidecarSettings::new(id.clone(), life, zone, service);
+            let service = service.parse().expect("valid name");
+            let mut settings = SidecarSettings::new(id.clone(), unique_incarnation, zone, service);
             settings.safeguards = self.safeguards.clone();
             self.backends.entry(id.clone()).or_insert(Backend {
                 delay_us: Some(20_000),
                 tokens: None,
                 failures: 0,
                 runs: Vec::new(),
-                held: Vec::new(),
+                held_attempts: Vec::new(),
                 cached: BTreeSet::new(),
                 unreported: BTreeSet::new(),
                 confirms_releases: true,
                 engine: None,
                 order_us: 2_000_000,
                 orders: Vec::new(),
-                calls_until_us: 0,
-                order_until_us: 0,
+                calls_end_us: 0,
+                order_end_us: 0,
             });
             Process::Sidecar(Box::new(Sidecar::new(settings)))
         };
         let host = Host {
             process: Some(process),
             incarnation,
-            paused: false,
-            waiting: Vec::new(),
+            is_paused: false,
+            pending: Vec::new(),
         };
         self.hosts.insert(id.clone(), host);
         if name.starts_with('g') {
-            self.send_engine_state(&id, LINK_US);
+            self.send_engine_state(&id, LINK_DELAY_US);
         }
         self.connect_all(&id);
     }
@@ -315,12 +322,16 @@
 
     fn connect(&mut self, a: &VmId, b: &VmId) {
         let is_entry = |id: &VmId| id.as_str().starts_with('e');
-        let pair = order(a, b);
-        let up = |id: &VmId| self.hosts[id].process.is_some() && !self.hosts[id].paused;
-        if !(is_entry(a) || is_entry(b)) || !up(a) || !up(b) || self.cut.contains(&pair) {
+        let link = link_key(a, b);
+        let is_running = |id: &VmId| self.hosts[id].process.is_some() && !self.hosts[id].is_paused;
+        if !(is_entry(a) || is_entry(b))
+            || !is_running(a)
+            || !is_running(b)
+            || self.cut_links.contains(&link)
+        {
             return;
         }
-        if !self.links.insert(pair) {
+        if !self.links.insert(link) {
             return;
         }
         for (id, other) in [(a, b), (b, a)] {
@@ -329,19 +340,19 @@
                 Some(Process::Entry(_)) => Input::Entry(EntryInput::LinkUp(peer)),
                 _ => Input::Sidecar(SidecarInput::LinkUp(peer)),
             };
-            self.push(LINK_US, id, input);
+            self.schedule(LINK_DELAY_US, id, input);
         }
     }
 
     fn peer(&self, id: &VmId) -> Peer {
-        match self.hosts[id].process.as_ref().expect("it lives") {
+        match self.hosts[id].process.as_ref().expect("process is running") {
             Process::Entry(entry) => entry.peer(),
             Process::Sidecar(sidecar) => sidecar.peer(),
         }
     }
 
     fn disconnect(&mut self, a: &VmId, b: &VmId) {
-        if !self.links.remove(&order(a, b)) {
+        if !self.links.remove(&link_key(a, b)) {
             return;
         }
         for (id, other) in [(a, b), (b, a)] {
@@ -351,61 +362,61 @@
             } else {
                 Input::Sidecar(SidecarInput::LinkDown(other.clone()))
             };
-            self.push(LINK_US, id, down);
+            self.schedule(LINK_DELAY_US, id, down);
         }
-        self.push(RECONNECT_US, a, Input::Reconnect(b.clone()));
-        self.push(RECONNECT_US, b, Input::Reconnect(a.clone()));
+        self.schedule(RECONNECT_DELAY_US, a, Input::Reconnect(b.clone()));
+        self.schedule(RECONNECT_DELAY_US, b, Input::Reconnect(a.clone()));
     }
 
-    /// Kills a process; its peers see their links break.
+    /// Kills a process and breaks its links.
     pub fn kill(&mut self, name: &str) {
         let id = vm(name);
-        self.hosts.get_mut(&id).expect("a host").process = None;
+        self.hosts.get_mut(&id).expect("known host").process = None;
         let others: Vec<VmId> = self.hosts.keys().cloned().collect();
         for other in others {
             self.disconnect(&id, &other);
         }
-        // What it had sent is still on its way; what was on its way to it is lost.
+        // Messages from the process are still delivered; those to it are lost.
         self.queue.retain(|_, (to, _, _)| *to != id);
     }
 
-    /// Stops a process without breaking its links.
+    /// Pauses a process without breaking its links.
     pub fn pause(&mut self, name: &str) {
-        self.hosts.get_mut(&vm(name)).expect("a host").paused = true;
+        self.hosts.get_mut(&vm(name)).expect("known host").is_paused = true;
     }
 
-    /// Lets a paused process go on: it first sees all that came meanwhile.
+    /// Resumes a paused process, which first handles the inputs that arrived meanwhile.
     pub fn resume(&mut self, name: &str) {
         let id = vm(name);
-        let host = self.hosts.get_mut(&id).expect("a host");
-        host.paused = false;
-        let (waiting, incarnation) = (std::mem::take(&mut host.waiting), host.incarnation);
-        for input in waiting {
+        let host = self.hosts.get_mut(&id).expect("known host");
+        host.is_paused = false;
+        let (pending, incarnation) = (std::mem::take(&mut host.pending), host.incarnation);
+        for input in pending {
             self.deliver(&id, incarnation, input);
         }
     }
 
-    /// Cuts the link between two processes until [`World::restore_link`].
+    /// Breaks the link between two processes until [`World::restore_link`].
     pub fn cut_link(&mut self, a: &str, b: &str) {
         let (a, b) = (vm(a), vm(b));
-        self.cut.insert(order(&a, &b));
+        self.cut_links.insert(link_key(&a, &b));
         self.disconnect(&a, &b);
     }
 
     pub fn restore_link(&mut self, a: &str, b: &str) {
         let (a, b) = (vm(a), vm(b));
-        self.cut.remove(&order(&a, &b));
+        self.cut_links.remove(&link_key(&a, &b));
         self.connect(&a, &b);
     }
 
-    fn push(&mut self, delay_us: u64, to: &VmId, input: Input) {
+    fn schedule(&mut self, delay_us: u64, to: &VmId, input: Input) {
         let incarnation = self.hosts[to].incarnation;
-        self.sent += 1;
-        let key = (self.now_us + delay_us, self.sent);
+        self.scheduled_inputs += 1;
+        let key = (self.now_us + delay_us, self.scheduled_inputs);
         self.queue.insert(key, (to.clone(), incarnation, input));
     }
 
-    /// Lets virtual time pass.
+    /// Advances virtual time.
     pub fn run_ms(&mut self, ms: u64) {
         let end_us = self.now_us + ms * 1_000;
         loop {
@@ -416,17 +427,18 @@
             }
             self.now_us = at_us;
             if next.is_some_and(|at| at <= self.next_tick_us) {
-                let (_, (to, incarnation, input)) = self.queue.pop_first().expect("one is due");
+                let (_, (to, incarnation, input)) =
+                    self.queue.pop_first().expect("an input is due");
                 self.deliver(&to, incarnation, input);
             } else {
-                self.next_tick_us += TICK_US;
+                self.next_tick_us += TICK_INTERVAL_US;
                 self.tick();
             }
         }
         self.now_us = end_us;
     }
 
-    /// Lets time pass until `done` holds; fails after `limit_ms`.
+    /// Advances virtual time until `done` holds; panics after `limit_ms`.
     pub fn run_until(&mut self, limit_ms: u64, what: &str, done: impl Fn(&Self) -> bool) {
         let end_us = self.now_us + limit_ms * 1_000;
         while !done(self) {
@@ -438,7 +450,7 @@
     fn tick(&mut self) {
         let ids: Vec<VmId> = self.hosts.keys().cloned().collect();
         for id in ids {
-            if self.hosts[&id].paused {
+            if self.hosts[&id].is_paused {
                 continue;
             }
             let incarnation = self.hosts[&id].incarnation;
@@ -452,12 +464,12 @@
     }
 
     fn deliver(&mut self, to: &VmId, incarnation: u64, input: Input) {
-        let host = self.hosts.get_mut(to).expect("a host");
+        let host = self.hosts.get_mut(to).expect("known host");
         if host.incarnation != incarnation || host.process.is_none() {
             return;
         }
-        if host.paused {
-            host.waiting.push(input);
+        if host.is_paused {
+            host.pending.push(input);
             return;
         }
         let now = TimeUs(self.now_us);
@@ -482,7 +494,7 @@
     }
 
     fn send(&mut self, from: &VmId, to: &VmId, message: &Message) {
-        if !self.links.contains(&order(from, to)) || (self.should_drop)(message) {
+        if !self.links.contains(&link_key(from, to)) || (self.should_drop)(message) {
             return;
         }
         let mut bytes = Vec::new();
@@ -499,7 +511,7 @@
         } else {
             Input::Sidecar(SidecarInput::Link { from, message })
         };
-        self.push(LINK_US, to, input);
+        self.schedule(LINK_DELAY_US, to, input);
     }
 
     fn on_entry_action(&mut self, id: &VmId, action: EntryAction) {
@@ -518,28 +530,31 @@
 
     fn on_answer(&mut self, request: RequestId, part: AnswerPart) {
         let answer = self.answers.entry(request).or_default();
-        assert_eq!(answer.ends, 0, "{request}: a part after the end: {part:?}");
+        assert_eq!(
+            answer.end_count, 0,
+            "{request}: received {part:?} after the end of the answer"
+        );
         match part {
             AnswerPart::Text { position, text } => {
-                let known = answer.from + answer.text.chars().count() as u64;
-                assert_eq!(position, known, "{request}: text out of place");
+                let expected = answer.start_position + answer.text.chars().count() as u64;
+                assert_eq!(position, expected, "{request}: wrong position of text");
                 answer.text.push_str(&text);
             }
             AnswerPart::Plain(plain) => answer.plain = Some(plain),
             AnswerPart::Done(done) => {
                 answer.done = Some(done);
-                answer.ends += 1;
+                answer.end_count += 1;
             }
             AnswerPart::Failed(error) => {
                 answer.failed = Some(error);
-                answer.ends += 1;
+                answer.end_count += 1;
             }
         }
         answer.at_us = self.now_us;
     }
 
     fn on_log(&mut self, id: &VmId, action: JournalAction) {
-        let cut_off = self.log.isolated_vms.contains(id);
+        let is_isolated = self.log.isolated_vms.contains(id);
         match action {
             JournalAction::Append {
                 stream,
@@ -547,12 +562,12 @@
                 records,
             } => {
                 self.log.appends += 1;
-                let mode = if cut_off {
+                let mode = if is_isolated {
                     LogMode::Down
                 } else {
                     self.log.mode
                 };
-                let stored = self.log.records.get_mut(&stream).expect("a stream");
+                let stored = self.log.records.get_mut(&stream).expect("known stream");
                 let first = stored.len() as u64;
                 if matches!(mode, LogMode::Up | LogMode::ResponsesLost) {
                     self.log.appended_records += records.len() as u64;
@@ -572,13 +587,14 @@
                     batch,
                     outcome,
                 };
-                self.push(self.log.append_us, id, Input::Entry(input));
+                self.schedule(self.log.append_us, id, Input::Entry(input));
             }
             JournalAction::Read { stream, from } => {
-                let down = cut_off || self.log.reads_down || matches!(self.log.mode, LogMode::Down);
-                let answer = (!down).then(|| self.read(stream, from));
+                let is_failing =
+                    is_isolated || self.log.reads_down || matches!(self.log.mode, LogMode::Down);
+                let answer = (!is_failing).then(|| self.read(stream, from));
                 let input = EntryInput::LogRead { stream, answer };
-                self.push(2_000, id, Input::Entry(input));
+                self.schedule(2_000, id, Input::Entry(input));
             }
         }
     }
@@ -607,12 +623,12 @@
     fn on_sidecar_action(&mut self, id: &VmId, action: SidecarAction) {
         match action {
             SidecarAction::Send { to, message } => self.send(id, &to, &message),
-            SidecarAction::Generate(body) => self.start_work(id, Started::Turn(body)),
+            SidecarAction::Generate(body) => self.start_attempt(id, StartedAttempt::Turn(body)),
             SidecarAction::Call { attempt, call, .. } => {
-                self.start_work(id, Started::Call(attempt, call));
+                self.start_attempt(id, StartedAttempt::Call(attempt, call));
             }
             SidecarAction::Release { program, .. } => {
-                let backend = self.backends.get_mut(id).expect("a backend");
+                let backend = self.backends.get_mut(id).expect("known backend server");
                 let freed_tokens = backend.confirms_releases.then_some(Tokens(1));
                 if backend.confirms_releases {
                     backend.cached.remove(&program);
@@ -621,41 +637,44 @@
                     program,
                     freed_tokens,
                 };
-                self.push(1_000, id, Input::Sidecar(input));
+                self.schedule(1_000, id, Input::Sidecar(input));
             }
             SidecarAction::Log(event) => self.events.push((self.now_us, id.clone(), event.kind)),
             SidecarAction::Order { order, .. } => self.start_order(id, &order),
             SidecarAction::Retain { chains } => {
-                let backend = self.backends.get_mut(id).expect("a backend");
+                let backend = self.backends.get_mut(id).expect("known backend server");
                 backend.unreported.retain(|chain| chains.contains(chain));
             }
             SidecarAction::Cancel(_) | SidecarAction::Finished => {}
         }
     }
 
-    /// Makes engines take orders, with what they serve at first.
+    /// Makes all engines take orders, starting from `state`.
     pub fn enable_engine_orders(&mut self, state: &EngineState) {
         let ids: Vec<VmId> = self.backends.keys().cloned().collect();
         for id in ids {
             if id.as_str().starts_with('g') {
-                self.backends.get_mut(&id).expect("a backend").engine = Some(state.clone());
+                self.backends
+                    .get_mut(&id)
+                    .expect("known backend server")
+                    .engine = Some(state.clone());
                 self.send_engine_state(&id, 0);
             }
         }
     }
 
-    /// Lets the sidecar read the engine's state.
+    /// Reports the engine's state to its sidecar.
     pub fn send_engine_state(&mut self, id: &VmId, delay_us: u64) {
         if let Some(state) = self.backends[id].engine.clone() {
-            self.push(delay_us, id, Input::Sidecar(SidecarInput::Engine(state)));
+            self.schedule(delay_us, id, Input::Sidecar(SidecarInput::Engine(state)));
         }
     }
 
     fn start_order(&mut self, id: &VmId, body: &OrderBody) {
-        let backend = self.backends.get_mut(id).expect("a backend");
-        let idle = backend.held.is_empty() && backend.calls_until_us <= self.now_us;
-        assert!(idle, "{id}: an order came over running calls");
-        backend.order_until_us = self.now_us + backend.order_us;
+        let backend = self.backends.get_mut(id).expect("known backend server");
+        let is_idle = backend.held_attempts.is_empty() && backend.calls_end_us <= self.now_us;
+        assert!(is_idle, "{id}: received an order while calls are running");
+        backend.order_end_us = self.now_us + backend.order_us;
         let Some(state) = &mut backend.engine else {
             return;
         };
@@ -663,7 +682,7 @@
         state.busy = Some(body.id);
         self.send_engine_state(id, 1_000);
         let state = self.backends.get_mut(id).and_then(|b| b.engine.as_mut());
-        let state = state.expect("it takes orders");
+        let state = state.expect("engine takes orders");
         state.busy = None;
         match body.order.clone() {
             EngineOrder::LoadModel { model, version } => {
@@ -683,17 +702,17 @@
         self.send_engine_state(id, order_us);
     }
 
-    fn start_work(&mut self, id: &VmId, started: Started) {
-        let backend = self.backends.get_mut(id).expect("a backend");
-        let idle = backend.order_until_us <= self.now_us;
-        assert!(idle, "{id}: a call came over a running order");
+    fn start_attempt(&mut self, id: &VmId, started: StartedAttempt) {
+        let backend = self.backends.get_mut(id).expect("known backend server");
+        let is_idle = backend.order_end_us <= self.now_us;
+        assert!(is_idle, "{id}: received a call while an order is running");
         match &started {
-            Started::Turn(body) => {
-                let last = body.messages.last().expect("a message");
+            StartedAttempt::Turn(body) => {
+                let last = body.messages.last().expect("at least one message");
                 backend.runs.push(last.content.clone());
                 backend.cached.insert(body.program.clone());
             }
-            Started::Call(_, call) => {
+            StartedAttempt::Call(_, call) => {
                 let body = String::from_utf8_lossy(&call.body).into_owned();
                 backend.runs.push(format!("{} {body}", call.path));
             }
@@ -701,30 +720,30 @@
         if backend.failures > 0 {
             backend.failures -= 1;
             let attempt = match &started {
-                Started::Turn(body) => body.attempt,
-                Started::Call(attempt, _) => *attempt,
+                StartedAttempt::Turn(body) => body.attempt,
+                StartedAttempt::Call(attempt, _) => *attempt,
             };
             let event = BackendEvent::Failed {
-                detail: "it broke".to_owned(),
+                detail: "scripted failure".to_owned(),
                 not_run: false,
             };
             let input = SidecarInput::Backend { attempt, event };
-            self.push(1_000, id, Input::Sidecar(input));
+            self.schedule(1_000, id, Input::Sidecar(input));
             return;
         }
         match backend.delay_us {
-            Some(delay_us) => self.end_work(id, delay_us, &started),
-            None => backend.held.push(started),
+            Some(delay_us) => self.finish_attempt(id, delay_us, &started),
+            None => backend.held_attempts.push(started),
         }
     }
 
-    fn end_work(&mut self, id: &VmId, delay_us: u64, started: &Started) {
-        let backend = self.backends.get_mut(id).expect("a backend");
-        backend.calls_until_us = backend.calls_until_us.max(self.now_us + delay_us);
+    fn finish_attempt(&mut self, id: &VmId, delay_us: u64, started: &StartedAttempt) {
+        let backend = self.backends.get_mut(id).expect("known backend server");
+        backend.calls_end_us = backend.calls_end_us.max(self.now_us + delay_us);
         let tokens = backend.tokens;
         match started {
-            Started::Turn(body) => {
-                let last = &body.messages.last().expect("a message").content;
+            StartedAttempt::Turn(body) => {
+                let last = &body.messages.last().expect("at least one message").content;
                 let text = format!("re: {last}");
                 let used = Tokens(tokens.unwrap_or(10));
                 let attempt = body.attempt;
@@ -737,7 +756,7 @@
                         count_tokens: Tokens(used.0 / 2),
                     };
                     position += half.chars().count() as u64;
-                    self.push(
+                    self.schedule(
                         delay_us / 2,
                         id,
                         Input::Sidecar(SidecarInput::Backend { attempt, event }),
@@ -752,13 +771,13 @@
                     finish: FinishReason::Stop,
                     cached: body.prompt.segments.clone(),
                 };
-                self.push(
+                self.schedule(
                     delay_us,
                     id,
                     Input::Sidecar(SidecarInput::Backend { attempt, event }),
                 );
             }
-            Started::Call(attempt, call) => {
+            StartedAttempt::Call(attempt, call) => {
                 let runs = self.backends[id].runs.len();
                 let answer = PlainAnswer {
                     status: 200,
@@ -767,7 +786,7 @@
                 };
                 let event = BackendEvent::Plain(answer);
                 let attempt = *attempt;
-                self.push(
+                self.schedule(
                     delay_us,
                     id,
                     Input::Sidecar(SidecarInput::Backend { attempt, event }),
@@ -776,20 +795,28 @@
         }
     }
 
-    /// Lets a backend answer what it holds.
+    /// Completes the calls that a backend server holds.
     pub fn complete_held_calls(&mut self, name: &str) {
         let id = vm(name);
-        let held = std::mem::take(&mut self.backends.get_mut(&id).expect("a backend").held);
-        for started in held {
-            self.end_work(&id, 1_000, &started);
+        let attempts = std::mem::take(
+            &mut self
+                .backends
+                .get_mut(&id)
+                .expect("known backend server")
+                .held_attempts,
+        );
+        for started in attempts {
+            self.finish_attempt(&id, 1_000, &started);
         }
     }
 
     pub fn backend(&mut self, name: &str) -> &mut Backend {
-        self.backends.get_mut(&vm(name)).expect("a backend")
+        self.backends
+            .get_mut(&vm(name))
+            .expect("known backend server")
     }
 
-    /// All runs at all backend servers.
+    /// Returns the started calls of all backend servers.
     pub fn runs(&self) -> Vec<String> {
         self.backends
             .values()
@@ -799,16 +826,16 @@
 
     /// Sends a caller's request to an entry.
     pub fn call(&mut self, entry: &str, make: impl FnOnce(RequestId) -> Request) -> RequestId {
-        let id = RequestId(self.next_id << 64);
-        self.next_id += 1;
+        let id = RequestId(self.next_request_id << 64);
+        self.next_request_id += 1;
         let input = EntryInput::Request(Box::new(make(id)));
-        self.push(0, &vm(entry), Input::Entry(input));
+        self.schedule(0, &vm(entry), Input::Entry(input));
         id
     }
 
     pub fn fetch(&mut self, entry: &str, name: &str, seq: u64, position: u64) -> RequestId {
-        let id = RequestId(self.next_id << 64);
-        self.next_id += 1;
+        let id = RequestId(self.next_request_id << 64);
+        self.next_request_id += 1;
         let fetch = Fetch {
             id,
             program: program(name),
@@ -816,17 +843,17 @@
             seq: CallSeq(seq),
             position,
         };
-        self.answers.entry(id).or_default().from = position;
+        self.answers.entry(id).or_default().start_position = position;
         self.send_input(entry, EntryInput::Fetch(Box::new(fetch)));
         id
     }
 
     pub fn send_input(&mut self, entry: &str, input: EntryInput) {
-        self.push(0, &vm(entry), Input::Entry(input));
+        self.schedule(0, &vm(entry), Input::Entry(input));
     }
 
     pub fn send_sidecar_input(&mut self, name: &str, input: SidecarInput) {
-        self.push(0, &vm(name), Input::Sidecar(input));
+        self.schedule(0, &vm(name), Input::Sidecar(input));
     }
 
     pub fn end_program(&mut self, entry: &str, name: &str, reason: EndReason) {
@@ -839,18 +866,22 @@
     }
 
     pub fn is_answered(&self, id: RequestId) -> bool {
-        self.answer(id).ends > 0
+        self.answer(id).end_count > 0
     }
 
-    /// Lets time pass until a request has its end.
+    /// Advances virtual time until a request is answered, and returns the answer.
     pub fn wait(&mut self, id: RequestId) -> Answer {
-        self.run_until(60_000, "an answer", |world| world.is_answered(id));
+        self.run_until(60_000, "the answer", |world| world.is_answered(id));
         self.answer(id)
     }
 
     pub fn dump(&self, name: &str) -> serde_json::Value {
         let now = TimeUs(self.now_us);
-        match self.hosts[&vm(name)].process.as_ref().expect("it lives") {
+        match self.hosts[&vm(name)]
+            .process
+            .as_ref()
+            .expect("process is running")
+        {
             Process::Entry(entry) => entry.dump(now),
             Process::Sidecar(sidecar) => sidecar.dump(now),
         }
@@ -860,7 +891,7 @@
         self.hosts[&vm(name)].process.is_some()
     }
 
-    /// The entry that owns the partition of a program.
+    /// Returns the entry that owns the partition of a program.
     pub fn owner_of(&self, name: &str) -> Option<String> {
         let partition = program(name).partition(8).0;
         let entries = self
@@ -877,7 +908,7 @@
         None
     }
 
-    /// A program name whose partition `entry` would claim, and one that is not `taken`.
+    /// Returns a program name whose partition rendezvous hashing assigns to `entry` among all entries.
     pub fn program_owned_by(&mut self, entry: &str, prefix: &str) -> String {
         let entries: Vec<VmId> = self
             .hosts
@@ -893,20 +924,20 @@
                 return name;
             }
         }
-        panic!("no program falls to {entry}");
+        panic!("no program name in 1,000 falls to {entry}");
     }
 
-    /// The records of the journal, oldest first.
+    /// Returns the records of the journal, oldest first.
     pub fn records(&self) -> Vec<Record> {
         let texts = &self.log.records[&StreamName::Journal];
         texts
             .iter()
-            .map(|text| serde_json::from_str(text).expect("a record"))
+            .map(|text| serde_json::from_str(text).expect("valid record"))
             .collect()
     }
 
-    /// The count of owners' records in force that `wanted` picks.
-    pub fn count_records(&self, wanted: impl Fn(&PartitionRecord) -> bool) -> usize {
+    /// Counts the matching records of owners that a replay of the journal accepts.
+    pub fn count_records(&self, is_match: impl Fn(&PartitionRecord) -> bool) -> usize {
         let mut partitions = Partitions::default();
         let mut seen = BTreeSet::new();
         self.records()
@@ -914,12 +945,12 @@
             .enumerate()
             .filter(|(_, record)| seen.insert(record.id))
             .filter(|(at, record)| {
-                let applied = partitions.apply(Offset(*at as u64), record);
-                matches!(applied, Effect::Accepted(_))
+                let effect = partitions.apply(Offset(*at as u64), record);
+                matches!(effect, Effect::Accepted(_))
             })
             .map(|(_, record)| record)
             .filter(
-                |record| matches!(&record.body, RecordBody::Owned { entry, .. } if wanted(entry)),
+                |record| matches!(&record.body, RecordBody::Owned { entry, .. } if is_match(entry)),
             )
             .count()
     }
@@ -929,7 +960,7 @@
     }
 }
 
-fn order(a: &VmId, b: &VmId) -> (VmId, VmId) {
+fn link_key(a: &VmId, b: &VmId) -> (VmId, VmId) {
     if a < b {
         (a.clone(), b.clone())
     } else {
@@ -940,7 +971,7 @@
 fn request(id: RequestId, service: &str, name: &str, payload: Payload) -> Request {
     Request {
         id,
-        service: service.parse().expect("a name"),
+        service: service.parse().expect("valid name"),
         program: program(name),
         single_call: false,
         seq: None,
@@ -958,7 +989,7 @@
     }
 }
 
-/// A turn of `name` with a transcript of alternating user and assistant messages.
+/// Creates a turn of `name` with a transcript of alternating user and assistant messages.
 pub fn chat(name: &str, transcript: &[&str]) -> impl FnOnce(RequestId) -> Request + use<> {
     let messages: Vec<ChatMessage> = transcript
         .iter()
@@ -968,7 +999,7 @@
     let name = name.to_owned();
     move |id| {
         let call = ChatCall {
-            model: "m".parse().expect("a name"),
+            model: "m".parse().expect("valid name"),
             prompt: Prompt::of_messages(&messages),
             messages,
             max_output_tokens: None,
@@ -979,7 +1010,7 @@
     }
 }
 
-/// A call of the plain service that may not run twice, unless its path is `/check`.
+/// Creates a call of the plain service, which is non-idempotent unless the path is `/check`.
 pub fn post(name: &str, path: &str, body: &str) -> impl FnOnce(RequestId) -> Request + use<> {
     let call = PlainCall {
         method: "POST".to_owned(),
@@ -991,7 +1022,7 @@
     move |id| request(id, "book", &name, Payload::Plain(call))
 }
 
-/// The same request under a place in its program.
+/// Sets the sequence number of a request within its program.
 pub fn with_seq(
     seq: u64,
     make: impl FnOnce(RequestId) -> Request,
@@ -1002,19 +1033,19 @@
     }
 }
 
-/// The same request under an idempotency key.
+/// Sets the idempotency key of a request.
 pub fn with_idempotency_key(
     key: &str,
     make: impl FnOnce(RequestId) -> Request,
 ) -> impl FnOnce(RequestId) -> Request {
-    let key = key.parse().expect("a name");
+    let key = key.parse().expect("valid name");
     move |id| Request {
         idempotency_key: Some(key),
         ..make(id)
     }
 }
 
-/// The same request with a deadline.
+/// Sets the deadline of a request.
 pub fn with_deadline_ms(
     ms: u64,
     make: impl FnOnce(RequestId) -> Request,
@@ -1025,7 +1056,7 @@
     }
 }
 
-/// The same request as a sub-agent's of `parent`.
+/// Makes a request one of a sub-agent of the program `parent`.
 pub fn with_parent(
     parent: &str,
     make: impl FnOnce(RequestId) -> Request,
@@ -1037,7 +1068,7 @@
     }
 }
 
-/// The chain segments of a prompt, for cache events.
+/// Returns the chain segments of a prompt, for cache events.
 pub fn segments(prompt: &Prompt) -> Vec<Segment> {
     prompt.segments.clone()
 }
--- a/clementinepick/tests/measure.rs
+++ b/clementinepick/tests/measure.rs
@@ -1,6 +1,5 @@
-//! What the safeguards cost, in virtual time; run with `--nocapture` to see the figures.
-//!
-//! The bounds are those of the design, so that a change that makes them worse is noticed.
+//! Measures in virtual time what the safeguards cost and checks it against the bounds of the design.
+//! `--nocapture` prints the figures.
 
 mod common;
 
@@ -9,55 +8,63 @@
 use clementinepick::units::Tokens;
 use common::{World, chat, post};
 
-/// The time that a backend server takes for a call here.
+/// The time that a backend server takes for a call.
 const BACKEND_US: u64 = 20_000;
 
 fn mean_latency_us(world: &mut World, name: &str, path: &str, calls: u64) -> u64 {
     let mut total_us = 0;
     for n in 0..calls {
         let id = world.call("e0", post(name, path, &n.to_string()));
-        let asked_us = world.now_us;
-        total_us += world.wait(id).at_us - asked_us;
+        let sent_us = world.now_us;
+        total_us += world.wait(id).at_us - sent_us;
         world.run_ms(7);
     }
     total_us / calls
 }
 
-// The claim waits for one append and the read that shows it; the outcome's record waits for another
-// pair before the answer goes out, at most the commit wait.
+// A non-idempotent call runs only after its start record was appended and read back. Its answer
+// waits likewise for the record of the outcome, at most for the commit wait.
 #[test]
-fn added_latency_of_the_claim_against_append_latency() {
-    println!("append ms | idempotent ms | not idempotent ms | added ms");
+fn latency_added_by_start_records_is_bounded_by_append_latency() {
+    println!("append ms | idempotent ms | non-idempotent ms | added ms");
     for append_ms in [2, 5, 10, 20, 50, 100] {
         let mut world = World::new(2, 1, 1);
         let name = world.program_owned_by("e0", "p");
         world.log.append_us = append_ms * 1_000;
         mean_latency_us(&mut world, &name, "/check", 1);
-        let plain_us = mean_latency_us(&mut world, &name, "/check", 10);
-        let claimed_us = mean_latency_us(&mut world, &name, "/hold", 10);
-        let added_us = claimed_us - plain_us;
+        let idempotent_us = mean_latency_us(&mut world, &name, "/check", 10);
+        let non_idempotent_us = mean_latency_us(&mut world, &name, "/hold", 10);
+        let added_us = non_idempotent_us - idempotent_us;
         println!(
             "{append_ms} | {:.1} | {:.1} | {:.1}",
-            ms(plain_us),
-            ms(claimed_us),
-            ms(added_us)
+            us_to_ms(idempotent_us),
+            us_to_ms(non_idempotent_us),
+            us_to_ms(added_us)
         );
-        // Slices of three calls are set aside ahead; an append slower than three calls is felt.
+        // Slices of three calls are reserved in advance; an append that takes longer than three
+        // calls adds to their latency.
         let bound_us = BACKEND_US + 5_000 + append_ms * 250;
-        assert!(plain_us <= bound_us, "idempotent calls: {plain_us} us");
+        assert!(
+            idempotent_us <= bound_us,
+            "idempotent calls: {idempotent_us} us"
+        );
         let bound_us = 2 * (append_ms * 1_000 + 20_000);
         assert!(added_us <= bound_us, "{added_us} us added");
     }
 }
 
-#[expect(clippy::cast_precision_loss, reason = "figures for people")]
-fn ms(us: u64) -> f64 {
+#[expect(
+    clippy::cast_precision_loss,
+    reason = "printed values need no full precision"
+)]
+fn us_to_ms(us: u64) -> f64 {
     us as f64 / 1_000.0
 }
 
-// Group commit: while one append is in flight, all that waits goes into the next.
+// Group commit: the records that wait while an append is in flight share the next one, so that the
+// rate of appends is bounded by their latency rather than by the rate of calls.
 #[test]
-fn appends_against_calls() {
+fn group_commit_limits_appends_at_high_call_rates() {
     println!("calls/s | appends/s | records/s");
     for rate in [10, 50, 200, 500] {
         let mut world = World::new(1, 1, 1);
@@ -81,11 +88,14 @@
         let records = (world.log.appended_records - records) / seconds;
         println!("{} | {appends} | {records}", done / seconds);
         assert!(appends <= 200, "{appends} appends/s");
-        assert!(records >= done / seconds * 2, "a start and an end each");
+        assert!(
+            records >= done / seconds * 2,
+            "fewer than two records for each call"
+        );
     }
 }
 
-fn with_budget(
+fn with_budget_tokens(
     tokens: u64,
     make: impl FnOnce(RequestId) -> Request,
 ) -> impl FnOnce(RequestId) -> Request {
@@ -95,38 +105,39 @@
     }
 }
 
-// The owner dies in the middle of a program; what its last slices held unspent is lost to the
-// program, and nothing else is.
+// When the owner of a program crashes, only the unused rest of its last slices may be lost to the
+// program.
 #[test]
-fn budget_stranded_by_a_crash_against_slice_size() {
+fn budget_lost_in_a_crash_is_bounded_by_slice_size() {
     println!("budget tokens | slice tokens | stranded tokens | of the budget");
     for budget in [2_000, 4_000, 8_000, 16_000] {
         let mut world = World::new(3, 1, 1);
         let name = world.program_owned_by("e1", "p");
-        let mut spent = 0;
+        let mut used = 0;
         for crash_after in [3, 1_000] {
             for n in 0..crash_after {
                 let transcript = format!("{crash_after} {n}");
                 let call = |id| Request {
                     append: true,
-                    ..with_budget(budget, chat(&name, &[&transcript]))(id)
+                    ..with_budget_tokens(budget, chat(&name, &[&transcript]))(id)
                 };
                 let id = world.call("e0", call);
                 let answer = world.wait(id);
                 match &answer.done {
                     Some(done) => {
-                        spent += done.usage.prompt_tokens.0 + done.usage.output_tokens.0;
+                        used += done.usage.prompt_tokens.0 + done.usage.output_tokens.0;
                     }
                     None if answer.code() == "history_needed" => {
-                        // After the crash the caller proves once that nothing is missing.
+                        // After the crash the new owner asks once for proof that the history is
+                        // complete.
                         let chain = last_chain(&world);
-                        let proven = |id| Request {
+                        let with_proof = |id| Request {
                             history_chain: Some(chain),
                             ..call(id)
                         };
-                        let id = world.call("e0", proven);
+                        let id = world.call("e0", with_proof);
                         let done = world.wait(id).done.expect("answered");
-                        spent += done.usage.prompt_tokens.0 + done.usage.output_tokens.0;
+                        used += done.usage.prompt_tokens.0 + done.usage.output_tokens.0;
                     }
                     None => break,
                 }
@@ -136,14 +147,14 @@
                 world.run_ms(4_000);
             }
         }
-        let stranded = budget - spent;
+        let stranded = budget - used;
         let slice = budget / 16;
         println!(
             "{budget} | {slice} | {stranded} | {}%",
             stranded * 100 / budget
         );
-        assert!(spent <= budget, "{spent} of {budget}");
-        // A last call that did not fit any more strands its own hold as well.
+        assert!(used <= budget, "{used} of {budget}");
+        // The reservation of the last call, which no longer fits, is unused as well.
         assert!(stranded <= 2 * slice + 700, "{stranded} of {budget}");
     }
 }
@@ -154,14 +165,15 @@
         .values()
         .rev()
         .find_map(|a| a.done.as_ref()?.chain);
-    chain.expect("a turn")
+    chain.expect("at least one answered turn")
 }
 
-// A killed process's links break at once; one that stands still is noticed by its silence.
+// The links of a killed process break at once; a paused process is only detected by its missing
+// heartbeats.
 #[test]
-fn time_from_an_owners_death_to_the_next_answer() {
-    println!("how | ms to the next answer");
-    for how in ["killed", "silent"] {
+fn time_to_the_next_answer_after_loss_of_an_owner_is_bounded() {
+    println!("owner | ms to the next answer");
+    for failure in ["killed", "paused"] {
         let mut worst_us = 0;
         for n in 0..5 {
             let mut world = World::new(3, 1, 1);
@@ -169,21 +181,21 @@
             let id = world.call("e0", post(&name, "/check", "warm"));
             world.wait(id);
             world.run_ms(100 + 37 * n);
-            let died_us = world.now_us;
-            if how == "killed" {
+            let failed_us = world.now_us;
+            if failure == "killed" {
                 world.kill("e1");
             } else {
                 world.pause("e1");
             }
             let id = world.call("e0", post(&name, "/check", "next"));
-            worst_us = worst_us.max(world.wait(id).at_us - died_us);
+            worst_us = worst_us.max(world.wait(id).at_us - failed_us);
         }
-        println!("{how} | {:.0}", ms(worst_us));
-        let bound_us = if how == "killed" {
+        println!("{failure} | {:.0}", us_to_ms(worst_us));
+        let bound_us = if failure == "killed" {
             2_500_000
         } else {
             5_500_000
         };
-        assert!(worst_us <= bound_us, "{how}: {worst_us} us");
+        assert!(worst_us <= bound_us, "{failure}: {worst_us} us");
     }
 }
--- a/clementinepick/tests/programs.rs
+++ b/clementinepick/tests/programs.rs
@@ -1,4 +1,5 @@
-//! Programs: order, budgets, sub-agents, the loop guard, the end and the release of memory.
+//! Tests programs: the order of calls, budgets, sub-agents, the loop guard, and the release of
+//! memory at the end.
 
 mod common;
 
@@ -13,7 +14,7 @@
     with_seq,
 };
 
-fn ended(world: &World, name: &str) -> Option<EndReason> {
+fn recorded_end_reason(world: &World, name: &str) -> Option<EndReason> {
     world
         .records()
         .iter()
@@ -29,7 +30,7 @@
         })
 }
 
-fn budget(
+fn with_budget_tokens(
     tokens: u64,
     make: impl FnOnce(RequestId) -> Request,
 ) -> impl FnOnce(RequestId) -> Request {
@@ -39,10 +40,10 @@
     }
 }
 
-// The caller sees its calls run in the order of their numbers, although they come in at three
-// entries in another order and at once.
+// Calls arrive at three entries at the same time and in another order than their sequence numbers,
+// by which they must run.
 #[test]
-fn calls_from_several_entries_run_in_their_order() {
+fn calls_from_several_entries_run_in_sequence() {
     let mut world = World::new(3, 1, 1);
     let ids: Vec<RequestId> = [(3, "e0"), (1, "e1"), (0, "e2"), (2, "e0")]
         .into_iter()
@@ -54,18 +55,18 @@
     assert_eq!(world.runs(), ["/hold 0", "/hold 1", "/hold 2", "/hold 3"]);
 }
 
-// The caller of the later call is refused as not run after the wait for the gap; when the missing
-// call comes, both can go on.
+// A call after a gap in the sequence must not wait for its deadline, but be refused as not run. Once
+// the missing call has arrived, both must run.
 #[test]
-fn a_gap_is_waited_for_only_so_long() {
+fn wait_for_a_missing_call_is_bounded() {
     let mut world = World::new(2, 1, 1);
     let first = world.call("e0", with_seq(0, post("p", "/hold", "0")));
     world.wait(first);
-    let asked_us = world.now_us;
+    let sent_us = world.now_us;
     let late = world.call("e0", with_seq(2, post("p", "/hold", "2")));
     let answer = world.wait(late);
     assert_eq!(answer.code(), "out_of_order");
-    assert!(answer.at_us - asked_us < 6_000_000);
+    assert!(answer.at_us - sent_us < 6_000_000);
     for seq in [1, 2] {
         let id = world.call("e1", with_seq(seq, post("p", "/hold", &seq.to_string())));
         assert_eq!(world.wait(id).code(), "done");
@@ -73,10 +74,10 @@
     assert_eq!(world.runs(), ["/hold 0", "/hold 1", "/hold 2"]);
 }
 
-// The caller sends a call again that was refused as not run, under the same number, and it runs.
-// Calls without numbers that were behind it do not wait for it.
+// A call that was refused as not run must run when it is repeated with the same sequence number.
+// Later calls without numbers must not wait for it.
 #[test]
-fn a_refused_call_may_come_again_under_its_number() {
+fn refused_call_can_be_repeated_with_its_sequence_number() {
     let mut world = World::new(2, 1, 1);
     let first = world.call("e0", with_seq(0, post("p", "/hold", "0")));
     world.wait(first);
@@ -94,10 +95,10 @@
     assert_eq!(world.runs(), ["/hold 0", "/hold 1", "/hold 2"]);
 }
 
-// The caller's next call is answered after a short wait. The owner ran idempotent calls that left
-// no record and died; its successor can't know their numbers and must not refuse the next one.
+// Idempotent calls leave no record, so the successor of a crashed owner doesn't know their sequence
+// numbers. It must accept the next number after a short wait.
 #[test]
-fn numbers_go_on_after_a_take_over() {
+fn sequence_continues_after_a_takeover() {
     let mut world = World::new(3, 1, 1);
     let name = world.program_owned_by("e1", "p");
     for seq in 0..4 {
@@ -112,13 +113,13 @@
     assert_eq!(world.wait(late).code(), "out_of_order");
 }
 
-// The callers of a parent and two sub-agents spend from one account, and never more than it has.
+// A program and its sub-agents together must not use more than the budget of the root program.
 #[test]
-fn sub_agents_spend_from_their_roots_account() {
+fn sub_agents_share_the_budget_of_the_root() {
     let mut world = World::new(3, 1, 1);
-    let first = world.call("e0", budget(400, chat("root", &["plan"])));
+    let first = world.call("e0", with_budget_tokens(400, chat("root", &["plan"])));
     assert_eq!(world.wait(first).code(), "done");
-    let mut spent = 0;
+    let mut used = 0;
     let mut refused = 0;
     for n in 0..30 {
         let name = format!("child{}", n % 2);
@@ -137,24 +138,27 @@
         let id = world.call(&entry, with_parent("root", chat(&name, &transcript)));
         let answer = world.wait(id);
         if let Some(done) = &answer.done {
-            spent += done.usage.prompt_tokens.0 + done.usage.output_tokens.0;
+            used += done.usage.prompt_tokens.0 + done.usage.output_tokens.0;
         } else {
             assert!(["budget_exhausted", "program_ended"].contains(&answer.code()));
             refused += 1;
         }
         world.run_ms(50);
     }
-    assert!(refused > 0, "the account was never exhausted");
-    assert!(spent <= 400, "{spent} tokens were spent");
+    assert!(refused > 0, "the budget was never exhausted");
+    assert!(used <= 400, "{used} tokens used of 400");
     world.run_ms(1_000);
-    assert_eq!(ended(&world, "root"), Some(EndReason::Budget));
-    assert_eq!(ended(&world, "child0"), Some(EndReason::Parent));
+    assert_eq!(recorded_end_reason(&world, "root"), Some(EndReason::Budget));
+    assert_eq!(
+        recorded_end_reason(&world, "child0"),
+        Some(EndReason::Parent)
+    );
 }
 
-// A caller leaves out the parent of a sub-agent: the call is led to its root's partition all the
-// same, and opens no second program with a budget of its own.
+// A call of a known sub-agent that leaves out the parent must be routed to the root's partition,
+// and must not open a second program with a budget of its own.
 #[test]
-fn a_sub_agent_without_its_parent_named_stays_one_program() {
+fn sub_agent_call_without_parent_joins_the_known_program() {
     let mut world = World::new(2, 1, 1);
     let root = world.program_owned_by("e0", "root");
     let child = world.program_owned_by("e1", "child");
@@ -170,10 +174,10 @@
     assert_eq!(world.wait(orphan).code(), "unknown_call");
 }
 
-// No caller gets more than the budget, over the death of two owners; what a slice left unspent is
-// the price of not knowing.
+// Crashes of two owners must not let a program exceed its budget; only the unused rest of the slices
+// may be lost.
 #[test]
-fn a_budget_holds_over_the_deaths_of_owners() {
+fn budget_holds_across_crashes_of_owners() {
     let mut world = World::new(4, 1, 1);
     let name = world.program_owned_by("e2", "p");
     let mut answered = 0;
@@ -202,9 +206,9 @@
     assert!((40..=50).contains(&answered), "{answered} of 50 calls");
 }
 
-// A caller that sends the same call again and again is stopped, and its program is ended.
+// A program that repeats the same call must be stopped and ended.
 #[test]
-fn the_loop_guard_ends_a_program() {
+fn loop_guard_ends_a_program_that_repeats_a_call() {
     let mut world = World::new(2, 1, 1);
     let mut codes = Vec::new();
     for _ in 0..12 {
@@ -213,21 +217,21 @@
     }
     assert_eq!(codes.iter().filter(|code| *code == "done").count(), 8);
     assert_eq!(codes[8], "loop_stopped");
-    assert_eq!(ended(&world, "p"), Some(EndReason::Loop));
+    assert_eq!(recorded_end_reason(&world, "p"), Some(EndReason::Loop));
     assert!(world.has_event(EventKind::LoopStopped));
 }
 
-// The caller is told that the program has ended, and the engine's memory is free, whichever way
-// the program ends.
+// However a program ends, its memory at the engine must be released. Except after the idle timeout,
+// the end must be recorded with its reason and later calls must be refused.
 #[test]
-fn memory_is_freed_however_a_program_ends() {
-    for way in ["caller", "operator", "idle", "parent"] {
+fn memory_is_released_however_a_program_ends() {
+    for cause in ["caller", "operator", "idle", "parent"] {
         let mut world = World::new(2, 2, 1);
         let root = world.call("e0", chat("root", &["plan"]));
         world.wait(root);
         let id = world.call("e0", with_parent("root", chat("p", &["a"])));
         world.wait(id);
-        let reason = match way {
+        let reason = match cause {
             "caller" => {
                 world.end_program("e1", "p", EndReason::Caller);
                 EndReason::Caller
@@ -246,23 +250,23 @@
             }
         };
         world.run_ms(1_000);
-        let held = world
+        let is_cached = world
             .backends
             .values()
             .any(|b| b.cached.contains(&program("p")));
-        assert!(!held, "{way}: memory is held");
-        if way != "idle" {
-            assert_eq!(ended(&world, "p"), Some(reason), "{way}");
+        assert!(!is_cached, "{cause}: memory was not released");
+        if cause != "idle" {
+            assert_eq!(recorded_end_reason(&world, "p"), Some(reason), "{cause}");
             let id = world.call("e0", chat("p", &["a", "re: a", "b"]));
-            assert_eq!(world.wait(id).code(), "program_ended", "{way}");
+            assert_eq!(world.wait(id).code(), "program_ended", "{cause}");
         }
     }
 }
 
-// Nobody sees it. The owner of an ended program dies before its sidecar confirmed the release;
-// the lease that nobody renews lapses, and the memory is free.
+// The owner of an ended program crashes before the sidecar has confirmed the release. The memory
+// must be released when the lease, which no one renews, expires.
 #[test]
-fn memory_is_freed_when_the_owner_dies_before_the_release() {
+fn memory_is_released_when_the_owner_crashes_before_the_release() {
     let mut world = World::new(2, 1, 1);
     let name = world.program_owned_by("e1", "p");
     let id = world.call("e0", chat(&name, &["a"]));
@@ -276,10 +280,10 @@
     assert!(world.backend("g0").cached.is_empty());
 }
 
-// Nobody sees it. The engine does not answer the order to free a program's memory; the order is
-// given again until it does.
+// The engine doesn't confirm the release of a program's memory; the release must be repeated until
+// it does.
 #[test]
-fn a_release_that_the_engine_does_not_confirm_is_repeated() {
+fn unconfirmed_release_is_repeated() {
     let mut world = World::new(1, 1, 1);
     let id = world.call("e0", chat("p", &["a"]));
     world.wait(id);
@@ -297,18 +301,18 @@
     );
 }
 
-// The caller of the hold gets its answer although its program is ended while it runs: a call that
-// may not run twice is let finish, and a repeat still gets its answer.
+// A non-idempotent call that is running when its program ends must be completed and answered, and
+// its duplicate must get the same outcome.
 #[test]
-fn a_call_that_may_not_run_twice_is_let_finish_when_its_program_ends() {
+fn running_non_idempotent_call_completes_when_its_program_ends() {
     let mut world = World::new(2, 1, 1);
     world.backend("b0").delay_us = Some(1_000_000);
     let id = world.call("e0", with_idempotency_key("k", post("p", "/hold", "x")));
-    world.run_until(2_000, "the run", |w| !w.runs().is_empty());
+    world.run_until(2_000, "the call started", |w| !w.runs().is_empty());
     world.end_program("e1", "p", EndReason::Operator);
     assert_eq!(world.wait(id).code(), "done");
-    let repeat = world.call("e1", with_idempotency_key("k", post("p", "/hold", "x")));
-    assert_eq!(world.wait(repeat).code(), "done");
+    let duplicate = world.call("e1", with_idempotency_key("k", post("p", "/hold", "x")));
+    assert_eq!(world.wait(duplicate).code(), "done");
     assert_eq!(world.runs(), ["/hold x"]);
     assert!(world.is_alive(vm("e0").as_str()));
 }
--- a/clementinepick/tests/safeguards.rs
+++ b/clementinepick/tests/safeguards.rs
@@ -1,4 +1,4 @@
-//! Each safeguard is taken out in turn; without it the failure that it is there for comes about.
+//! Tests that each safeguard is needed: with it disabled, the failure that it prevents occurs.
 
 mod common;
 
@@ -14,19 +14,34 @@
 use clementinepick::units::Tokens;
 use common::{LogMode, World, chat, post, program, vm, with_idempotency_key, with_seq};
 
-/// Runs a scenario with all safeguards and without one; it says whether the failure came about.
-fn shows(safeguard: &str, entries: usize, engines: usize, plain: usize, fails: fn(World) -> bool) {
-    let whole = World::new(entries, engines, plain);
-    assert!(!fails(whole), "it fails with all safeguards");
+/// Asserts that a scenario fails without the safeguard and doesn't fail with all safeguards.
+///
+/// `fails` runs the scenario and returns whether the failure occurred.
+fn assert_fails_without(
+    safeguard: &str,
+    entries: usize,
+    engines: usize,
+    plain: usize,
+    fails: fn(World) -> bool,
+) {
+    let with_all = World::new(entries, engines, plain);
+    assert!(
+        !fails(with_all),
+        "the failure occurs with all safeguards enabled"
+    );
     let without = World::without_safeguard(safeguard, entries, engines, plain);
-    assert!(fails(without), "nothing fails without {safeguard}");
+    assert!(
+        fails(without),
+        "no failure occurs without the safeguard {safeguard}"
+    );
 }
 
-fn hold(name: &str) -> impl FnOnce(RequestId) -> Request {
+fn hold_seat(name: &str) -> impl FnOnce(RequestId) -> Request {
     with_idempotency_key("order-1", post(name, "/hold", "seat 7"))
 }
 
-fn owned_by(world: &mut World, entry: &str) -> String {
+/// Returns a program that `entry` owns, with the runs of the plain service cleared.
+fn program_of_owner(world: &mut World, entry: &str) -> String {
     let name = world.program_owned_by(entry, "p");
     let id = world.call("e0", post(&name, "/check", "free?"));
     world.wait(id);
@@ -39,14 +54,14 @@
     name
 }
 
-/// Kills the owner of a call that runs, and counts the runs when the caller has its answer.
-fn runs_after_the_owners_death(mut world: World) -> usize {
-    let name = owned_by(&mut world, "e1");
+/// Kills the owner of a running call, and returns how often the call has run once it is answered.
+fn count_runs_after_owner_crash(mut world: World) -> usize {
+    let name = program_of_owner(&mut world, "e1");
     for backend in world.backends.values_mut() {
         backend.delay_us = Some(5_000_000);
     }
-    let id = world.call("e0", hold(&name));
-    world.run_until(1_000, "the run", |w| !w.runs().is_empty());
+    let id = world.call("e0", hold_seat(&name));
+    world.run_until(1_000, "the call started", |w| !w.runs().is_empty());
     world.kill("e1");
     world.wait(id);
     world.run_ms(1_000);
@@ -54,30 +69,30 @@
 }
 
 #[test]
-fn without_the_record_of_its_start_a_call_runs_twice() {
-    shows("call_started_record", 3, 1, 1, |world| {
-        runs_after_the_owners_death(world) != 1
+fn without_start_record_a_call_runs_twice() {
+    assert_fails_without("call_started_record", 3, 1, 1, |world| {
+        count_runs_after_owner_crash(world) != 1
     });
 }
 
 #[test]
-fn without_the_fence_a_call_runs_twice() {
-    shows("fence", 3, 1, 2, |world| {
-        runs_after_the_owners_death(world) != 1
+fn without_fence_a_call_runs_twice() {
+    assert_fails_without("fence", 3, 1, 2, |world| {
+        count_runs_after_owner_crash(world) != 1
     });
 }
 
-// The owner can't reach the log nor the other entries, and does not know that it was replaced;
-// only the sidecar's check keeps it from running calls of the program beside the new owner.
+// A deposed owner that reaches neither the log nor the other entries doesn't know that it was
+// replaced. Only the sidecar's check of the epoch keeps it from running calls beside the new owner.
 #[test]
-fn without_the_epoch_check_a_deposed_owner_runs_calls() {
-    shows("epoch_check", 3, 1, 1, |mut world| {
-        let name = owned_by(&mut world, "e1");
+fn without_epoch_check_a_deposed_owner_runs_calls() {
+    assert_fails_without("epoch_check", 3, 1, 1, |mut world| {
+        let name = program_of_owner(&mut world, "e1");
         world.log.isolated_vms.insert(vm("e1"));
         for other in ["e0", "e2"] {
             world.cut_link("e1", other);
         }
-        world.run_until(10_000, "a take-over", |w| {
+        world.run_until(10_000, "the takeover", |w| {
             ["e0", "e2"].iter().any(|e| {
                 let owned = w.dump(e)["owned_partitions"].clone();
                 let partition = program(&name).partition(8).0;
@@ -94,22 +109,23 @@
 }
 
 #[test]
-fn without_the_answer_on_record_a_repeat_runs_again() {
-    shows("dedup", 2, 1, 1, |mut world| {
-        let name = owned_by(&mut world, "e1");
+fn without_dedup_a_duplicate_runs_again() {
+    assert_fails_without("dedup", 2, 1, 1, |mut world| {
+        let name = program_of_owner(&mut world, "e1");
         for entry in ["e0", "e1"] {
-            let id = world.call(entry, hold(&name));
+            let id = world.call(entry, hold_seat(&name));
             world.wait(id);
         }
         world.runs().len() != 1
     });
 }
 
-// Two entries that can't see each other claim the partition of a dead third at the same time.
+// Two entries without a link between them claim the partition of a crashed third one at the same
+// time; only one claim may take effect.
 #[test]
-fn without_compare_and_swap_two_claims_are_both_in_force() {
-    shows("claim_cas", 3, 1, 1, |mut world| {
-        let name = owned_by(&mut world, "e1");
+fn without_compare_and_swap_two_claims_take_effect() {
+    assert_fails_without("claim_cas", 3, 1, 1, |mut world| {
+        let name = program_of_owner(&mut world, "e1");
         world.cut_link("e0", "e2");
         world.kill("e1");
         let from_us = world.now_us;
@@ -125,24 +141,24 @@
 }
 
 #[test]
-fn without_reading_back_a_call_runs_unrecorded() {
-    shows("read_back", 2, 1, 1, |mut world| {
-        let name = owned_by(&mut world, "e1");
+fn without_read_back_an_unrecorded_call_runs() {
+    assert_fails_without("read_back", 2, 1, 1, |mut world| {
+        let name = program_of_owner(&mut world, "e1");
         world.log.mode = LogMode::Down;
-        let id = world.call("e0", hold(&name));
+        let id = world.call("e0", hold_seat(&name));
         world.run_ms(500);
         world.kill("e1");
         world.log.mode = LogMode::Up;
         world.wait(id);
-        let repeat = world.call("e0", hold(&name));
-        world.wait(repeat);
+        let duplicate = world.call("e0", hold_seat(&name));
+        world.wait(duplicate);
         world.runs().len() != 1
     });
 }
 
 #[test]
-fn without_lapsing_leases_memory_stays_held_for_lost_owners() {
-    shows("lease_lapse", 1, 1, 1, |mut world| {
+fn without_lease_expiry_memory_of_lost_owners_is_never_released() {
+    assert_fails_without("lease_lapse", 1, 1, 1, |mut world| {
         let id = world.call("e0", chat("p", &["hi"]));
         world.wait(id);
         assert!(world.backend("g0").cached.contains(&program("p")));
@@ -153,20 +169,20 @@
 }
 
 #[test]
-fn without_care_for_what_may_not_repeat_a_failed_call_runs_again() {
-    shows("retry_only_idempotent", 2, 1, 2, |mut world| {
-        let name = owned_by(&mut world, "e1");
+fn without_idempotency_check_a_failed_call_is_retried() {
+    assert_fails_without("retry_only_idempotent", 2, 1, 2, |mut world| {
+        let name = program_of_owner(&mut world, "e1");
         world.backend("b0").failures = 1;
         world.backend("b1").failures = 1;
-        let id = world.call("e0", hold(&name));
+        let id = world.call("e0", hold_seat(&name));
         world.wait(id);
         world.runs().len() != 1
     });
 }
 
 #[test]
-fn without_the_check_of_transcripts_two_conversations_mix() {
-    shows("digest_check", 2, 1, 1, |mut world| {
+fn without_digest_check_two_conversations_mix() {
+    assert_fails_without("digest_check", 2, 1, 1, |mut world| {
         let first = world.call("e0", chat("p", &["our secret"]));
         world.wait(first);
         let second = world.call("e0", chat("p", &["another", "talk", "goes on"]));
@@ -174,13 +190,14 @@
     });
 }
 
-// The log is down and the owner spends on; it dies, and what it spent is nowhere on record.
+// An owner that uses budget during a log outage and then crashes leaves no record of what it used;
+// only recorded slices may be used.
 #[test]
-fn without_slices_on_record_a_program_overspends() {
-    shows("slice_on_record", 2, 1, 1, |mut world| {
-        let name = owned_by(&mut world, "e1");
+fn without_recorded_slices_a_program_exceeds_its_budget() {
+    assert_fails_without("slice_on_record", 2, 1, 1, |mut world| {
+        let name = program_of_owner(&mut world, "e1");
         let mut answered = 0;
-        let mut spend = |world: &mut World, entry: &str| {
+        let mut count_answered = |world: &mut World, entry: &str| {
             for n in 0..200 {
                 let check = post(&name, "/check", &format!("{entry} {n}"));
                 let id = world.call(entry, common::with_deadline_ms(200, check));
@@ -193,22 +210,22 @@
             answered
         };
         world.log.mode = LogMode::Down;
-        spend(&mut world, "e1");
+        count_answered(&mut world, "e1");
         world.kill("e1");
         world.log.mode = LogMode::Up;
         world.run_ms(5_000);
-        spend(&mut world, "e0") + 1 > PLAIN_CALLS
+        count_answered(&mut world, "e0") + 1 > PLAIN_BUDGET_CALLS
     });
 }
 
-/// The calls that a program of the plain service may spend.
-const PLAIN_CALLS: u32 = 50;
+/// The call budget of a program of the plain service.
+const PLAIN_BUDGET_CALLS: u32 = 50;
 
 // A lagging entry sends a sidecar a document that is no longer in force.
 #[test]
-fn without_rising_revisions_an_old_document_comes_back() {
-    shows("revision_monotonic", 1, 1, 1, |mut world| {
-        let published = |revision, text: &str| clementinepick::record::PublishedDocument {
+fn without_monotonic_revisions_an_old_document_takes_effect() {
+    assert_fails_without("revision_monotonic", 1, 1, 1, |mut world| {
+        let document = |revision, text: &str| clementinepick::record::PublishedDocument {
             service: "book".parse().expect("a name"),
             revision: clementinepick::ids::Revision(revision),
             operation: clementinepick::ids::OperationId(9),
@@ -216,7 +233,7 @@
             text: text.to_owned(),
         };
         for revision in [3, 2] {
-            let message = Message::Documents(vec![published(revision, common::PLAIN_DOCUMENT)]);
+            let message = Message::Documents(vec![document(revision, common::PLAIN_DOCUMENT)]);
             let from = vm("e0");
             world.send_sidecar_input("b0", SidecarInput::Link { from, message });
         }
@@ -226,8 +243,8 @@
 }
 
 #[test]
-fn without_repeated_releases_memory_stays_held() {
-    shows("release_repeat", 1, 1, 1, |mut world| {
+fn without_repeated_releases_memory_is_never_released() {
+    assert_fails_without("release_repeat", 1, 1, 1, |mut world| {
         let id = world.call("e0", chat("p", &["hi"]));
         world.wait(id);
         world.should_drop = |message| matches!(message, Message::Release { .. });
@@ -239,12 +256,12 @@
     });
 }
 
-// A turn ends at its engine just as it is cancelled: its answer lies in the cache under a chain that
-// the sidecar was never told, and an order to free what it knows does not reach it. Only a list of
-// all that is to be kept does.
+// A turn that completes while it is cancelled leaves a prefix in the engine's cache that was never
+// reported to the sidecar. Releases name only known prefixes; listing all prefixes to retain also
+// evicts the unknown ones.
 #[test]
-fn without_lists_of_what_to_keep_an_untold_prefix_stays() {
-    shows("retain", 1, 1, 1, |mut world| {
+fn without_retain_lists_an_unreported_prefix_stays_cached() {
+    assert_fails_without("retain", 1, 1, 1, |mut world| {
         let load = LoadReport {
             cache_size_tokens: Tokens(1_000),
             ..LoadReport::default()
@@ -257,23 +274,23 @@
 }
 
 #[test]
-fn without_the_order_a_later_call_overtakes() {
-    shows("order", 2, 1, 1, |mut world| {
-        let name = owned_by(&mut world, "e1");
+fn without_sequencing_a_later_call_overtakes() {
+    assert_fails_without("order", 2, 1, 1, |mut world| {
+        let name = program_of_owner(&mut world, "e1");
         world.backend("b0").delay_us = Some(500_000);
         let first = world.call("e0", with_seq(1, post(&name, "/hold", "first")));
-        world.run_until(5_000, "the first run", |w| !w.runs().is_empty());
+        world.run_until(5_000, "the first call started", |w| !w.runs().is_empty());
         let second = world.call("e1", with_seq(2, post(&name, "/hold", "second")));
         world.run_ms(400);
-        let overtaken = world.runs().len() > 1 && !world.is_answered(first);
+        let is_overtaken = world.runs().len() > 1 && !world.is_answered(first);
         world.wait(second);
-        overtaken
+        is_overtaken
     });
 }
 
 #[test]
-fn without_cutting_off_an_engine_spends_more_than_was_reserved() {
-    shows("output_cut", 1, 1, 1, |mut world| {
+fn without_output_limit_an_engine_generates_more_than_reserved() {
+    assert_fails_without("output_cut", 1, 1, 1, |mut world| {
         world.backend("g0").tokens = Some(500);
         let id = world.call("e0", chat("p", &["hi"]));
         let done = world.wait(id).done.expect("answered");
@@ -281,12 +298,12 @@
     });
 }
 
-// Every switch has its scenario above.
+// Guards against a safeguard that is added without a scenario in this file.
 #[test]
-fn each_safeguard_has_its_scenario() {
+fn each_safeguard_has_a_scenario() {
     let source = include_str!("safeguards.rs");
     for name in Safeguards::NAMES {
-        let shown = source.contains(&format!("shows(\"{name}\""));
-        assert!(shown, "{name}");
+        let is_tested = source.contains(&format!("assert_fails_without(\"{name}\""));
+        assert!(is_tested, "{name}");
     }
 }
