--- a/clementinepick/tests/measure.rs
+++ b/clementinepick/tests/measure.rs
@@ -136,7 +136,7 @@
                             ..call(id)
                         };
                         let id = world.call("e0", with_proof);
-                        let done = world.wait(id).done.expect("answered");
+                        let done = world.wait(id).done.expect("call completed");
                         used += done.usage.prompt_tokens.0 + done.usage.output_tokens.0;
                     }
                     None => break,
--- a/clementinepick/tests/operations.rs
+++ b/clementinepick/tests/operations.rs
@@ -91,7 +91,7 @@
     let mut world = World::new(2, 1, 0);
     let with_class =
         |class: &str, make: Box<dyn FnOnce(RequestId) -> clementinepick::call::Request>| {
-            let class = class.parse().expect("a name");
+            let class = class.parse().expect("valid name");
             move |id| clementinepick::call::Request {
                 class: Some(class),
                 ..make(id)
@@ -131,7 +131,7 @@
         world.publish(10, 1, &format!("{ENGINE_DOCUMENT}[class d]\nrank = 2\n"));
         world.run_until(2_000, "in force", |world| revision(world, entry) == 2);
         let id = world.call(entry, |id| clementinepick::call::Request {
-            class: Some("d".parse().expect("a name")),
+            class: Some("d".parse().expect("valid name")),
             ..chat("p", &["hi"])(id)
         });
         assert_eq!(world.wait(id).code(), "done", "{entry}");
@@ -149,7 +149,7 @@
     assert_eq!(revision(&world, "e1"), 1);
     let name = world.program_owned_by("e1", "p");
     let id = world.call("e0", |id| clementinepick::call::Request {
-        class: Some("d".parse().expect("a name")),
+        class: Some("d".parse().expect("valid name")),
         ..chat(&name, &["hi"])(id)
     });
     world.run_ms(100);
@@ -185,9 +185,9 @@
 }
 
 fn engine_state(version: &str) -> EngineState {
-    let model = "m".parse().expect("a name");
+    let model = "m".parse().expect("valid name");
     EngineState {
-        models: BTreeMap::from([(model, version.parse().expect("a name"))]),
+        models: BTreeMap::from([(model, version.parse().expect("valid name"))]),
         adapters: BTreeMap::new(),
         role: EngineRole::Mixed,
         fencing: None,
@@ -249,8 +249,8 @@
         backend.delay_us = Some(400_000);
     }
     let mut state = engine_state("v1");
-    let old = "old".parse().expect("a name");
-    state.models.insert(old, "v1".parse().expect("a name"));
+    let old = "old".parse().expect("valid name");
+    state.models.insert(old, "v1".parse().expect("valid name"));
     world.enable_engine_orders(&state);
     world.publish(10, 1, &document_with_placement("v1"));
     let mut ids = Vec::new();
@@ -273,7 +273,7 @@
     world.enable_engine_orders(&engine_state("v1"));
     world.publish(10, 1, &document_with_placement("v2"));
     world.run_until(10_000, "first orders", |world| count_loads(world) >= 1);
-    let first = find_decider(&world, &["e0", "e1"]).expect("a decider");
+    let first = find_decider(&world, &["e0", "e1"]).expect("active decider");
     world.kill(&first);
     world.run_until(20_000, "v2 on all engines", |world| {
         count_serving(world, "v2") == 4
@@ -291,7 +291,7 @@
     world.enable_engine_orders(&engine_state("v1"));
     world.publish(10, 1, &document_with_placement("v2"));
     world.run_until(10_000, "first orders", |world| count_loads(world) >= 1);
-    let first = find_decider(&world, &["e0", "e1"]).expect("a decider");
+    let first = find_decider(&world, &["e0", "e1"]).expect("active decider");
     world.pause(&first);
     world.run_ms(8_000);
     world.publish(11, 2, &document_with_placement("v3"));
@@ -374,7 +374,7 @@
         all_have_revision(world, &["e0", "e1", "g0"], 2)
     });
     let old = clementinepick::record::PublishedDocument {
-        service: "llm".parse().expect("a name"),
+        service: "llm".parse().expect("valid name"),
         revision: Revision(1),
         operation: clementinepick::ids::OperationId(1),
         author: vm("operator"),
--- a/clementinepick/tests/programs.rs
+++ b/clementinepick/tests/programs.rs
@@ -195,7 +195,7 @@
             }
         }
         if round < 2 {
-            let owner = world.owner_of(&name).expect("an owner");
+            let owner = world.owner_of(&name).expect("live owner");
             if owner == "e0" {
                 break;
             }
--- a/clementinepick/tests/safeguards.rs
+++ b/clementinepick/tests/safeguards.rs
@@ -226,7 +226,7 @@
 fn without_monotonic_revisions_an_old_document_takes_effect() {
     assert_fails_without("revision_monotonic", 1, 1, 1, |mut world| {
         let document = |revision, text: &str| clementinepick::record::PublishedDocument {
-            service: "book".parse().expect("a name"),
+            service: "book".parse().expect("valid name"),
             revision: clementinepick::ids::Revision(revision),
             operation: clementinepick::ids::OperationId(9),
             author: vm("operator"),
@@ -293,7 +293,7 @@
     assert_fails_without("output_cut", 1, 1, 1, |mut world| {
         world.backend("g0").tokens = Some(500);
         let id = world.call("e0", chat("p", &["hi"]));
-        let done = world.wait(id).done.expect("answered");
+        let done = world.wait(id).done.expect("call completed");
         done.usage.output_tokens.0 > 100
     });
 }
