--- a/clementinepickd/src/gateway_call.rs
+++ b/clementinepickd/src/gateway_call.rs
@@ -94,7 +94,7 @@
     };
     let full = FullResponse {
         status: response.head.status,
-        headers: platform::answer::forwarded(&response.head.headers),
+        headers: platform::response::forwarded_headers(&response.head.headers),
         body,
     };
     response.release_connection(shared);
