--- a/clementinepickctl/tests/sockets.rs
+++ b/clementinepickctl/tests/sockets.rs
@@ -16,7 +16,7 @@
     BackendKind, EntryRole, LinkKey, LinkKeys, LinkSettings, LogLevel, Role, Settings,
     ShutdownSettings, SidecarRole,
 };
-use clementinepickd::{Daemon, Ended};
+use clementinepickd::{Daemon, ShutdownKind};
 use standins::log_service::LogSettings;
 use standins::servers::{ServerSettings, Servers};
 use standins::weight_store::WeightSettings;
@@ -138,7 +138,7 @@
             ..LinkSettings::default()
         },
         shutdown: ShutdownSettings {
-            notice_us: SpanUs(0),
+            drain_delay_us: SpanUs(0),
             ..ShutdownSettings::default()
         },
         ..Settings::default()
@@ -220,7 +220,7 @@
             ExitCode::Done
         );
     }
-    assert_eq!(entry.join(), Ended::Gracefully);
-    assert_eq!(sidecar.join(), Ended::Gracefully);
+    assert_eq!(entry.join(), ShutdownKind::Graceful);
+    assert_eq!(sidecar.join(), ShutdownKind::Graceful);
     servers.stop().expect("joined");
 }
--- a/clementinepickd/src/callers.rs
+++ b/clementinepickd/src/callers.rs
@@ -111,7 +111,7 @@
         telemetry: &Telemetry,
     ) {
         if let Some(open) = self.open.remove(&request) {
-            telemetry.on_answered(open.route, outcome, now.since(open.since_us));
+            telemetry.record_call(open.route, outcome, now.since(open.since_us));
         }
     }
 }
--- a/clementinepickd/src/control.rs
+++ b/clementinepickd/src/control.rs
@@ -18,13 +18,13 @@
 
 use crate::answer_queue::AnswerSender;
 use crate::callers::Callers;
-use crate::daemon::Ended;
+use crate::daemon::ShutdownKind;
 use crate::input::{ClientOrder, ControlInput, DialOrder, LinkId};
 use crate::logging::write_event;
+use crate::monotonic_clock::MonotonicClock;
 use crate::queue::QueueSender;
-use crate::role::{Action, Decisions};
+use crate::role_logic::{Action, RoleLogic};
 use crate::settings::{Role, Settings};
-use crate::steady_clock::SteadyClock;
 use crate::telemetry::Telemetry;
 
 /// The time between two ticks of the decisions.
@@ -46,11 +46,11 @@
 
 /// How the process is told to end, from any thread and without waiting.
 #[derive(Debug, Default)]
-pub(crate) struct Wishes {
+pub(crate) struct ShutdownRequests {
     /// Leave gracefully.
-    pub(crate) leave: AtomicBool,
+    pub(crate) graceful: AtomicBool,
     /// Leave at once, with truthful answers for what is unfinished.
-    pub(crate) force: AtomicBool,
+    pub(crate) forced: AtomicBool,
 }
 
 /// Where the control thread hands work out, and what it shares.
@@ -60,7 +60,7 @@
     /// The thread of the platform clients.
     pub(crate) clients: mpsc::UnboundedSender<ClientOrder>,
     /// How the process is told to end.
-    pub(crate) wishes: Arc<Wishes>,
+    pub(crate) shutdown: Arc<ShutdownRequests>,
     /// What `/readyz` says.
     pub(crate) ready: Arc<AtomicBool>,
     /// One permit for each answer that may be under way.
@@ -96,8 +96,8 @@
 pub(crate) struct Control {
     settings: Settings,
     incarnation: Incarnation,
-    clock: SteadyClock,
-    decisions: Box<dyn Decisions + Send>,
+    clock: MonotonicClock,
+    decisions: Box<dyn RoleLogic + Send>,
     outputs: Outputs,
     telemetry: Telemetry,
     links: BTreeMap<VmId, OpenLink>,
@@ -113,14 +113,14 @@
     pub(crate) fn new(
         settings: Settings,
         incarnation: Incarnation,
-        decisions: Box<dyn Decisions + Send>,
+        decisions: Box<dyn RoleLogic + Send>,
         outputs: Outputs,
         telemetry: Telemetry,
     ) -> Self {
         Self {
             settings,
             incarnation,
-            clock: SteadyClock::starting_at(Instant::now()),
+            clock: MonotonicClock::starting_at(Instant::now()),
             decisions,
             outputs,
             telemetry,
@@ -134,7 +134,7 @@
     }
 
     /// Runs until everything has finished or was forced to.
-    pub(crate) async fn run(mut self, mut from: Inputs) -> Ended {
+    pub(crate) async fn run(mut self, mut from: Inputs) -> ShutdownKind {
         self.on_event(&Event::new(EventKind::ProcessStarted));
         let mut ticks = tokio::time::interval(TICK);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -167,8 +167,8 @@
         }
         self.on_event(&Event::new(EventKind::ShutdownFinished));
         match self.stage {
-            Stage::Forced { .. } => Ended::Forced,
-            Stage::Serving | Stage::Notice { .. } | Stage::Leaving { .. } => Ended::Gracefully,
+            Stage::Forced { .. } => ShutdownKind::Forced,
+            Stage::Serving | Stage::Notice { .. } | Stage::Leaving { .. } => ShutdownKind::Graceful,
         }
     }
 
@@ -203,7 +203,7 @@
                     self.decisions.fetch(now, fetch, &mut out);
                 }
             }
-            ControlInput::Refused(kind) => self.telemetry.on_refused(kind),
+            ControlInput::Refused(kind) => self.telemetry.record_refusal(kind),
             ControlInput::EndProgram(program) => {
                 self.decisions.end_program(now, program, &mut out);
             }
@@ -284,7 +284,7 @@
         let limit_us = now.after(self.settings.shutdown.limit_us);
         match self.settings.role {
             Role::Entry(_) => {
-                let until_us = now.after(self.settings.shutdown.notice_us);
+                let until_us = now.after(self.settings.shutdown.drain_delay_us);
                 self.stage = Stage::Notice { until_us, limit_us };
             }
             // Entries learn over the links at once, and what is on its way is refused as not run.
@@ -321,10 +321,10 @@
             self.next_sweep_us = now.after(SWEEP);
             self.stop_slow_callers(now, &mut out);
         }
-        if self.outputs.wishes.leave.load(Ordering::Relaxed) {
+        if self.outputs.shutdown.graceful.load(Ordering::Relaxed) {
             self.on_shutdown(now, &mut out);
         }
-        if self.outputs.wishes.force.load(Ordering::Relaxed) {
+        if self.outputs.shutdown.forced.load(Ordering::Relaxed) {
             self.force(now, &mut out);
         }
         match self.stage {
@@ -403,7 +403,7 @@
 
     fn on_event(&self, event: &Event) {
         write_event(&self.outputs.logger, event);
-        self.telemetry.on_event(event.kind);
+        self.telemetry.record_event(event.kind);
     }
 
     fn on_dump(&self, now: TimeUs, answer: oneshot::Sender<Value>) {
--- a/clementinepickd/src/daemon.rs
+++ b/clementinepickd/src/daemon.rs
@@ -15,20 +15,20 @@
 use thiserror::Error;
 use tokio::sync::{Semaphore, mpsc};
 
-use crate::control::{Control, Inputs, Outputs, Wishes};
+use crate::control::{Control, Inputs, Outputs, ShutdownRequests};
 use crate::http::Shared;
 use crate::input::{ControlSender, MAX_INPUTS};
-use crate::role::new_decisions;
-use crate::settings::{Conflict, Settings};
+use crate::role_logic::new_role_logic;
+use crate::settings::{Settings, SettingsConflict};
 use crate::telemetry::Telemetry;
-use crate::{clients, http, links, logging};
+use crate::{clients, http, link_manager, logging};
 
 /// Why a process can't start.
 #[derive(Debug, Error)]
 pub enum StartError {
     /// The settings can't work.
     #[error("{0}")]
-    Settings(#[from] Conflict),
+    Settings(#[from] SettingsConflict),
     /// An address can't be listened on.
     #[error("{address}: {error}")]
     Listen {
@@ -47,9 +47,9 @@
 
 /// How a process ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
+pub enum ShutdownKind {
     /// Everything was finished.
-    Gracefully,
+    Graceful,
     /// It was told to, or the limit passed; what was unfinished was answered as it stood.
     Forced,
 }
@@ -61,9 +61,9 @@
 pub struct Daemon {
     http_address: SocketAddr,
     link_address: SocketAddr,
-    wishes: Arc<Wishes>,
+    shutdown: Arc<ShutdownRequests>,
     /// Ends last and joins all others.
-    thread: JoinHandle<Ended>,
+    thread: JoinHandle<ShutdownKind>,
 }
 
 impl Daemon {
@@ -82,7 +82,7 @@
         let (gone_sender, gone) = mpsc::unbounded_channel();
         let (link_sender, link_orders) = mpsc::unbounded_channel();
         let (client_sender, client_orders) = mpsc::unbounded_channel();
-        let wishes = Arc::new(Wishes::default());
+        let shutdown = Arc::new(ShutdownRequests::default());
         let sender = ControlSender {
             inputs: inputs_sender,
             gone: gone_sender,
@@ -90,18 +90,18 @@
         let outputs = Outputs {
             links: link_sender,
             clients: client_sender,
-            wishes: Arc::clone(&wishes),
+            shutdown: Arc::clone(&shutdown),
             ready: Arc::new(AtomicBool::new(false)),
             streams: Arc::new(Semaphore::new(settings.limits.streams)),
             logger: logging::new_logger(settings.log_level, &settings.vm, incarnation),
         };
-        let (decisions, peer) = new_decisions(&settings, incarnation);
+        let (decisions, peer) = new_role_logic(&settings, incarnation);
 
         let shared = Shared::new(&settings, sender.clone(), &outputs, telemetry.handle());
-        let (http, server) = start_http(http_listener, settings.http_workers, shared, &wishes)?;
+        let (http, server) = start_http(http_listener, settings.http_workers, shared, &shutdown)?;
         let (own, link_settings) = (sender.clone(), settings.links.clone());
-        let links = spawn("links", &wishes, move || {
-            System::new().block_on(links::run(
+        let links = spawn("links", &shutdown, move || {
+            System::new().block_on(link_manager::run(
                 link_settings,
                 peer,
                 link_listener,
@@ -114,7 +114,7 @@
             settings.role.clone(),
             settings.limits.clone(),
         );
-        let clients = spawn("clients", &wishes, move || {
+        let clients = spawn("clients", &shutdown, move || {
             System::new().block_on(clients::run(role, limits, own, client_orders));
         })?;
         let threads = Threads {
@@ -131,7 +131,7 @@
         Ok(Self {
             http_address,
             link_address,
-            wishes,
+            shutdown,
             thread,
         })
     }
@@ -150,12 +150,12 @@
 
     /// Begins to leave: no new work, and an end once what runs is finished.
     pub fn shutdown(&self) {
-        self.wishes.leave.store(true, Ordering::Relaxed);
+        self.shutdown.graceful.store(true, Ordering::Relaxed);
     }
 
     /// Ends at once; what is unfinished is answered as it stands.
-    pub fn force(&self) {
-        self.wishes.force.store(true, Ordering::Relaxed);
+    pub fn force_shutdown(&self) {
+        self.shutdown.forced.store(true, Ordering::Relaxed);
     }
 
     /// Whether it has ended.
@@ -170,7 +170,7 @@
     ///
     /// When one of them has panicked.
     #[must_use]
-    pub fn join(self) -> Ended {
+    pub fn join(self) -> ShutdownKind {
         joined(self.thread.join())
     }
 }
@@ -183,7 +183,7 @@
     clients: JoinHandle<()>,
 }
 
-fn run_control(control: Control, inputs: Inputs, threads: Threads) -> Ended {
+fn run_control(control: Control, inputs: Inputs, threads: Threads) -> ShutdownKind {
     let ended = System::new().block_on(async {
         let ended = control.run(inputs).await;
         http::stop(&threads.server, ended).await;
@@ -202,20 +202,20 @@
 /// Ends the process when its thread ends, for whatever reason.
 ///
 /// A thread that panicked would leave a process that still answers `/healthz` and does nothing.
-struct EndWithThread(Arc<Wishes>);
+struct EndWithThread(Arc<ShutdownRequests>);
 
 impl Drop for EndWithThread {
     fn drop(&mut self) {
-        self.0.force.store(true, Ordering::Relaxed);
+        self.0.forced.store(true, Ordering::Relaxed);
     }
 }
 
 fn spawn(
     name: &str,
-    wishes: &Arc<Wishes>,
+    shutdown: &Arc<ShutdownRequests>,
     work: impl FnOnce() + Send + 'static,
 ) -> io::Result<JoinHandle<()>> {
-    let end = EndWithThread(Arc::clone(wishes));
+    let end = EndWithThread(Arc::clone(shutdown));
     thread::Builder::new().name(name.to_owned()).spawn(move || {
         let _end = end;
         work();
@@ -226,10 +226,10 @@
     listener: TcpListener,
     workers: usize,
     shared: Shared,
-    wishes: &Arc<Wishes>,
+    shutdown: &Arc<ShutdownRequests>,
 ) -> io::Result<(JoinHandle<()>, ServerHandle)> {
     let (started, starting) = std_mpsc::channel();
-    let thread = spawn("http", wishes, move || {
+    let thread = spawn("http", shutdown, move || {
         System::new().block_on(async move {
             match http::start(listener, workers, shared) {
                 Ok(server) => {
--- a/clementinepickd/src/gateway.rs
+++ b/clementinepickd/src/gateway.rs
@@ -32,8 +32,8 @@
 use crate::gateway_request::{CallerHandler, ReadyHandler};
 use crate::gateway_settings::GatewaySettings;
 use crate::gateway_shared::Shared;
-use crate::leave_out::Safeguard;
 use crate::logging::{new_logger_to, write_event};
+use crate::safeguard::Safeguard;
 use crate::store::StoreClient;
 
 /// The pause after a failed accept, which mostly means that descriptors have run out.
@@ -319,7 +319,7 @@
     shared.start_draining();
     let event = Event::new(EventKind::ShutdownStarted).with("running", shared.running_requests());
     shared.log(&event);
-    if !Safeguard::DrainNotice.is_left_out() {
+    if !Safeguard::DrainNotice.is_disabled() {
         sleep(settings.drain_delay).await;
     }
     shared.close_idle_connections();
--- a/clementinepickd/src/gateway_call.rs
+++ b/clementinepickd/src/gateway_call.rs
@@ -14,8 +14,8 @@
 use crate::gateway_reply::{CallerDisconnected, Reply};
 use crate::gateway_shared::Shared;
 use crate::gateway_trace::Trace;
-use crate::leave_out::Safeguard;
 use crate::link::duration;
+use crate::safeguard::Safeguard;
 
 /// The largest body of an answer, in bytes. It is held whole, so that an answer that is cut off
 /// never looks complete and an idempotent call can be made again.
@@ -58,7 +58,7 @@
     trace: &Trace,
 ) -> Result<WholeAnswer, Refusal> {
     let is_idempotent = job.route.kind == RequestKind::Idempotent;
-    let may_repeat = is_idempotent || Safeguard::BookingOnce.is_left_out();
+    let may_repeat = is_idempotent || Safeguard::BookingOnce.is_disabled();
     let mut attempts = Attempts::new(shared, job, trace, may_repeat);
     while let Some(slot) = attempts.next_slot(None) {
         let patience = if may_repeat && !attempts.is_last() {
--- a/clementinepickd/src/gateway_exchange.rs
+++ b/clementinepickd/src/gateway_exchange.rs
@@ -13,8 +13,8 @@
 use crate::gateway_attempts::AttemptError;
 use crate::gateway_connection::ReceivedRequest;
 use crate::gateway_shared::Shared;
-use crate::leave_out::Safeguard;
 use crate::outbound::{Connection, Outgoing};
+use crate::safeguard::Safeguard;
 
 /// How long a connection to a backend server may take to open. Zones are milliseconds apart, and
 /// one lost packet of the handshake is sent again only after a second.
@@ -182,7 +182,7 @@
         head: ResponseHead,
     ) -> Result<ServerResponse, AttemptError> {
         let is_own = platform::answer::belongs_to(&head.headers, &self.info.id);
-        if !is_own && !Safeguard::OwnAnswer.is_left_out() {
+        if !is_own && !Safeguard::OwnAnswer.is_disabled() {
             // A late answer to an earlier request, or one that can't be told from it.
             let is_refusal = platform::answer::says_not_run(head.status.as_u16(), &head.headers);
             slot.record_failure();
--- a/clementinepickd/src/gateway_settings.rs
+++ b/clementinepickd/src/gateway_settings.rs
@@ -6,7 +6,7 @@
 use clementinepick::ids::{VmId, ZoneName};
 use clementinepick::units::{Bytes, SpanUs};
 
-use crate::ini_source::{SettingsError, Source};
+use crate::ini_reader::{IniReader, SettingsError};
 use crate::ledger::LedgerSettings;
 use crate::settings::LogLevel;
 
@@ -74,21 +74,21 @@
 /// # Errors
 ///
 /// The section and key at fault.
-pub(crate) fn read(source: &mut Source<'_>) -> Result<GatewaySettings, SettingsError> {
+pub(crate) fn read(source: &mut IniReader<'_>) -> Result<GatewaySettings, SettingsError> {
     let mut settings = GatewaySettings {
-        vm: source.need("process", "vm")?,
-        zone: source.need("process", "zone")?,
-        callers: source.need("listen", "callers")?,
-        ready: source.need("listen", "ready")?,
-        peers: source.need("listen", "peers")?,
+        vm: source.require("process", "vm")?,
+        zone: source.require("process", "zone")?,
+        callers: source.require("listen", "callers")?,
+        ready: source.require("listen", "ready")?,
+        peers: source.require("listen", "peers")?,
         metrics: source.read("listen", "metrics")?,
-        store: source.need("store", "address")?,
+        store: source.require("store", "address")?,
         seeds: read_seeds(source)?,
         ..GatewaySettings::default()
     };
-    source.set("process", "log_level", &mut settings.log_level)?;
-    source.set("process", "log_every", &mut settings.log_every)?;
-    source.set("store", "partitions", &mut settings.ledger.partitions)?;
+    source.read_into("process", "log_level", &mut settings.log_level)?;
+    source.read_into("process", "log_every", &mut settings.log_every)?;
+    source.read_into("store", "partitions", &mut settings.ledger.partitions)?;
     settings.body_limit_bytes = bytes(source, "limits", "bodies", settings.body_limit_bytes)?;
     settings.ledger.record_bytes = bytes(source, "store", "record", settings.ledger.record_bytes)?;
     settings.ledger.call_bytes = bytes(source, "store", "call", settings.ledger.call_bytes)?;
@@ -96,18 +96,18 @@
     settings.drain_delay = span(source, "notice", settings.drain_delay)?;
     settings.shutdown_limit = span(source, "limit", settings.shutdown_limit)?;
     if settings.drain_delay >= settings.shutdown_limit {
-        return Err(source.wrong("shutdown", "notice", "must be shorter than `limit`"));
+        return Err(source.key_error("shutdown", "notice", "must be shorter than `limit`"));
     }
     if settings.ledger.partitions == 0 {
-        return Err(source.wrong("store", "partitions", "must be at least 1"));
+        return Err(source.key_error("store", "partitions", "must be at least 1"));
     }
     if settings.ledger.call_bytes < settings.ledger.record_bytes {
-        return Err(source.wrong("store", "call", "must be at least `record`"));
+        return Err(source.key_error("store", "call", "must be at least `record`"));
     }
     Ok(settings)
 }
 
-fn read_seeds(source: &mut Source<'_>) -> Result<Vec<SocketAddr>, SettingsError> {
+fn read_seeds(source: &mut IniReader<'_>) -> Result<Vec<SocketAddr>, SettingsError> {
     let text: Option<String> = source.read("peers", "seeds")?;
     let text = text.unwrap_or_default();
     let seeds = text
@@ -116,14 +116,14 @@
         .filter(|seed| !seed.is_empty());
     seeds
         .map(|seed| {
-            let bad = || source.wrong("peers", "seeds", format!("`{seed}` is no address"));
+            let bad = || source.key_error("peers", "seeds", format!("`{seed}` is no address"));
             seed.parse().map_err(|_| bad())
         })
         .collect()
 }
 
 fn bytes(
-    source: &mut Source<'_>,
+    source: &mut IniReader<'_>,
     section: &'static str,
     key: &'static str,
     default: usize,
@@ -135,7 +135,7 @@
 }
 
 fn span(
-    source: &mut Source<'_>,
+    source: &mut IniReader<'_>,
     key: &'static str,
     default: Duration,
 ) -> Result<Duration, SettingsError> {
--- a/clementinepickd/src/gateway_shared.rs
+++ b/clementinepickd/src/gateway_shared.rs
@@ -27,8 +27,8 @@
 use crate::ledger_homes::Homes;
 use crate::ledger_turns::Turns;
 use crate::logging::write_event;
+use crate::monotonic_clock::MonotonicClock;
 use crate::outbound_pool::Pool;
-use crate::steady_clock::SteadyClock;
 use crate::store::StoreClient;
 
 /// A process whose lists are older than this does not say that it is ready: it would send requests
@@ -59,7 +59,7 @@
     directory: watch::Receiver<Directory>,
     logger: Logger,
     log_every: u64,
-    clock: SteadyClock,
+    clock: MonotonicClock,
     running: Cell<usize>,
     /// The connections to this process that are open.
     open: Cell<usize>,
@@ -137,7 +137,7 @@
             directory,
             logger,
             log_every: settings.log_every,
-            clock: SteadyClock::starting_at(Instant::now()),
+            clock: MonotonicClock::starting_at(Instant::now()),
             running: Cell::new(0),
             open: Cell::new(0),
             is_draining: Cell::new(false),
--- a/clementinepickd/src/gateway_stream.rs
+++ b/clementinepickd/src/gateway_stream.rs
@@ -22,11 +22,11 @@
 use crate::gateway_reply::{CallerDisconnected, Reply, ReplyState};
 use crate::gateway_shared::Shared;
 use crate::gateway_trace::Trace;
-use crate::leave_out::Safeguard;
 use crate::ledger::LedgerError;
 use crate::ledger_budgets::BudgetRequest;
 use crate::ledger_holds::BudgetHold;
 use crate::link::duration;
+use crate::safeguard::Safeguard;
 use crate::unix_time::unix_ms;
 
 /// The most tokens of a turn that names none; a turn without a maximum counts as a large one.
@@ -96,7 +96,7 @@
     }
     trace.record_generated(Instant::now());
     if reply.state() == ReplyState::Started {
-        if Safeguard::RecordBeforeEnd.is_left_out() {
+        if Safeguard::RecordBeforeEnd.is_disabled() {
             reply.finish().await?;
             // Nobody waits for it.
             let _ = stream.record().await;
--- a/clementinepickd/src/http.rs
+++ b/clementinepickd/src/http.rs
@@ -17,8 +17,8 @@
 use sha2::{Digest, Sha256};
 use tokio::sync::{Semaphore, oneshot};
 
-use crate::control::{Outputs, Wishes};
-use crate::daemon::Ended;
+use crate::control::{Outputs, ShutdownRequests};
+use crate::daemon::ShutdownKind;
 use crate::http_calls::{chat, plain, program};
 use crate::http_reply::{Refusal, ending, error_answer, json_answer, no_such_path};
 use crate::input::{ControlInput, ControlSender};
@@ -43,7 +43,7 @@
     pub(crate) limits: Limits,
     pub(crate) control: ControlSender,
     pub(crate) ready: Arc<AtomicBool>,
-    pub(crate) wishes: Arc<Wishes>,
+    pub(crate) shutdown: Arc<ShutdownRequests>,
     pub(crate) streams: Arc<Semaphore>,
     pub(crate) metrics: PrometheusHandle,
     pub(crate) admin_key: Option<LinkKey>,
@@ -70,7 +70,7 @@
             limits: settings.limits.clone(),
             control,
             ready: Arc::clone(&outputs.ready),
-            wishes: Arc::clone(&outputs.wishes),
+            shutdown: Arc::clone(&outputs.shutdown),
             streams: Arc::clone(&outputs.streams),
             metrics,
             admin_key: settings.admin_key.clone(),
@@ -96,7 +96,7 @@
             let shared = shared.clone();
             HttpService::build()
                 .keep_alive(KeepAlive::Timeout(duration(limits.keep_alive_us)))
-                .client_request_timeout(duration(limits.receive_us))
+                .client_request_timeout(duration(limits.receive_timeout_us))
                 // A caller that closes its side is gone, and its call is cancelled.
                 .h1_allow_half_closed(false)
                 .finish(move |request| handle(shared.clone(), request))
@@ -107,8 +107,8 @@
 }
 
 /// Stops the server: at once, or when all connections are closed or the limit has passed.
-pub(crate) async fn stop(server: &ServerHandle, ended: Ended) {
-    server.stop(ended == Ended::Gracefully).await;
+pub(crate) async fn stop(server: &ServerHandle, ended: ShutdownKind) {
+    server.stop(ended == ShutdownKind::Graceful).await;
 }
 
 async fn handle(shared: Shared, mut request: Request) -> Result<Response<BoxBody>, Infallible> {
@@ -139,7 +139,7 @@
         Err(Refusal::Decided(error)) => error_answer(&error),
     };
     // A connection kept for the next request would be closed under it when the process ends.
-    if shared.wishes.leave.load(Ordering::Relaxed) {
+    if shared.shutdown.graceful.load(Ordering::Relaxed) {
         let head = response.head_mut();
         head.set_connection_type(ConnectionType::Close);
     }
@@ -170,7 +170,7 @@
         let refused = json!({"leaving": false, "detail": "wrong admin key"});
         return Ok(json_answer(StatusCode::FORBIDDEN, &refused));
     }
-    shared.wishes.leave.store(true, Ordering::Relaxed);
+    shared.shutdown.graceful.store(true, Ordering::Relaxed);
     Ok(json_answer(StatusCode::OK, &json!({"leaving": true})))
 }
 
--- a/clementinepickd/src/http_receive.rs
+++ b/clementinepickd/src/http_receive.rs
@@ -20,12 +20,12 @@
     let path = path.map_or_else(|| request.path().to_owned(), ToString::to_string);
     let method = request.method().as_str().to_owned();
     let body = timeout(
-        duration(shared.limits.receive_us),
+        duration(shared.limits.receive_timeout_us),
         read_body(shared, request),
     )
     .await
     .map_err(|_| {
-        let detail = format!("did not arrive within {}", shared.limits.receive_us);
+        let detail = format!("did not arrive within {}", shared.limits.receive_timeout_us);
         CallError::in_field(ErrorKind::BadBody, "body", detail)
     })??;
     Ok(HttpRequest {
--- a/clementinepickd/src/ini_source.rs
+++ b/clementinepickd/src/ini_reader.rs
@@ -42,13 +42,13 @@
 }
 
 /// An INI file that is being read, with the keys that were asked for.
-pub(crate) struct Source<'a> {
+pub(crate) struct IniReader<'a> {
     file: &'a str,
     ini: &'a Ini,
     used: BTreeSet<(&'static str, &'static str)>,
 }
 
-impl<'a> Source<'a> {
+impl<'a> IniReader<'a> {
     /// A source; `file` stands in errors.
     pub(crate) fn new(file: &'a str, ini: &'a Ini) -> Self {
         Self {
@@ -59,7 +59,7 @@
     }
 
     /// An error at a key.
-    pub(crate) fn wrong(
+    pub(crate) fn key_error(
         &self,
         section: &str,
         key: &str,
@@ -87,7 +87,7 @@
         match values[..] {
             [] => Ok(None),
             [value] => Ok(Some(value.trim())),
-            _ => Err(self.wrong(section, key, "is given twice")),
+            _ => Err(self.key_error(section, key, "is given twice")),
         }
     }
 
@@ -107,12 +107,12 @@
         let (value, text) = (text.parse::<T>(), text.to_owned());
         value.map(Some).map_err(|err| {
             let detail = format!("`{text}`: {}", err.to_string());
-            self.wrong(section, key, detail)
+            self.key_error(section, key, detail)
         })
     }
 
     /// Sets a field to the value of a key, if it is given.
-    pub(crate) fn set<T>(
+    pub(crate) fn read_into<T>(
         &mut self,
         section: &'static str,
         key: &'static str,
@@ -129,7 +129,7 @@
     }
 
     /// The value of a key that must be given.
-    pub(crate) fn need<T>(
+    pub(crate) fn require<T>(
         &mut self,
         section: &'static str,
         key: &'static str,
@@ -139,11 +139,11 @@
         T::Err: ToString,
     {
         let value = self.read(section, key)?;
-        value.ok_or_else(|| self.wrong(section, key, "is missing"))
+        value.ok_or_else(|| self.key_error(section, key, "is missing"))
     }
 
     /// A secret.
-    pub(crate) fn key(
+    pub(crate) fn read_secret(
         &mut self,
         section: &'static str,
         key: &'static str,
@@ -152,18 +152,18 @@
             return Ok(None);
         };
         let read = LinkKey::new(text);
-        let short = || self.wrong(section, key, "must have 16 characters or more");
+        let short = || self.key_error(section, key, "must have 16 characters or more");
         read.ok_or_else(short).map(Some)
     }
 
     /// Fails if the file has a key that nobody asked for.
-    pub(crate) fn check_unused(&self) -> Result<(), SettingsError> {
+    pub(crate) fn check_unknown_keys(&self) -> Result<(), SettingsError> {
         for (section, properties) in self.ini {
             let section = section.unwrap_or_default();
             for (key, _) in properties {
                 if !self.used.iter().any(|(s, k)| *s == section && *k == key) {
                     let detail = self.unknown(section);
-                    return Err(self.wrong(section, key, detail));
+                    return Err(self.key_error(section, key, detail));
                 }
             }
         }
--- a/clementinepickd/src/ledger_budgets.rs
+++ b/clementinepickd/src/ledger_budgets.rs
@@ -16,11 +16,11 @@
 use tokio::sync::mpsc;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::leave_out::Safeguard;
 use crate::ledger::{LedgerError, LedgerStore, Partition, to_cbor};
 use crate::ledger_holds::{BudgetHold, SliceGrant, TokenReturn};
 use crate::ledger_partitions::{HeldHome, PartitionState};
 use crate::link::duration;
+use crate::safeguard::Safeguard;
 use crate::unix_time::unix_ms;
 
 /// How often a slice is decided anew after another process wrote first. Each round means that
@@ -317,7 +317,7 @@
         };
         let view = state.view.borrow();
         let counts = view.has_standing_slice(request.program, home.number);
-        if !counts && !Safeguard::StandingCount.is_left_out() {
+        if !counts && !Safeguard::StandingCount.is_disabled() {
             return;
         }
         let mut programs = self.programs.borrow_mut();
--- a/clementinepickd/src/ledger_homes.rs
+++ b/clementinepickd/src/ledger_homes.rs
@@ -20,7 +20,7 @@
 use crate::ledger::{LedgerError, Partition, to_cbor};
 use crate::ledger_budgets::{Budgets, UsedStanding};
 use crate::ledger_partitions::{HeldHome, PartitionState};
-use crate::steady_clock::SteadyClock;
+use crate::monotonic_clock::MonotonicClock;
 use crate::unix_time::unix_ms;
 
 /// How long a call for one partition may take.
@@ -85,7 +85,7 @@
     /// Homes that answers named.
     known: RefCell<BTreeMap<Partition, SocketAddr>>,
     liveness: RefCell<PeerLiveness>,
-    clock: SteadyClock,
+    clock: MonotonicClock,
     /// Who ran the turns that this home lent for.
     pub(crate) runners: RefCell<FifoCache<SocketAddr>>,
     /// The servers that ran the last turns of lines.
@@ -104,7 +104,7 @@
             wanted: RefCell::default(),
             known: RefCell::default(),
             liveness: RefCell::default(),
-            clock: SteadyClock::starting_at(Instant::now()),
+            clock: MonotonicClock::starting_at(Instant::now()),
             runners: RefCell::default(),
             line_servers: RefCell::default(),
             retain_ms: Cell::new(MIN_RETAIN_MS),
--- a/clementinepickd/src/link.rs
+++ b/clementinepickd/src/link.rs
@@ -129,7 +129,7 @@
     settings: &LinkSettings,
     work: impl Future<Output = Result<ProvedLink, HandshakeError>>,
 ) -> Result<ProvedLink, HandshakeError> {
-    let limit = duration(settings.handshake_us);
+    let limit = duration(settings.handshake_timeout_us);
     timeout(limit, work)
         .await
         .unwrap_or(Err(HandshakeError::Timeout))
@@ -210,7 +210,7 @@
     {
         return LinkEnd::Released;
     }
-    let silence = duration(settings.silence_us);
+    let silence = duration(settings.idle_timeout_us);
     let (sink, stream) = socket.split();
     let reading = Box::pin(read(stream, silence, link, &vm, control));
     let writing = Box::pin(write(sink, silence, messages));
--- a/clementinepickd/src/main.rs
+++ b/clementinepickd/src/main.rs
@@ -10,7 +10,7 @@
 use clementinepickd::gateway_settings::GatewaySettings;
 use clementinepickd::settings::Settings;
 use clementinepickd::settings_file::ProcessSettings;
-use clementinepickd::{Daemon, Ended, settings_file};
+use clementinepickd::{Daemon, ShutdownKind, settings_file};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
 /// The exit code for wrong settings.
@@ -87,8 +87,8 @@
         }
     };
     match run(daemon) {
-        Ok(Ended::Gracefully) => ExitCode::SUCCESS,
-        Ok(Ended::Forced) => ExitCode::FAILURE,
+        Ok(ShutdownKind::Graceful) => ExitCode::SUCCESS,
+        Ok(ShutdownKind::Forced) => ExitCode::FAILURE,
         Err(err) => {
             eprintln!("signals can't be taken: {err}");
             ExitCode::FAILURE
@@ -97,7 +97,7 @@
 }
 
 /// Waits for the end of the process, which signals bring about.
-fn run(daemon: Daemon) -> std::io::Result<Ended> {
+fn run(daemon: Daemon) -> std::io::Result<ShutdownKind> {
     System::new().block_on(async {
         let mut terminate = signal(SignalKind::terminate())?;
         let mut interrupt = signal(SignalKind::interrupt())?;
@@ -107,7 +107,7 @@
                 continue;
             }
             if std::mem::replace(&mut leaving, true) {
-                daemon.force();
+                daemon.force_shutdown();
             } else {
                 daemon.shutdown();
             }
--- a/clementinepickd/src/steady_clock.rs
+++ b/clementinepickd/src/monotonic_clock.rs
@@ -6,11 +6,11 @@
 
 /// Turns instants into the microseconds that have passed since this was made.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct SteadyClock {
+pub(crate) struct MonotonicClock {
     started: Instant,
 }
 
-impl SteadyClock {
+impl MonotonicClock {
     /// A clock that starts at `started`.
     pub(crate) const fn starting_at(started: Instant) -> Self {
         Self { started }
--- a/clementinepickd/src/role.rs
+++ b/clementinepickd/src/role_logic.rs
@@ -39,7 +39,7 @@
 }
 
 /// The decisions of one process.
-pub(crate) trait Decisions {
+pub(crate) trait RoleLogic {
     /// Takes a caller's request.
     fn request(&mut self, now: TimeUs, request: Box<Request>, out: &mut Vec<Action>);
     /// Takes a caller's question for an earlier answer.
@@ -71,10 +71,10 @@
 }
 
 /// The decisions for the role in `settings`, and who the process is on its links.
-pub(crate) fn new_decisions(
+pub(crate) fn new_role_logic(
     settings: &Settings,
     incarnation: Incarnation,
-) -> (Box<dyn Decisions + Send>, Peer) {
+) -> (Box<dyn RoleLogic + Send>, Peer) {
     let (vm, zone) = (settings.vm.clone(), settings.zone.clone());
     match &settings.role {
         Role::Entry(role) => {
@@ -84,23 +84,23 @@
                 ..EntrySettings::new(vm.clone(), incarnation, zone)
             });
             let peer = entry.peer();
-            (Box::new(EntryDecisions { vm, entry }), peer)
+            (Box::new(EntryLogic { vm, entry }), peer)
         }
         Role::Sidecar(role) => {
             let service = role.service.clone();
             let sidecar = Sidecar::new(SidecarSettings::new(vm, incarnation, zone, service));
             let peer = sidecar.peer();
-            (Box::new(SidecarDecisions { sidecar }), peer)
+            (Box::new(SidecarLogic { sidecar }), peer)
         }
     }
 }
 
-struct EntryDecisions {
+struct EntryLogic {
     vm: VmId,
     entry: Entry,
 }
 
-impl EntryDecisions {
+impl EntryLogic {
     fn handle(&mut self, now: TimeUs, input: EntryInput, out: &mut Vec<Action>) {
         let mut actions = Vec::new();
         self.entry.handle(now, input, &mut actions);
@@ -125,7 +125,7 @@
     }
 }
 
-impl Decisions for EntryDecisions {
+impl RoleLogic for EntryLogic {
     fn request(&mut self, now: TimeUs, request: Box<Request>, out: &mut Vec<Action>) {
         self.handle(now, EntryInput::Request(request), out);
     }
@@ -186,11 +186,11 @@
     }
 }
 
-struct SidecarDecisions {
+struct SidecarLogic {
     sidecar: Sidecar,
 }
 
-impl SidecarDecisions {
+impl SidecarLogic {
     fn handle(&mut self, now: TimeUs, input: SidecarInput, out: &mut Vec<Action>) {
         let mut actions = Vec::new();
         self.sidecar.handle(now, input, &mut actions);
@@ -203,7 +203,7 @@
     }
 }
 
-impl Decisions for SidecarDecisions {
+impl RoleLogic for SidecarLogic {
     fn request(&mut self, _: TimeUs, _: Box<Request>, _: &mut Vec<Action>) {}
 
     fn fetch(&mut self, _: TimeUs, _: Box<Fetch>, _: &mut Vec<Action>) {}
--- a/clementinepickd/src/leave_out.rs
+++ b/clementinepickd/src/safeguard.rs
@@ -21,14 +21,14 @@
     /// Whether the safeguard is left out in this process.
     #[cfg(not(feature = "leave_out"))]
     #[expect(clippy::unused_self, reason = "the other build looks at it")]
-    pub(crate) const fn is_left_out(self) -> bool {
+    pub(crate) const fn is_disabled(self) -> bool {
         false
     }
 
     /// Whether the safeguard is left out in this process, by the variable
     /// `CLEMENTINEPICK_LEAVE_OUT`.
     #[cfg(feature = "leave_out")]
-    pub(crate) fn is_left_out(self) -> bool {
+    pub(crate) fn is_disabled(self) -> bool {
         let name = match self {
             Self::RecordBeforeEnd => "record_before_end",
             Self::StandingCount => "standing_count",
--- a/clementinepickd/src/server_follower.rs
+++ b/clementinepickd/src/server_follower.rs
@@ -11,14 +11,14 @@
 
 use crate::directory::FollowerContext;
 use crate::logging::write_event;
-use crate::steady_clock::SteadyClock;
+use crate::monotonic_clock::MonotonicClock;
 use crate::topic_watch::TopicWatch;
 
 /// Publishes the registered servers.
 pub(crate) struct ServerFollower<'a> {
     context: FollowerContext<'a>,
     watch: TopicWatch,
-    clock: SteadyClock,
+    clock: MonotonicClock,
     outage: OutageDetector,
     /// The servers that were published last.
     known: BTreeMap<String, BackendServer>,
@@ -33,7 +33,7 @@
         Self {
             context,
             watch: TopicWatch::new(Topic::Servers, now),
-            clock: SteadyClock::starting_at(now),
+            clock: MonotonicClock::starting_at(now),
             outage: OutageDetector::default(),
             known: BTreeMap::new(),
             kept: BTreeSet::new(),
--- a/clementinepickd/src/settings.rs
+++ b/clementinepickd/src/settings.rs
@@ -153,9 +153,9 @@
     /// About the most bytes that wait for one peer.
     pub queue_bytes: Bytes,
     /// The silence after which a link is closed.
-    pub silence_us: SpanUs,
+    pub idle_timeout_us: SpanUs,
     /// How long connecting and proving may take.
-    pub handshake_us: SpanUs,
+    pub handshake_timeout_us: SpanUs,
     /// The longest wait between two attempts to connect.
     pub max_backoff_us: SpanUs,
     /// The most links that others open to this process.
@@ -169,8 +169,8 @@
             max_frame_bytes: Bytes(32_000_000),
             queue_messages: 8_192,
             queue_bytes: Bytes(64_000_000),
-            silence_us: SpanUs::from_s(5),
-            handshake_us: SpanUs::from_s(3),
+            idle_timeout_us: SpanUs::from_s(5),
+            handshake_timeout_us: SpanUs::from_s(3),
             max_backoff_us: SpanUs::from_s(2),
             max_links: 4_096,
         }
@@ -189,7 +189,7 @@
     /// The most calls of callers at a time.
     pub streams: usize,
     /// How long a request's header, and then its body, may take to arrive.
-    pub receive_us: SpanUs,
+    pub receive_timeout_us: SpanUs,
     /// How long an idle connection of a caller is kept.
     pub keep_alive_us: SpanUs,
     /// How long parts of an answer may wait for a caller that takes nothing, before it is cut off.
@@ -205,7 +205,7 @@
             header_bytes: Bytes(32_000),
             connections: 8_192,
             streams: 4_096,
-            receive_us: SpanUs::from_s(10),
+            receive_timeout_us: SpanUs::from_s(10),
             keep_alive_us: SpanUs::from_s(5),
             answer_stall_us: SpanUs::from_s(10),
             answer_bytes: Bytes(4_000_000),
@@ -218,7 +218,7 @@
 pub struct ShutdownSettings {
     /// How long an entry goes on as before once it says that it is not ready, so that the balancer
     /// and idle connections are gone before it refuses calls.
-    pub notice_us: SpanUs,
+    pub drain_delay_us: SpanUs,
     /// How long the process stays on its links once its peers are told that it leaves, so that what
     /// they had already sent is answered rather than lost.
     pub linger_us: SpanUs,
@@ -229,7 +229,7 @@
 impl Default for ShutdownSettings {
     fn default() -> Self {
         Self {
-            notice_us: SpanUs::from_s(6),
+            drain_delay_us: SpanUs::from_s(6),
             linger_us: SpanUs::from_s(1),
             limit_us: SpanUs::from_s(60),
         }
@@ -287,7 +287,7 @@
 /// Settings that can't work together.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("[{section}] {key}: {detail}")]
-pub struct Conflict {
+pub struct SettingsConflict {
     /// The section at fault.
     pub section: &'static str,
     /// The key at fault.
@@ -302,9 +302,9 @@
     /// # Errors
     ///
     /// The first setting that can't work.
-    pub fn check(&self) -> Result<(), Conflict> {
+    pub fn check(&self) -> Result<(), SettingsConflict> {
         let conflict = |section, key, detail: &str| {
-            Err(Conflict {
+            Err(SettingsConflict {
                 section,
                 key,
                 detail: detail.to_owned(),
--- a/clementinepickd/src/telemetry.rs
+++ b/clementinepickd/src/telemetry.rs
@@ -36,14 +36,14 @@
     }
 
     /// Counts an event.
-    pub(crate) fn on_event(&self, kind: EventKind) {
+    pub(crate) fn record_event(&self, kind: EventKind) {
         with_local_recorder(&self.recorder, || {
             counter!("clementinepick_events_total", "event" => kind.name()).increment(1);
         });
     }
 
     /// Counts an answered call.
-    pub(crate) fn on_answered(&self, route: &'static str, outcome: &'static str, took: SpanUs) {
+    pub(crate) fn record_call(&self, route: &'static str, outcome: &'static str, took: SpanUs) {
         with_local_recorder(&self.recorder, || {
             counter!("clementinepick_calls_total", "route" => route, "outcome" => outcome)
                 .increment(1);
@@ -52,7 +52,7 @@
     }
 
     /// Counts a request that was refused before it reached the decisions.
-    pub(crate) fn on_refused(&self, kind: ErrorKind) {
+    pub(crate) fn record_refusal(&self, kind: ErrorKind) {
         with_local_recorder(&self.recorder, || {
             let outcome = kind.response().code;
             counter!("clementinepick_calls_total", "route" => "none", "outcome" => outcome)
--- a/clementinepickd/tests/http.rs
+++ b/clementinepickd/tests/http.rs
@@ -21,7 +21,7 @@
         limits: Limits {
             body_bytes: Bytes(1_000),
             header_bytes: Bytes(500),
-            receive_us: SpanUs::from_ms(300),
+            receive_timeout_us: SpanUs::from_ms(300),
             ..Limits::default()
         },
         ..entry_settings()
--- a/clementinepickd/tests/links.rs
+++ b/clementinepickd/tests/links.rs
@@ -256,7 +256,7 @@
 fn a_silent_link_is_closed() {
     let settings = Settings {
         links: LinkSettings {
-            silence_us: SpanUs::from_ms(200),
+            idle_timeout_us: SpanUs::from_ms(200),
             ..sidecar_settings().links
         },
         ..sidecar_settings()
--- a/clementinepickd/tests/support/mod.rs
+++ b/clementinepickd/tests/support/mod.rs
@@ -29,7 +29,7 @@
             ..LinkSettings::default()
         },
         shutdown: ShutdownSettings {
-            notice_us: SpanUs(0),
+            drain_delay_us: SpanUs(0),
             linger_us: SpanUs(0),
             ..ShutdownSettings::default()
         },
@@ -52,5 +52,5 @@
 /// Ends a daemon and waits for its threads.
 pub fn end(daemon: Daemon) {
     daemon.shutdown();
-    assert_eq!(daemon.join(), clementinepickd::Ended::Gracefully);
+    assert_eq!(daemon.join(), clementinepickd::ShutdownKind::Graceful);
 }
--- a/standins/src/deployment.rs
+++ b/standins/src/deployment.rs
@@ -16,7 +16,7 @@
     BackendKind, EntryRole, LinkKey, LinkKeys, LinkSettings, LogLevel, Role, Settings,
     ShutdownSettings, SidecarRole,
 };
-use clementinepickd::{Daemon, Ended};
+use clementinepickd::{Daemon, ShutdownKind};
 use serde_json::Value;
 
 use crate::Failure;
@@ -217,7 +217,7 @@
                 ..LinkSettings::default()
             },
             shutdown: ShutdownSettings {
-                notice_us: SpanUs::from_s(1),
+                drain_delay_us: SpanUs::from_s(1),
                 limit_us: SpanUs::from_s(60),
                 ..ShutdownSettings::default()
             },
@@ -349,7 +349,7 @@
         let ended = old.daemon.join();
         self.balancer.remove(address);
         self.servers.vms.remove(old.vm.clone());
-        if ended == Ended::Forced {
+        if ended == ShutdownKind::Forced {
             let text = format!("{} had to be forced to end", old.vm);
             return Err(Failure::Check(text));
         }
--- a/standins/tests/daemons.rs
+++ b/standins/tests/daemons.rs
@@ -8,7 +8,7 @@
 use std::thread;
 
 use clementinepick::units::{Bytes, SpanUs, Tokens};
-use clementinepickd::Ended;
+use clementinepickd::ShutdownKind;
 use clementinepickd::settings::{Limits, ShutdownSettings};
 use cut_path::{CutPath, Direction};
 use deployment::{Answer, Call, Deployment, Shape, read, state, streamed_text, wait_for};
@@ -144,7 +144,7 @@
     assert!(queued.whole, "{queued:?}");
     let hold = read(hold);
     assert_eq!((hold.status, hold.whole), (201, true));
-    assert_eq!(entry.join(), Ended::Gracefully);
+    assert_eq!(entry.join(), ShutdownKind::Graceful);
     assert_eq!(deployment.servers.plains[0].executions()["hold-1"], 1);
     assert_streamed(
         &Call::chat("plan-3", 40, true).send(deployment.entries[0].http_address()),
@@ -181,7 +181,7 @@
     wait_for(|| state(&entry)["leaving"] == true);
     assert!(!entry.is_finished());
     assert_streamed(&read(slow), tokens);
-    assert_eq!(entry.join(), Ended::Gracefully);
+    assert_eq!(entry.join(), ShutdownKind::Graceful);
     deployment.end();
 }
 
@@ -237,7 +237,7 @@
         assert_streamed(&read(stream), 400);
     }
     assert_eq!(read(hold).status, 201);
-    assert_eq!(leaving.join(), Ended::Gracefully);
+    assert_eq!(leaving.join(), ShutdownKind::Graceful);
     wait_for(|| deployment.plain_sidecar.is_finished());
     assert_eq!(deployment.servers.plains[0].executions()["hold-1"], 1);
     deployment.end();
@@ -267,7 +267,7 @@
     wait_for(|| state(&deployment.plain_sidecar)["running"] == 1);
     let answers = thread::spawn(move || (read(turn), read(stream), read(hold)));
     entry.shutdown();
-    assert_eq!(entry.join(), Ended::Forced);
+    assert_eq!(entry.join(), ShutdownKind::Forced);
     let (turn, stream, hold) = answers.join().expect("answers");
     let (turn, hold) = (json(&turn), json(&hold));
     assert_eq!(turn["error"]["repeat_safe"], true, "{turn}");
--- a/standins/tests/deployment/mod.rs
+++ b/standins/tests/deployment/mod.rs
@@ -78,7 +78,7 @@
             plain: PlainSettings::default(),
             limits: Limits::default(),
             shutdown: ShutdownSettings {
-                notice_us: SpanUs::from_ms(100),
+                drain_delay_us: SpanUs::from_ms(100),
                 linger_us: SpanUs::from_ms(100),
                 limit_us: SpanUs::from_s(30),
             },
@@ -178,7 +178,7 @@
         let sidecars = self.engine_sidecars.into_iter().chain([self.plain_sidecar]);
         let daemons: Vec<Daemon> = self.entries.into_iter().chain(sidecars).collect();
         for daemon in &daemons {
-            daemon.force();
+            daemon.force_shutdown();
         }
         for daemon in daemons {
             let _ = daemon.join();
