--- a/clementinepickd/src/gateway_call.rs
+++ b/clementinepickd/src/gateway_call.rs
@@ -14,8 +14,8 @@
 use crate::gateway_reply::{CallerDisconnected, Reply};
 use crate::gateway_shared::Shared;
 use crate::gateway_trace::Trace;
-use crate::leave_out::Safeguard;
 use crate::link::duration;
+use crate::safeguard::Safeguard;
 
 /// The largest body of a response, in bytes. It is buffered in full, so that a truncated response
 /// never looks complete and an idempotent call can be sent again.
@@ -58,7 +58,7 @@
     trace: &Trace,
 ) -> Result<FullResponse, Refusal> {
     let is_idempotent = routed.route.kind == RequestKind::Idempotent;
-    let may_repeat = is_idempotent || Safeguard::BookingOnce.is_left_out();
+    let may_repeat = is_idempotent || Safeguard::BookingOnce.is_disabled();
     let mut attempts = Attempts::new(shared, routed, trace, may_repeat);
     while let Some(slot) = attempts.next_slot(None) {
         let response_timeout = if may_repeat && !attempts.is_last() {
--- a/clementinepickd/src/gateway_exchange.rs
+++ b/clementinepickd/src/gateway_exchange.rs
@@ -13,8 +13,8 @@
 use crate::gateway_attempts::AttemptError;
 use crate::gateway_connection::ReceivedRequest;
 use crate::gateway_shared::Shared;
-use crate::leave_out::Safeguard;
 use crate::outbound::{Connection, OutboundRequest};
+use crate::safeguard::Safeguard;
 
 /// How long opening a connection to a backend server may take. A lost packet of the handshake is
 /// retransmitted only after a second, so that waiting for longer gains little.
@@ -188,7 +188,7 @@
         head: ResponseHead,
     ) -> Result<ServerResponse, AttemptError> {
         let is_own = platform::response::matches_request_id(&head.headers, &self.info.id);
-        if !is_own && !Safeguard::OwnAnswer.is_left_out() {
+        if !is_own && !Safeguard::OwnAnswer.is_disabled() {
             // The response may belong to an earlier request on this connection.
             let is_refusal =
                 platform::response::is_not_executed(head.status.as_u16(), &head.headers);
--- a/clementinepickd/src/gateway_settings.rs
+++ b/clementinepickd/src/gateway_settings.rs
@@ -6,7 +6,7 @@
 use clementinepick::ids::{VmId, ZoneName};
 use clementinepick::units::{Bytes, SpanUs};
 
-use crate::ini_source::{SettingsError, Source};
+use crate::ini_reader::{IniReader, SettingsError};
 use crate::ledger::LedgerSettings;
 use crate::settings::LogLevel;
 
@@ -75,21 +75,21 @@
 /// # Errors
 ///
 /// Returns an error that names the section and the key.
-pub(crate) fn read(source: &mut Source<'_>) -> Result<GatewaySettings, SettingsError> {
+pub(crate) fn read(source: &mut IniReader<'_>) -> Result<GatewaySettings, SettingsError> {
     let mut settings = GatewaySettings {
-        vm: source.need("process", "vm")?,
-        zone: source.need("process", "zone")?,
-        callers: source.need("listen", "callers")?,
-        ready: source.need("listen", "ready")?,
-        peers: source.need("listen", "peers")?,
+        vm: source.require("process", "vm")?,
+        zone: source.require("process", "zone")?,
+        callers: source.require("listen", "callers")?,
+        ready: source.require("listen", "ready")?,
+        peers: source.require("listen", "peers")?,
         metrics: source.read("listen", "metrics")?,
-        store: source.need("store", "address")?,
+        store: source.require("store", "address")?,
         seeds: read_seeds(source)?,
         ..GatewaySettings::default()
     };
-    source.set("process", "log_level", &mut settings.log_level)?;
-    source.set("process", "log_every", &mut settings.log_every)?;
-    source.set("store", "partitions", &mut settings.ledger.partitions)?;
+    source.read_into("process", "log_level", &mut settings.log_level)?;
+    source.read_into("process", "log_every", &mut settings.log_every)?;
+    source.read_into("store", "partitions", &mut settings.ledger.partitions)?;
     settings.body_limit_bytes = read_bytes(source, "limits", "bodies", settings.body_limit_bytes)?;
     settings.ledger.record_bytes =
         read_bytes(source, "store", "record", settings.ledger.record_bytes)?;
@@ -99,18 +99,18 @@
     settings.drain_delay = read_duration(source, "notice", settings.drain_delay)?;
     settings.shutdown_limit = read_duration(source, "limit", settings.shutdown_limit)?;
     if settings.drain_delay >= settings.shutdown_limit {
-        return Err(source.wrong("shutdown", "notice", "must be shorter than `limit`"));
+        return Err(source.key_error("shutdown", "notice", "must be shorter than `limit`"));
     }
     if settings.ledger.partitions == 0 {
-        return Err(source.wrong("store", "partitions", "must be at least 1"));
+        return Err(source.key_error("store", "partitions", "must be at least 1"));
     }
     if settings.ledger.call_bytes < settings.ledger.record_bytes {
-        return Err(source.wrong("store", "call", "must be at least `record`"));
+        return Err(source.key_error("store", "call", "must be at least `record`"));
     }
     Ok(settings)
 }
 
-fn read_seeds(source: &mut Source<'_>) -> Result<Vec<SocketAddr>, SettingsError> {
+fn read_seeds(source: &mut IniReader<'_>) -> Result<Vec<SocketAddr>, SettingsError> {
     let text: Option<String> = source.read("peers", "seeds")?;
     let text = text.unwrap_or_default();
     let seeds = text
@@ -120,7 +120,7 @@
     seeds
         .map(|seed| {
             let invalid = || {
-                source.wrong(
+                source.key_error(
                     "peers",
                     "seeds",
                     format!("`{seed}` is not a socket address"),
@@ -132,7 +132,7 @@
 }
 
 fn read_bytes(
-    source: &mut Source<'_>,
+    source: &mut IniReader<'_>,
     section: &'static str,
     key: &'static str,
     default: usize,
@@ -144,7 +144,7 @@
 }
 
 fn read_duration(
-    source: &mut Source<'_>,
+    source: &mut IniReader<'_>,
     key: &'static str,
     default: Duration,
 ) -> Result<Duration, SettingsError> {
--- a/clementinepickd/src/gateway_stream.rs
+++ b/clementinepickd/src/gateway_stream.rs
@@ -23,11 +23,11 @@
 use crate::gateway_reply::{CallerDisconnected, Reply, ReplyState};
 use crate::gateway_shared::Shared;
 use crate::gateway_trace::Trace;
-use crate::leave_out::Safeguard;
 use crate::ledger::LedgerError;
 use crate::ledger_budgets::BudgetRequest;
 use crate::ledger_holds::BudgetHold;
 use crate::link::duration;
+use crate::safeguard::Safeguard;
 use crate::unix_time::unix_ms;
 
 /// The maximum of a turn that names none; it counts as a large turn.
@@ -98,7 +98,7 @@
     }
     trace.record_generated(Instant::now());
     if reply.state() == ReplyState::Started {
-        if Safeguard::RecordBeforeEnd.is_left_out() {
+        if Safeguard::RecordBeforeEnd.is_disabled() {
             reply.finish().await?;
             // The result is ignored, because the caller already has the end.
             let _ = stream.record().await;
--- a/clementinepickd/src/ledger_budgets.rs
+++ b/clementinepickd/src/ledger_budgets.rs
@@ -17,11 +17,11 @@
 use tokio::sync::mpsc;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::leave_out::Safeguard;
 use crate::ledger::{LedgerError, LedgerStore, Partition, to_cbor};
 use crate::ledger_holds::{BudgetHold, SliceGrant, TokenReturn};
 use crate::ledger_partitions::{HeldHome, PartitionState};
 use crate::link::duration;
+use crate::safeguard::Safeguard;
 use crate::unix_time::unix_ms;
 
 /// How often the reservation of a slice is retried after another process wrote to the partition
@@ -328,7 +328,7 @@
         };
         let view = state.view.borrow();
         let is_counted = view.has_standing_slice(request.program, home.number);
-        if !is_counted && !Safeguard::StandingCount.is_left_out() {
+        if !is_counted && !Safeguard::StandingCount.is_disabled() {
             return;
         }
         let mut programs = self.programs.borrow_mut();
