--- a/clementinepickd/src/control.rs
+++ b/clementinepickd/src/control.rs
@@ -1,5 +1,7 @@
-//! The control thread: it owns the decisions, feeds them inputs and the time, and hands out what
-//! they want done. It never waits for a peer or a caller.
+//! Runs the control thread, which owns the state machine of the process's role.
+//!
+//! It passes inputs and the time to the state machine and carries out the actions that come back. It
+//! never waits for a peer or a caller.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -27,45 +29,44 @@
 use crate::settings::{Role, Settings};
 use crate::telemetry::Telemetry;
 
-/// The time between two ticks of the decisions.
-const TICK: Duration = Duration::from_millis(5);
-/// The time between two looks for callers that do not read.
-const SWEEP: SpanUs = SpanUs::from_ms(100);
-/// The most inputs that are taken between two looks at the clock.
-const MAX_BURST: usize = 256;
-/// How long answers may take to reach callers after a shutdown was forced.
-const FLUSH_LIMIT: Duration = Duration::from_secs(1);
+/// The interval between two ticks of the state machine.
+const TICK_INTERVAL: Duration = Duration::from_millis(5);
+/// The interval between two checks for callers that do not read their answers.
+const STALL_CHECK_INTERVAL: SpanUs = SpanUs::from_ms(100);
+/// The maximum number of inputs handled between two checks for a tick.
+const MAX_INPUT_BATCH: usize = 256;
+/// How long answers may take to reach callers after a forced shutdown.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What the control thread reads.
+/// The receiving ends of the control thread's channels.
 pub(crate) struct Inputs {
-    /// All inputs.
+    /// All inputs but disconnects of callers.
     pub(crate) inputs: mpsc::Receiver<ControlInput>,
-    /// Callers that are gone.
+    /// Requests whose callers have disconnected.
     pub(crate) gone: mpsc::UnboundedReceiver<RequestId>,
 }
 
-/// How the process is told to end, from any thread and without waiting.
+/// Flags by which any thread requests a shutdown without blocking.
 #[derive(Debug, Default)]
 pub(crate) struct ShutdownRequests {
-    /// Leave gracefully.
+    /// Set to begin a graceful shutdown.
     pub(crate) graceful: AtomicBool,
-    /// Leave at once, with truthful answers for what is unfinished.
+    /// Set to end at once; unfinished calls are answered with what is known of them.
     pub(crate) forced: AtomicBool,
 }
 
-/// Where the control thread hands work out, and what it shares.
+/// The control thread's channels to other threads, and the state that it shares with them.
 pub(crate) struct Outputs {
-    /// The thread of the links.
+    /// Tells the link manager which VMs to keep links to.
     pub(crate) links: mpsc::UnboundedSender<DialOrder>,
-    /// The thread of the platform clients.
+    /// Sends commands to the thread of the platform clients.
     pub(crate) clients: mpsc::UnboundedSender<ClientOrder>,
-    /// How the process is told to end.
+    /// Requests for a shutdown.
     pub(crate) shutdown: Arc<ShutdownRequests>,
-    /// What `/readyz` says.
+    /// Whether `/readyz` reports the process as ready.
     pub(crate) ready: Arc<AtomicBool>,
-    /// One permit for each answer that may be under way.
+    /// Limits concurrent answers: each holds a permit while it is sent.
     pub(crate) streams: Arc<Semaphore>,
-    /// The log of the process.
     pub(crate) logger: slog::Logger,
 }
 
@@ -78,7 +79,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
     Serving,
-    /// Not ready any more, but serving, until the balancer knows.
+    /// Not ready any more, but serving until the load balancer has noticed.
     Notice {
         until_us: TimeUs,
         limit_us: TimeUs,
@@ -92,28 +93,26 @@
     },
 }
 
-/// The state of the control thread.
 pub(crate) struct Control {
     settings: Settings,
     incarnation: Incarnation,
     clock: MonotonicClock,
-    decisions: Box<dyn RoleLogic + Send>,
+    role_logic: Box<dyn RoleLogic + Send>,
     outputs: Outputs,
     telemetry: Telemetry,
     links: BTreeMap<VmId, OpenLink>,
-    dialled: BTreeMap<VmId, Vm>,
+    dial_targets: BTreeMap<VmId, Vm>,
     callers: Callers,
     stage: Stage,
-    finished: bool,
-    next_sweep_us: TimeUs,
+    is_finished: bool,
+    next_stall_check_us: TimeUs,
 }
 
 impl Control {
-    /// Control over `decisions`.
     pub(crate) fn new(
         settings: Settings,
         incarnation: Incarnation,
-        decisions: Box<dyn RoleLogic + Send>,
+        role_logic: Box<dyn RoleLogic + Send>,
         outputs: Outputs,
         telemetry: Telemetry,
     ) -> Self {
@@ -121,47 +120,47 @@
             settings,
             incarnation,
             clock: MonotonicClock::starting_at(Instant::now()),
-            decisions,
+            role_logic,
             outputs,
             telemetry,
             links: BTreeMap::new(),
-            dialled: BTreeMap::new(),
+            dial_targets: BTreeMap::new(),
             callers: Callers::default(),
             stage: Stage::Serving,
-            finished: false,
-            next_sweep_us: TimeUs(0),
+            is_finished: false,
+            next_stall_check_us: TimeUs(0),
         }
     }
 
-    /// Runs until everything has finished or was forced to.
-    pub(crate) async fn run(mut self, mut from: Inputs) -> ShutdownKind {
+    /// Runs until the shutdown has finished or was forced.
+    pub(crate) async fn run(mut self, mut inputs: Inputs) -> ShutdownKind {
         self.on_event(&Event::new(EventKind::ProcessStarted));
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut burst = Vec::with_capacity(MAX_BURST);
-        let mut ticked = false;
+        let mut batch = Vec::with_capacity(MAX_INPUT_BATCH);
+        let mut is_tick_due = false;
         loop {
-            // Requests come before callers that are gone, so that a caller who leaves at once is
-            // not forgotten before its request is known.
+            // Requests are received before disconnects: otherwise the disconnect of a caller that
+            // leaves at once would be dropped before its request is known.
             tokio::select! {
                 biased;
-                _ = ticks.tick() => ticked = true,
-                count = from.inputs.recv_many(&mut burst, MAX_BURST) => {
+                _ = ticks.tick() => is_tick_due = true,
+                count = inputs.inputs.recv_many(&mut batch, MAX_INPUT_BATCH) => {
                     if count == 0 {
                         break;
                     }
                 }
-                Some(request) = from.gone.recv() => self.on_gone(request),
+                Some(request) = inputs.gone.recv() => self.on_gone(request),
             }
-            for input in burst.drain(..) {
+            for input in batch.drain(..) {
                 self.on_input(input);
             }
-            if std::mem::take(&mut ticked) {
+            if std::mem::take(&mut is_tick_due) {
                 self.on_tick();
             }
-            let ready = self.decisions.is_ready() && self.stage == Stage::Serving;
+            let ready = self.role_logic.is_ready() && self.stage == Stage::Serving;
             self.outputs.ready.store(ready, Ordering::Relaxed);
-            if self.is_over() {
+            if self.is_done() {
                 break;
             }
         }
@@ -176,17 +175,17 @@
         self.clock.at(Instant::now())
     }
 
-    fn is_over(&self) -> bool {
-        let answered = self.outputs.streams.available_permits() >= self.settings.limits.streams;
+    fn is_done(&self) -> bool {
+        let all_answered = self.outputs.streams.available_permits() >= self.settings.limits.streams;
         match self.stage {
             Stage::Serving | Stage::Notice { .. } => false,
-            // A call that a peer had sent before it learned would be lost with the link: the peer
-            // could not tell whether it ran. So the process stays to refuse it.
+            // A call that a peer sent before it learned of the shutdown would be lost with the link,
+            // and the peer could not tell whether it ran. The process lingers to refuse it.
             Stage::Leaving { stay_until_us, .. } => {
-                self.finished && answered && self.now() >= stay_until_us
+                self.is_finished && all_answered && self.now() >= stay_until_us
             }
             Stage::Forced { at_us } => {
-                answered || u128::from(self.now().since(at_us).0) >= FLUSH_LIMIT.as_micros()
+                all_answered || u128::from(self.now().since(at_us).0) >= FLUSH_TIMEOUT.as_micros()
             }
         }
     }
@@ -200,12 +199,12 @@
             }
             ControlInput::Fetch { fetch, answers } => {
                 if self.callers.add(now, fetch.id, answers, "fetch") {
-                    self.decisions.fetch(now, fetch, &mut out);
+                    self.role_logic.on_fetch(now, fetch, &mut out);
                 }
             }
             ControlInput::Refused(kind) => self.telemetry.record_refusal(kind),
             ControlInput::EndProgram(program) => {
-                self.decisions.end_program(now, program, &mut out);
+                self.role_logic.end_program(now, program, &mut out);
             }
             ControlInput::LinkUp { link, peer, queue } => {
                 self.on_link_up(now, OpenLink { link, peer, queue }, &mut out);
@@ -217,17 +216,17 @@
             }
             ControlInput::LinkMessage { link, vm, message } => {
                 if self.links.get(&vm).is_some_and(|open| open.link == link) {
-                    self.decisions.link(now, vm, message, &mut out);
+                    self.role_logic.on_link_message(now, vm, message, &mut out);
                 }
             }
             input @ (ControlInput::Entry(_) | ControlInput::Sidecar(_)) => {
-                self.decisions.client(now, input, &mut out);
+                self.role_logic.on_client_input(now, input, &mut out);
             }
             ControlInput::Event(event) => self.on_event(&event),
             ControlInput::Dump(answer) => self.on_dump(now, answer),
             ControlInput::Gauges(answer) => self.on_gauges(answer),
         }
-        self.carry_out(now, out);
+        self.execute(now, out);
     }
 
     fn on_request(
@@ -242,7 +241,7 @@
             Payload::Plain(_) => "plain",
         };
         if self.callers.add(now, request.id, answers, route) {
-            self.decisions.request(now, request, out);
+            self.role_logic.on_request(now, request, out);
         }
     }
 
@@ -250,34 +249,34 @@
         let now = self.now();
         if self.callers.leave(now, request, &self.telemetry) {
             let mut out = Vec::new();
-            self.decisions.caller_gone(now, request, &mut out);
-            self.carry_out(now, out);
+            self.role_logic.on_caller_gone(now, request, &mut out);
+            self.execute(now, out);
         }
     }
 
     fn on_link_up(&mut self, now: TimeUs, open: OpenLink, out: &mut Vec<Action>) {
         let vm = open.peer.vm.clone();
-        if let Some(known) = self.links.get(&vm) {
-            // A process that was replaced may wake up and connect again. Its link would push out
-            // its successor's, so only the same life or a later one may.
-            if open.peer.incarnation < known.peer.incarnation {
+        if let Some(current) = self.links.get(&vm) {
+            // A suspended process that was replaced may resume and reconnect. Its link would
+            // replace its successor's, so links of an earlier incarnation are rejected.
+            if open.peer.incarnation < current.peer.incarnation {
                 return;
             }
             self.close_link(now, &vm, out);
         }
         let peer = open.peer.clone();
         self.links.insert(vm, open);
-        self.decisions.link_up(now, peer, out);
+        self.role_logic.on_link_up(now, peer, out);
     }
 
-    /// Forgets a link, which closes it once what waits is sent, and tells the decisions.
+    /// Drops a link, which closes once its queued messages are sent, and notifies the state machine.
     fn close_link(&mut self, now: TimeUs, vm: &VmId, out: &mut Vec<Action>) {
         if self.links.remove(vm).is_some() {
-            self.decisions.link_down(now, vm.clone(), out);
+            self.role_logic.on_link_down(now, vm.clone(), out);
         }
     }
 
-    fn on_shutdown(&mut self, now: TimeUs, out: &mut Vec<Action>) {
+    fn begin_shutdown(&mut self, now: TimeUs, out: &mut Vec<Action>) {
         if self.stage != Stage::Serving {
             return;
         }
@@ -287,18 +286,19 @@
                 let until_us = now.after(self.settings.shutdown.drain_delay_us);
                 self.stage = Stage::Notice { until_us, limit_us };
             }
-            // Entries learn over the links at once, and what is on its way is refused as not run.
-            Role::Sidecar(_) => self.leave(now, limit_us, out),
+            // Entries learn of the shutdown over their links at once; calls already on the way are
+            // refused as not run.
+            Role::Sidecar(_) => self.begin_leaving(now, limit_us, out),
         }
     }
 
-    fn leave(&mut self, now: TimeUs, limit_us: TimeUs, out: &mut Vec<Action>) {
+    fn begin_leaving(&mut self, now: TimeUs, limit_us: TimeUs, out: &mut Vec<Action>) {
         let stay_until_us = now.after(self.settings.shutdown.linger_us);
         self.stage = Stage::Leaving {
             stay_until_us,
             limit_us,
         };
-        self.decisions.shutdown(now, out);
+        self.role_logic.shutdown(now, out);
     }
 
     fn force(&mut self, now: TimeUs, out: &mut Vec<Action>) {
@@ -309,27 +309,27 @@
         self.on_event(
             &Event::new(EventKind::ShutdownForced).with("open_answers", self.callers.len()),
         );
-        self.decisions.force(now, out);
+        self.role_logic.force_shutdown(now, out);
     }
 
     fn on_tick(&mut self) {
         let now = self.now();
         let mut out = Vec::new();
-        self.finished = false;
-        self.decisions.tick(now, &mut out);
-        if now >= self.next_sweep_us {
-            self.next_sweep_us = now.after(SWEEP);
-            self.stop_slow_callers(now, &mut out);
+        self.is_finished = false;
+        self.role_logic.on_tick(now, &mut out);
+        if now >= self.next_stall_check_us {
+            self.next_stall_check_us = now.after(STALL_CHECK_INTERVAL);
+            self.drop_stalled_callers(now, &mut out);
         }
         if self.outputs.shutdown.graceful.load(Ordering::Relaxed) {
-            self.on_shutdown(now, &mut out);
+            self.begin_shutdown(now, &mut out);
         }
         if self.outputs.shutdown.forced.load(Ordering::Relaxed) {
             self.force(now, &mut out);
         }
         match self.stage {
             Stage::Notice { until_us, limit_us } if now >= until_us => {
-                self.leave(now, limit_us, &mut out);
+                self.begin_leaving(now, limit_us, &mut out);
             }
             Stage::Leaving { limit_us, .. } if now >= limit_us => self.force(now, &mut out),
             Stage::Serving
@@ -337,10 +337,10 @@
             | Stage::Leaving { .. }
             | Stage::Forced { .. } => {}
         }
-        self.carry_out(now, out);
+        self.execute(now, out);
     }
 
-    fn carry_out(&mut self, now: TimeUs, actions: Vec<Action>) {
+    fn execute(&mut self, now: TimeUs, actions: Vec<Action>) {
         let mut actions = std::collections::VecDeque::from(actions);
         while let Some(action) = actions.pop_front() {
             let mut more = Vec::new();
@@ -351,17 +351,17 @@
                     self.links.remove(&vm);
                 }
                 Action::Answer { request, part } => {
-                    let given = self.callers.give(now, request, part, &self.telemetry);
-                    if given.is_err() {
-                        self.decisions.caller_gone(now, request, &mut more);
+                    let delivered = self.callers.give(now, request, part, &self.telemetry);
+                    if delivered.is_err() {
+                        self.role_logic.on_caller_gone(now, request, &mut more);
                     }
                 }
-                Action::Client(order) => {
-                    // The clients' thread ends after this one, so the order is always taken.
-                    let _ = self.outputs.clients.send(order);
+                Action::Client(command) => {
+                    // The clients' thread ends after this one, so the command is always received.
+                    let _ = self.outputs.clients.send(command);
                 }
                 Action::Event(event) => self.on_event(&event),
-                Action::Finished => self.finished = true,
+                Action::Finished => self.is_finished = true,
             }
             actions.extend(more);
         }
@@ -371,33 +371,34 @@
         let Some(open) = self.links.get(to) else {
             return;
         };
-        // A full queue means that the peer does not read. Waiting would stop all other peers, and
-        // leaving messages out would break the order that the decisions rely on, so the link goes.
+        // A full queue means that the peer does not read. Waiting would block all other peers, and
+        // dropping messages would break the ordered delivery that the state machine relies on, so
+        // the link is closed.
         if open.queue.push(message).is_err() {
             self.close_link(now, to, out);
         }
     }
 
     fn dial(&mut self, now: TimeUs, vms: BTreeMap<VmId, Vm>, out: &mut Vec<Action>) {
-        let left: Vec<VmId> = self
-            .dialled
+        let removed: Vec<VmId> = self
+            .dial_targets
             .keys()
             .filter(|vm| !vms.contains_key(vm))
             .cloned()
             .collect();
-        for vm in left {
+        for vm in removed {
             self.close_link(now, &vm, out);
         }
-        if vms != self.dialled {
-            self.dialled.clone_from(&vms);
+        if vms != self.dial_targets {
+            self.dial_targets.clone_from(&vms);
             let _ = self.outputs.links.send(DialOrder(vms));
         }
     }
 
-    /// Cuts off callers that do not read: they would hold memory here for as long as they like.
-    fn stop_slow_callers(&mut self, now: TimeUs, out: &mut Vec<Action>) {
+    /// Disconnects callers that do not read their answers, which would hold memory without limit.
+    fn drop_stalled_callers(&mut self, now: TimeUs, out: &mut Vec<Action>) {
         for request in self.callers.stop_slow(now, &self.telemetry) {
-            self.decisions.caller_gone(now, request, out);
+            self.role_logic.on_caller_gone(now, request, out);
         }
     }
 
@@ -420,15 +421,15 @@
             "ready": self.outputs.ready.load(Ordering::Relaxed),
             "open_answers": self.callers.len(),
             "links": links,
-            "dialled": self.dialled.keys().collect::<Vec<_>>(),
+            "dialled": self.dial_targets.keys().collect::<Vec<_>>(),
         });
-        let _ = answer.send(json!({"process": process, "state": self.decisions.dump(now)}));
+        let _ = answer.send(json!({"process": process, "state": self.role_logic.dump(now)}));
     }
 
     fn on_gauges(&self, answer: oneshot::Sender<()>) {
         self.telemetry.set_gauge("open_answers", self.callers.len());
         self.telemetry.set_gauge("links", self.links.len());
-        for (name, count) in self.decisions.counts() {
+        for (name, count) in self.role_logic.counts() {
             self.telemetry.set_gauge(name, count);
         }
         let _ = answer.send(());
--- a/clementinepickd/src/daemon.rs
+++ b/clementinepickd/src/daemon.rs
@@ -1,4 +1,6 @@
-//! A running process: its threads, how they start, and in which order they end.
+//! Starts the threads of an entry or a sidecar and joins them when it ends.
+//!
+//! The control thread ends first and then joins the others.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -23,24 +25,24 @@
 use crate::telemetry::Telemetry;
 use crate::{clients, http, link_manager, logging};
 
-/// Why a process can't start.
+/// An error that keeps a process from starting.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The settings can't work.
+    /// The settings are inconsistent.
     #[error("{0}")]
     Settings(#[from] SettingsConflict),
-    /// An address can't be listened on.
-    #[error("{address}: {error}")]
+    /// An address could not be bound.
+    #[error("cannot listen on {address}: {error}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Why.
+        /// The cause.
         error: io::Error,
     },
-    /// A thread or the HTTP server can't be started.
+    /// A thread or the HTTP server could not be started.
     #[error("{0}")]
     System(#[from] io::Error),
-    /// The metrics can't be set up.
+    /// The metrics recorder could not be set up.
     #[error("{0}")]
     Metrics(#[from] metrics_exporter_prometheus::BuildError),
 }
@@ -48,44 +50,46 @@
 /// How a process ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ShutdownKind {
-    /// Everything was finished.
+    /// All calls had finished.
     Graceful,
-    /// It was told to, or the limit passed; what was unfinished was answered as it stood.
+    /// It was forced to, or the shutdown limit passed; unfinished calls were answered with what is
+    /// known of them.
     Forced,
 }
 
-/// A running process.
+/// A running entry or sidecar.
 ///
-/// Dropped without [`Daemon::join`], its threads go on.
+/// When it is dropped without [`Daemon::join`], its threads keep running.
 #[derive(Debug)]
 pub struct Daemon {
     http_address: SocketAddr,
     link_address: SocketAddr,
     shutdown: Arc<ShutdownRequests>,
-    /// Ends last and joins all others.
+    /// The control thread, which joins all others before it ends.
     thread: JoinHandle<ShutdownKind>,
 }
 
 impl Daemon {
-    /// Starts a process; it listens when this returns.
+    /// Starts a process; it is listening when this returns.
     ///
     /// # Errors
     ///
-    /// Settings that can't work, or an address that is taken.
+    /// Returns an error when the settings are inconsistent, an address can't be bound, or a thread
+    /// can't be started.
     pub fn start(settings: Settings) -> Result<Self, StartError> {
         settings.check()?;
         let (http_listener, http_address) = listen(settings.http_address)?;
         let (link_listener, link_address) = listen(settings.link_address)?;
-        let incarnation = settings.incarnation.unwrap_or_else(draw_incarnation);
+        let incarnation = settings.incarnation.unwrap_or_else(incarnation_from_clock);
         let telemetry = Telemetry::new()?;
-        let (inputs_sender, inputs) = mpsc::channel(MAX_INPUTS);
-        let (gone_sender, gone) = mpsc::unbounded_channel();
-        let (link_sender, link_orders) = mpsc::unbounded_channel();
-        let (client_sender, client_orders) = mpsc::unbounded_channel();
+        let (input_sender, inputs) = mpsc::channel(MAX_INPUTS);
+        let (disconnect_sender, gone) = mpsc::unbounded_channel();
+        let (link_sender, link_targets) = mpsc::unbounded_channel();
+        let (client_sender, client_commands) = mpsc::unbounded_channel();
         let shutdown = Arc::new(ShutdownRequests::default());
         let sender = ControlSender {
-            inputs: inputs_sender,
-            gone: gone_sender,
+            inputs: input_sender,
+            gone: disconnect_sender,
         };
         let outputs = Outputs {
             links: link_sender,
@@ -95,7 +99,7 @@
             streams: Arc::new(Semaphore::new(settings.limits.streams)),
             logger: logging::new_logger(settings.log_level, &settings.vm, incarnation),
         };
-        let (decisions, peer) = new_role_logic(&settings, incarnation);
+        let (role_logic, peer) = new_role_logic(&settings, incarnation);
 
         let shared = Shared::new(&settings, sender.clone(), &outputs, telemetry.handle());
         let (http, server) = start_http(http_listener, settings.http_workers, shared, &shutdown)?;
@@ -106,7 +110,7 @@
                 peer,
                 link_listener,
                 own,
-                link_orders,
+                link_targets,
             ));
         })?;
         let (own, role, limits) = (
@@ -115,7 +119,7 @@
             settings.limits.clone(),
         );
         let clients = spawn("clients", &shutdown, move || {
-            System::new().block_on(clients::run(role, limits, own, client_orders));
+            System::new().block_on(clients::run(role, limits, own, client_commands));
         })?;
         let threads = Threads {
             http,
@@ -123,7 +127,7 @@
             links,
             clients,
         };
-        let control = Control::new(settings, incarnation, decisions, outputs, telemetry);
+        let control = Control::new(settings, incarnation, role_logic, outputs, telemetry);
         let inputs = Inputs { inputs, gone };
         let thread = thread::Builder::new()
             .name("control".to_owned())
@@ -136,46 +140,47 @@
         })
     }
 
-    /// Where it takes HTTP.
+    /// Returns the address on which it serves HTTP.
     #[must_use]
     pub const fn http_address(&self) -> SocketAddr {
         self.http_address
     }
 
-    /// Where it takes links.
+    /// Returns the address on which it accepts links.
     #[must_use]
     pub const fn link_address(&self) -> SocketAddr {
         self.link_address
     }
 
-    /// Begins to leave: no new work, and an end once what runs is finished.
+    /// Begins a graceful shutdown: the process accepts no new calls and ends once running ones have
+    /// finished.
     pub fn shutdown(&self) {
         self.shutdown.graceful.store(true, Ordering::Relaxed);
     }
 
-    /// Ends at once; what is unfinished is answered as it stands.
+    /// Ends the process at once; unfinished calls are answered with what is known of them.
     pub fn force_shutdown(&self) {
         self.shutdown.forced.store(true, Ordering::Relaxed);
     }
 
-    /// Whether it has ended.
+    /// Returns whether all threads have ended.
     #[must_use]
     pub fn is_finished(&self) -> bool {
         self.thread.is_finished()
     }
 
-    /// Waits for the end of all threads.
+    /// Waits for all threads to end.
     ///
     /// # Panics
     ///
-    /// When one of them has panicked.
+    /// Panics when one of them has panicked.
     #[must_use]
     pub fn join(self) -> ShutdownKind {
-        joined(self.thread.join())
+        unwrap_join(self.thread.join())
     }
 }
 
-/// The threads beside the control thread.
+/// The threads that the control thread joins.
 struct Threads {
     http: JoinHandle<()>,
     server: ServerHandle,
@@ -189,22 +194,23 @@
         http::stop(&threads.server, ended).await;
         ended
     });
-    joined(threads.http.join());
-    joined(threads.links.join());
-    joined(threads.clients.join());
+    unwrap_join(threads.http.join());
+    unwrap_join(threads.links.join());
+    unwrap_join(threads.clients.join());
     ended
 }
 
-fn joined<T>(result: thread::Result<T>) -> T {
+fn unwrap_join<T>(result: thread::Result<T>) -> T {
     result.unwrap_or_else(|panic| resume_unwind(panic))
 }
 
-/// Ends the process when its thread ends, for whatever reason.
+/// Forces a shutdown when it is dropped, which happens when its thread returns or panics.
 ///
-/// A thread that panicked would leave a process that still answers `/healthz` and does nothing.
-struct EndWithThread(Arc<ShutdownRequests>);
+/// Without it, a panicked thread would leave a process that still answers `/healthz` but serves
+/// nothing.
+struct ShutdownOnDrop(Arc<ShutdownRequests>);
 
-impl Drop for EndWithThread {
+impl Drop for ShutdownOnDrop {
     fn drop(&mut self) {
         self.0.forced.store(true, Ordering::Relaxed);
     }
@@ -213,12 +219,12 @@
 fn spawn(
     name: &str,
     shutdown: &Arc<ShutdownRequests>,
-    work: impl FnOnce() + Send + 'static,
+    body: impl FnOnce() + Send + 'static,
 ) -> io::Result<JoinHandle<()>> {
-    let end = EndWithThread(Arc::clone(shutdown));
+    let guard = ShutdownOnDrop(Arc::clone(shutdown));
     thread::Builder::new().name(name.to_owned()).spawn(move || {
-        let _end = end;
-        work();
+        let _guard = guard;
+        body();
     })
 }
 
@@ -256,9 +262,9 @@
     Ok((listener, address))
 }
 
-/// A life that is later than all earlier ones on this VM, as long as its clock is not set back.
-fn draw_incarnation() -> Incarnation {
-    let since_1970 = SystemTime::now().duration_since(UNIX_EPOCH);
-    let us = since_1970.map_or(0, |since| since.as_micros());
+/// Returns an incarnation greater than all earlier ones on this VM, unless its clock was set back.
+fn incarnation_from_clock() -> Incarnation {
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+    let us = since_epoch.map_or(0, |since| since.as_micros());
     Incarnation(u64::try_from(us).unwrap_or(u64::MAX))
 }
--- a/clementinepickd/src/lib.rs
+++ b/clementinepickd/src/lib.rs
@@ -1,8 +1,9 @@
-//! The daemon of clementinepick: sockets, threads and clocks around the decisions of the crate
-//! [`clementinepick`], in the roles entry and sidecar.
+//! Runs the state machines of the crate [`clementinepick`] as a process with sockets, threads and
+//! clocks, in the role of an entry, a sidecar or a gateway.
 //!
-//! One thread owns the control state ([`Daemon::start`] spawns it); others carry links, callers'
-//! connections and requests to the platform. They speak by typed messages.
+//! In the roles entry and sidecar, one control thread, spawned by [`Daemon::start`], owns the state.
+//! Other threads serve links, callers' connections and requests to the platform, and exchange typed
+//! messages with it. [`gateway`] has its own threads.
 
 mod answer;
 mod answer_queue;
--- a/clementinepickd/src/link.rs
+++ b/clementinepickd/src/link.rs
@@ -1,4 +1,4 @@
-//! One link: the handshake, then messages both ways until an end closes it.
+//! Runs one link: the handshake, then messages in both directions until one end closes it.
 
 use std::time::Duration;
 
@@ -23,39 +23,41 @@
 use crate::queue::{QueueReader, queue};
 use crate::settings::LinkSettings;
 
-/// The largest frame before the peer has proved itself.
+/// The largest frame accepted before the peer is authenticated.
 const MAX_HANDSHAKE_BYTES: usize = 4_096;
-/// The most messages that go out with one flush.
-const MAX_WRITE_BURST: usize = 64;
+/// The maximum number of messages per flush.
+const MAX_WRITE_BATCH: usize = 64;
 
 type Socket = WebSocketStream<TcpStream>;
 
-/// A connection whose two ends have proved themselves.
-pub(crate) struct ProvedLink {
+/// A connection whose two ends have authenticated each other.
+pub(crate) struct AuthenticatedLink {
     pub(crate) peer: Peer,
     socket: Socket,
 }
 
-/// Connects and proves, as the end that dials `expected` at `address`.
+/// Connects to `expected` at `address` and runs the handshake as the connecting end.
 pub(crate) async fn connect(
     settings: &LinkSettings,
     own: &Peer,
     expected: &VmId,
     address: &str,
-) -> Result<ProvedLink, HandshakeError> {
-    let dialling = async {
-        let stream = TcpStream::connect(address).await.map_err(broken)?;
-        stream.set_nodelay(true).map_err(broken)?;
+) -> Result<AuthenticatedLink, HandshakeError> {
+    let connecting = async {
+        let stream = TcpStream::connect(address)
+            .await
+            .map_err(connection_error)?;
+        stream.set_nodelay(true).map_err(connection_error)?;
         let url = format!("ws://{address}/");
         let (mut socket, _) =
-            client_async_with_config(url, stream, Some(config(max_frame(settings))))
+            client_async_with_config(url, stream, Some(socket_config(max_frame_len(settings))))
                 .await
-                .map_err(broken)?;
+                .map_err(connection_error)?;
         let hello = Hello::new(rand::random(), own.clone());
         send(&mut socket, encode(&hello)).await?;
         let challenge: Challenge = receive(&mut socket).await?;
         if challenge.peer.vm != *expected {
-            return Err(HandshakeError::OtherVm(challenge.peer.vm));
+            return Err(HandshakeError::UnexpectedVm(challenge.peer.vm));
         }
         let transcript = transcript(&hello.nonce, own, &challenge.nonce, &challenge.peer);
         verify(
@@ -67,26 +69,26 @@
         let proof = prove(&settings.keys, Side::Connecting, &transcript);
         send(&mut socket, encode(&proof)).await?;
         let Welcome = receive(&mut socket).await?;
-        Ok(ProvedLink {
+        Ok(AuthenticatedLink {
             peer: challenge.peer,
             socket,
         })
     };
-    limited(settings, dialling).await
+    with_handshake_timeout(settings, connecting).await
 }
 
-/// Proves, as the end that was connected to.
+/// Runs the handshake as the accepting end.
 pub(crate) async fn accept(
     settings: &LinkSettings,
     own: &Peer,
     stream: TcpStream,
-) -> Result<ProvedLink, HandshakeError> {
+) -> Result<AuthenticatedLink, HandshakeError> {
     let accepting = async {
-        stream.set_nodelay(true).map_err(broken)?;
-        let strict = config(MAX_HANDSHAKE_BYTES);
-        let mut socket = accept_async_with_config(stream, Some(strict))
+        stream.set_nodelay(true).map_err(connection_error)?;
+        let handshake_config = socket_config(MAX_HANDSHAKE_BYTES);
+        let mut socket = accept_async_with_config(stream, Some(handshake_config))
             .await
-            .map_err(broken)?;
+            .map_err(connection_error)?;
         let hello: Hello = receive(&mut socket).await?;
         check_version(&hello)?;
         let nonce: Nonce = rand::random();
@@ -100,15 +102,15 @@
         let proof: Proof = receive(&mut socket).await?;
         verify(&settings.keys, Side::Connecting, &transcript, &proof)?;
         if own.role == VmRole::Sidecar && hello.peer.role != VmRole::Entry {
-            return Err(HandshakeError::NoEntry(hello.peer.vm));
+            return Err(HandshakeError::NotAnEntry(hello.peer.vm));
         }
         send(&mut socket, encode(&Welcome)).await?;
-        Ok(ProvedLink {
+        Ok(AuthenticatedLink {
             peer: hello.peer,
-            socket: widen(settings, socket).await,
+            socket: raise_frame_limit(settings, socket).await,
         })
     };
-    limited(settings, accepting).await
+    with_handshake_timeout(settings, accepting).await
 }
 
 const fn transcript<'a>(
@@ -125,30 +127,30 @@
     }
 }
 
-async fn limited(
+async fn with_handshake_timeout(
     settings: &LinkSettings,
-    work: impl Future<Output = Result<ProvedLink, HandshakeError>>,
-) -> Result<ProvedLink, HandshakeError> {
+    work: impl Future<Output = Result<AuthenticatedLink, HandshakeError>>,
+) -> Result<AuthenticatedLink, HandshakeError> {
     let limit = duration(settings.handshake_timeout_us);
     timeout(limit, work)
         .await
         .unwrap_or(Err(HandshakeError::Timeout))
 }
 
-/// Accepts large frames from now on.
+/// Raises the frame limit of an authenticated socket to that of messages.
 ///
-/// Nothing is lost with the buffers of the strict socket: the peer sends nothing between its proof
-/// and the welcome.
-async fn widen(settings: &LinkSettings, strict: Socket) -> Socket {
-    let wide = config(max_frame(settings));
-    WebSocketStream::from_raw_socket(strict.into_inner(), Role::Server, Some(wide)).await
+/// Discarding the read buffer of the old socket loses nothing: the peer sends nothing between its
+/// proof and the welcome.
+async fn raise_frame_limit(settings: &LinkSettings, socket: Socket) -> Socket {
+    let message_config = socket_config(max_frame_len(settings));
+    WebSocketStream::from_raw_socket(socket.into_inner(), Role::Server, Some(message_config)).await
 }
 
-fn max_frame(settings: &LinkSettings) -> usize {
+fn max_frame_len(settings: &LinkSettings) -> usize {
     usize::try_from(settings.max_frame_bytes.0).unwrap_or(usize::MAX)
 }
 
-fn config(limit: usize) -> WebSocketConfig {
+fn socket_config(limit: usize) -> WebSocketConfig {
     WebSocketConfig::default()
         .max_message_size(Some(limit))
         .max_frame_size(Some(limit))
@@ -156,25 +158,28 @@
 
 async fn send(socket: &mut Socket, bytes: Vec<u8>) -> Result<(), HandshakeError> {
     let frame = Frame::Binary(Bytes::from(bytes));
-    socket.send(frame).await.map_err(broken)
+    socket.send(frame).await.map_err(connection_error)
 }
 
 async fn receive<T: serde::de::DeserializeOwned>(socket: &mut Socket) -> Result<T, HandshakeError> {
     match socket.next().await {
         Some(Ok(Frame::Binary(bytes))) if bytes.len() <= MAX_HANDSHAKE_BYTES => decode(&bytes),
-        Some(Ok(Frame::Binary(_))) => Err(HandshakeError::BadFrame("too long".to_owned())),
-        Some(Ok(Frame::Close(_))) | None => Err(HandshakeError::Broken("closed".to_owned())),
-        Some(Ok(_)) => Err(HandshakeError::BadFrame("not binary".to_owned())),
-        Some(Err(err)) => Err(broken(err)),
+        Some(Ok(Frame::Binary(_))) => Err(HandshakeError::InvalidFrame(
+            "frame exceeds the size limit of the handshake".to_owned(),
+        )),
+        Some(Ok(Frame::Close(_))) | None => Err(HandshakeError::ConnectionFailed(
+            "closed by the peer".to_owned(),
+        )),
+        Some(Ok(_)) => Err(HandshakeError::InvalidFrame(
+            "not a binary frame".to_owned(),
+        )),
+        Some(Err(err)) => Err(connection_error(err)),
     }
 }
 
-#[expect(
-    clippy::needless_pass_by_value,
-    reason = "it stands in calls of map_err"
-)]
-fn broken(err: impl ToString) -> HandshakeError {
-    HandshakeError::Broken(err.to_string())
+#[expect(clippy::needless_pass_by_value, reason = "passed to map_err")]
+fn connection_error(err: impl ToString) -> HandshakeError {
+    HandshakeError::ConnectionFailed(err.to_string())
 }
 
 pub(crate) const fn duration(span: SpanUs) -> Duration {
@@ -184,25 +189,25 @@
 /// Why a link ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum LinkEnd {
-    /// This process let go of it.
+    /// This process dropped it.
     Released,
-    /// The peer closed it, or the connection broke.
+    /// The peer closed it, or the connection failed.
     Closed(String),
-    /// Nothing came for too long, or nothing could be sent.
+    /// Nothing was received, or nothing could be sent, within the idle timeout.
     Silent,
-    /// The peer sent what is no message.
+    /// The peer sent something that is not a valid message.
     BadMessage(String),
 }
 
-/// Carries messages over a link until it ends, and reports its beginning and end.
+/// Carries messages over a link until it ends; reports its start and end to the control thread.
 pub(crate) async fn run(
     settings: &LinkSettings,
     link: LinkId,
-    proved: ProvedLink,
+    authenticated: AuthenticatedLink,
     control: &ControlSender,
 ) -> LinkEnd {
     let (queue, messages) = queue(settings.queue_messages, settings.queue_bytes);
-    let ProvedLink { peer, socket } = proved;
+    let AuthenticatedLink { peer, socket } = authenticated;
     let vm = peer.vm.clone();
     if !control
         .send(ControlInput::LinkUp { link, peer, queue })
@@ -210,10 +215,10 @@
     {
         return LinkEnd::Released;
     }
-    let silence = duration(settings.idle_timeout_us);
+    let idle_timeout = duration(settings.idle_timeout_us);
     let (sink, stream) = socket.split();
-    let reading = Box::pin(read(stream, silence, link, &vm, control));
-    let writing = Box::pin(write(sink, silence, messages));
+    let reading = Box::pin(read(stream, idle_timeout, link, &vm, control));
+    let writing = Box::pin(write(sink, idle_timeout, messages));
     let end = match select(reading, writing).await {
         Either::Left((end, _)) | Either::Right((end, _)) => end,
     };
@@ -223,22 +228,22 @@
 
 async fn read(
     mut stream: SplitStream<Socket>,
-    silence: Duration,
+    idle_timeout: Duration,
     link: LinkId,
     vm: &VmId,
     control: &ControlSender,
 ) -> LinkEnd {
     loop {
-        // Both ends send heartbeats, so silence means that the peer is gone or that one direction
-        // of the path is cut. Closing tells the peer, whose own sends may still seem to succeed.
-        let Ok(frame) = timeout(silence, stream.next()).await else {
+        // Both ends send heartbeats, so silence means that the peer is down or one direction of the
+        // path is cut. Closing notifies the peer, whose own sends may still seem to succeed.
+        let Ok(frame) = timeout(idle_timeout, stream.next()).await else {
             return LinkEnd::Silent;
         };
         let bytes = match frame {
             Some(Ok(Frame::Binary(bytes))) => bytes,
             Some(Ok(Frame::Ping(_) | Frame::Pong(_))) => continue,
             Some(Ok(Frame::Close(_))) | None => return LinkEnd::Closed("by the peer".to_owned()),
-            Some(Ok(_)) => return LinkEnd::BadMessage("not binary".to_owned()),
+            Some(Ok(_)) => return LinkEnd::BadMessage("not a binary frame".to_owned()),
             Some(Err(SocketError::Capacity(err))) => return LinkEnd::BadMessage(err.to_string()),
             Some(Err(err)) => return LinkEnd::Closed(err.to_string()),
         };
@@ -249,7 +254,7 @@
         let vm = vm.clone();
         let input = ControlInput::LinkMessage { link, vm, message };
         if !control.send(input).await {
-            // This process ends: what waits is still written before the link closes.
+            // This process is ending: queued messages are still written before the link closes.
             std::future::pending::<()>().await;
         }
     }
@@ -257,23 +262,23 @@
 
 async fn write(
     mut sink: SplitSink<Socket, Frame>,
-    silence: Duration,
+    idle_timeout: Duration,
     mut messages: QueueReader,
 ) -> LinkEnd {
     loop {
-        let burst = messages.take(MAX_WRITE_BURST).await;
-        if burst.is_empty() {
-            let _ = timeout(silence, sink.close()).await;
+        let batch = messages.take(MAX_WRITE_BATCH).await;
+        if batch.is_empty() {
+            let _ = timeout(idle_timeout, sink.close()).await;
             return LinkEnd::Released;
         }
         let sending = async {
-            for message in burst {
+            for message in batch {
                 let frame = Frame::Binary(Bytes::from(encode(&message)));
                 sink.feed(frame).await?;
             }
             sink.flush().await
         };
-        match timeout(silence, sending).await {
+        match timeout(idle_timeout, sending).await {
             Ok(Ok(())) => {}
             Ok(Err(err)) => return LinkEnd::Closed(err.to_string()),
             Err(_) => return LinkEnd::Silent,
--- a/clementinepickd/src/link_manager.rs
+++ b/clementinepickd/src/link_manager.rs
@@ -1,4 +1,4 @@
-//! The thread of the links: it takes links from others and keeps those that this process opens.
+//! Runs the thread of the links: accepts links from peers and keeps outgoing links connected.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -20,26 +20,26 @@
 use crate::link::{self, LinkEnd, duration};
 use crate::settings::LinkSettings;
 
-/// The first wait before connecting again.
-const FIRST_BACKOFF: Duration = Duration::from_millis(50);
-/// How long links may take to send what waits when the process ends.
-const DRAIN_LIMIT: Duration = Duration::from_secs(2);
-/// The wait after the system refused to accept, which it does when files run out.
+/// The backoff after the first failed attempt to connect.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
+/// How long links may take to send queued messages when the process ends.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
+/// The pause after `accept` failed, as it does when file descriptors run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
-/// What all links share.
+/// The state that all links share.
 #[derive(Clone)]
 struct Shared {
     settings: Rc<LinkSettings>,
     own: Rc<Peer>,
     control: ControlSender,
     next_link: Rc<Cell<u64>>,
-    open: Rc<Cell<usize>>,
+    open_links: Rc<Cell<usize>>,
 }
 
 struct Dialler {
     vm: Vm,
-    /// Set to true when the link is no longer wanted.
+    /// Set to true to close the link and stop reconnecting.
     stop: watch::Sender<bool>,
     task: JoinHandle<()>,
 }
@@ -50,28 +50,28 @@
     own: Peer,
     listener: StdListener,
     control: ControlSender,
-    mut orders: mpsc::UnboundedReceiver<DialOrder>,
+    mut target_updates: mpsc::UnboundedReceiver<DialOrder>,
 ) {
-    let listener = TcpListener::from_std(listener).expect("a listener that does not block");
+    let listener = TcpListener::from_std(listener).expect("the listener is non-blocking");
     let shared = Shared {
         settings: Rc::new(settings),
         own: Rc::new(own),
         control,
         next_link: Rc::new(Cell::new(0)),
-        open: Rc::new(Cell::new(0)),
+        open_links: Rc::new(Cell::new(0)),
     };
     let mut diallers: BTreeMap<VmId, Dialler> = BTreeMap::new();
     let mut accepted: Vec<JoinHandle<()>> = Vec::new();
     loop {
         tokio::select! {
-            order = orders.recv() => match order {
-                Some(DialOrder(wanted)) => set_diallers(&shared, &mut diallers, wanted),
+            targets = target_updates.recv() => match targets {
+                Some(DialOrder(targets)) => update_diallers(&shared, &mut diallers, targets),
                 None => break,
             },
             incoming = listener.accept() => match incoming {
                 Ok((stream, _)) => {
                     accepted.retain(|task| !task.is_finished());
-                    accepted.extend(take(&shared, stream));
+                    accepted.extend(accept_link(&shared, stream));
                 }
                 Err(_) => actix_rt::time::sleep(ACCEPT_PAUSE).await,
             },
@@ -82,86 +82,86 @@
         dialler.stop.send_replace(true);
     }
     let dialled = diallers.into_values().map(|dialler| dialler.task);
-    finish(dialled.chain(accepted).collect()).await;
+    drain(dialled.chain(accepted).collect()).await;
 }
 
-/// Starts and stops diallers so that there is one for each of `wanted`.
-fn set_diallers(
+/// Starts and stops diallers so that there is one for each target.
+fn update_diallers(
     shared: &Shared,
     diallers: &mut BTreeMap<VmId, Dialler>,
-    mut wanted: BTreeMap<VmId, Vm>,
+    mut targets: BTreeMap<VmId, Vm>,
 ) {
     diallers.retain(|id, dialler| {
-        let kept = wanted.get(id).is_some_and(|vm| {
+        let is_kept = targets.get(id).is_some_and(|vm| {
             vm.link_address == dialler.vm.link_address && !dialler.task.is_finished()
         });
-        if kept {
-            wanted.remove(id);
+        if is_kept {
+            targets.remove(id);
         } else {
             dialler.stop.send_replace(true);
         }
-        kept
+        is_kept
     });
-    for (id, vm) in wanted {
-        let (stop, stopped) = watch::channel(false);
-        let task = actix_rt::spawn(dial(shared.clone(), vm.clone(), stopped));
+    for (id, vm) in targets {
+        let (stop, stop_signal) = watch::channel(false);
+        let task = actix_rt::spawn(keep_connected(shared.clone(), vm.clone(), stop_signal));
         diallers.insert(id, Dialler { vm, stop, task });
     }
 }
 
-/// Keeps a link to `vm` until it is no longer wanted.
-async fn dial(shared: Shared, vm: Vm, mut stopped: watch::Receiver<bool>) {
-    let longest = duration(shared.settings.max_backoff_us);
-    let mut backoff = FIRST_BACKOFF;
-    let mut refused = false;
-    while !*stopped.borrow() {
+/// Keeps a link to `vm`, reconnecting with backoff, until it is stopped.
+async fn keep_connected(shared: Shared, vm: Vm, mut stop_signal: watch::Receiver<bool>) {
+    let max_backoff = duration(shared.settings.max_backoff_us);
+    let mut backoff = INITIAL_BACKOFF;
+    let mut is_refused = false;
+    while !*stop_signal.borrow() {
         let connecting = link::connect(&shared.settings, &shared.own, &vm.id, &vm.link_address);
-        let proved = tokio::select! {
-            proved = connecting => proved,
-            _ = stopped.changed() => return,
+        let authenticated = tokio::select! {
+            authenticated = connecting => authenticated,
+            _ = stop_signal.changed() => return,
         };
-        match proved {
-            Ok(proved) => {
-                (backoff, refused) = (FIRST_BACKOFF, false);
-                carry(&shared, proved).await;
+        match authenticated {
+            Ok(authenticated) => {
+                (backoff, is_refused) = (INITIAL_BACKOFF, false);
+                run_link(&shared, authenticated).await;
             }
             Err(err) => {
-                // One line for a peer that goes on refusing, not one an attempt.
-                if !std::mem::replace(&mut refused, err.is_refusal()) {
-                    report(&shared, vm.id.as_str(), &err).await;
+                // Repeated refusals by one peer are reported once, not at each attempt.
+                if !std::mem::replace(&mut is_refused, err.is_refusal()) {
+                    report_refusal(&shared, vm.id.as_str(), &err).await;
                 }
             }
         }
         tokio::select! {
             () = actix_rt::time::sleep(backoff.mul_f64(rand::random_range(0.5..1.0))) => {}
-            _ = stopped.changed() => return,
+            _ = stop_signal.changed() => return,
         }
-        backoff = (backoff * 2).min(longest);
+        backoff = (backoff * 2).min(max_backoff);
     }
 }
 
-/// Takes a link that another process opens, unless there are too many.
-fn take(shared: &Shared, stream: TcpStream) -> Option<JoinHandle<()>> {
-    if shared.open.get() >= shared.settings.max_links {
+/// Accepts a link that a peer opens, unless the limit of links is reached.
+fn accept_link(shared: &Shared, stream: TcpStream) -> Option<JoinHandle<()>> {
+    if shared.open_links.get() >= shared.settings.max_links {
         return None;
     }
     let shared = shared.clone();
-    shared.open.set(shared.open.get() + 1);
+    shared.open_links.set(shared.open_links.get() + 1);
     Some(actix_rt::spawn(async move {
         let from = stream.peer_addr().map(|address| address.to_string());
         match link::accept(&shared.settings, &shared.own, stream).await {
-            Ok(proved) => carry(&shared, proved).await,
-            Err(err) => report(&shared, &from.unwrap_or_default(), &err).await,
+            Ok(authenticated) => run_link(&shared, authenticated).await,
+            Err(err) => report_refusal(&shared, &from.unwrap_or_default(), &err).await,
         }
-        shared.open.set(shared.open.get() - 1);
+        shared.open_links.set(shared.open_links.get() - 1);
     }))
 }
 
-async fn carry(shared: &Shared, proved: link::ProvedLink) {
+async fn run_link(shared: &Shared, authenticated: link::AuthenticatedLink) {
     let link = LinkId(shared.next_link.get());
     shared.next_link.set(link.0 + 1);
-    let vm = proved.peer.vm.clone();
-    let end = link::run(&shared.settings, link, proved, &shared.control).await;
+    let vm = authenticated.peer.vm.clone();
+    let end = link::run(&shared.settings, link, authenticated, &shared.control).await;
     if let LinkEnd::BadMessage(detail) = end {
         let event = Event::new(EventKind::LinkFault).with("peer", vm);
         let event = event.with("detail", detail);
@@ -169,7 +169,7 @@
     }
 }
 
-async fn report(shared: &Shared, peer: &str, err: &HandshakeError) {
+async fn report_refusal(shared: &Shared, peer: &str, err: &HandshakeError) {
     if err.is_refusal() {
         let event = Event::new(EventKind::LinkRefused).with("peer", peer);
         let event = event.with("detail", err);
@@ -177,12 +177,14 @@
     }
 }
 
-/// Waits until all links have sent what waits; the control thread has let go of them.
-async fn finish(tasks: Vec<JoinHandle<()>>) {
+/// Waits until all links have sent their queued messages, at most [`DRAIN_TIMEOUT`].
+///
+/// The control thread has dropped the links, so they close once their queues are empty.
+async fn drain(tasks: Vec<JoinHandle<()>>) {
     let all = async {
         for task in tasks {
             let _ = task.await;
         }
     };
-    let _ = timeout(DRAIN_LIMIT, all).await;
+    let _ = timeout(DRAIN_TIMEOUT, all).await;
 }
--- a/clementinepickd/src/main.rs
+++ b/clementinepickd/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon: one process of clementinepick, in the role that its settings give it.
+//! Runs one process of clementinepick in the role that its settings file names.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -13,26 +13,24 @@
 use clementinepickd::{Daemon, ShutdownKind, settings_file};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// The exit code for wrong settings.
-const WRONG_SETTINGS: u8 = 2;
-/// The time between two looks at whether the process has ended.
-const LOOK: Duration = Duration::from_millis(50);
+const INVALID_SETTINGS_EXIT_CODE: u8 = 2;
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Run one process of clementinepick: a gateway or an entry, which take callers' requests, or a
-/// sidecar, which stands beside a backend server.
+/// Run one process of clementinepick: a gateway or an entry, which accept callers' requests, or a
+/// sidecar, which runs next to a backend server.
 ///
-/// SIGTERM and SIGINT begin a graceful shutdown; a second one ends the process at once, with
-/// everything unfinished answered as it stands.
+/// SIGTERM and SIGINT begin a graceful shutdown; a second one ends the process at once, and
+/// unfinished calls are answered with what is known of them.
 #[derive(FromArgs)]
 #[argh(
     example = "{command_name} --settings examples/entry-a.ini",
     example = "{command_name} --settings examples/sidecar-0.ini --check",
-    error_code(1, "the process was forced to end, or could not start"),
-    error_code(2, "the settings are wrong; file, section and key are named")
+    error_code(1, "the shutdown was forced, or the process could not start"),
+    error_code(2, "the settings are invalid; the message names file, section and key")
 )]
 struct Arguments {
-    /// the settings file (INI); docs/SETTINGS.md lists every key. Without it, the file that the
-    /// platform names
+    /// the settings file (INI); docs/SETTINGS.md lists every key. Defaults to the path in the
+    /// environment variable that the platform sets
     #[argh(option)]
     settings: Option<PathBuf>,
     /// check the settings file and exit
@@ -43,18 +41,18 @@
 fn main() -> ExitCode {
     let arguments: Arguments = argh::from_env();
     let Some(path) = settings_path(&arguments) else {
-        eprintln!("name the settings file with --settings");
-        return ExitCode::from(WRONG_SETTINGS);
+        eprintln!("no settings file given; pass --settings PATH");
+        return ExitCode::from(INVALID_SETTINGS_EXIT_CODE);
     };
     let settings = match settings_file::load_process(&path) {
         Ok(settings) => settings,
         Err(err) => {
             eprintln!("{err}");
-            return ExitCode::from(WRONG_SETTINGS);
+            return ExitCode::from(INVALID_SETTINGS_EXIT_CODE);
         }
     };
     if arguments.check {
-        println!("{}: right", path.display());
+        println!("{}: settings are valid", path.display());
         return ExitCode::SUCCESS;
     }
     match settings {
@@ -90,23 +88,24 @@
         Ok(ShutdownKind::Graceful) => ExitCode::SUCCESS,
         Ok(ShutdownKind::Forced) => ExitCode::FAILURE,
         Err(err) => {
-            eprintln!("signals can't be taken: {err}");
+            eprintln!("cannot install signal handlers: {err}");
             ExitCode::FAILURE
         }
     }
 }
 
-/// Waits for the end of the process, which signals bring about.
+/// Waits for the process to end and forwards signals to it: the first begins a graceful shutdown,
+/// the second forces it.
 fn run(daemon: Daemon) -> std::io::Result<ShutdownKind> {
     System::new().block_on(async {
         let mut terminate = signal(SignalKind::terminate())?;
         let mut interrupt = signal(SignalKind::interrupt())?;
-        let mut leaving = false;
+        let mut is_shutting_down = false;
         while !daemon.is_finished() {
-            if !any_signal(&mut terminate, &mut interrupt).await {
+            if !wait_for_signal(&mut terminate, &mut interrupt).await {
                 continue;
             }
-            if std::mem::replace(&mut leaving, true) {
+            if std::mem::replace(&mut is_shutting_down, true) {
                 daemon.force_shutdown();
             } else {
                 daemon.shutdown();
@@ -116,11 +115,11 @@
     })
 }
 
-/// Whether a signal came before it is time to look again.
-async fn any_signal(terminate: &mut Signal, interrupt: &mut Signal) -> bool {
+/// Returns whether a signal arrived within [`POLL_INTERVAL`].
+async fn wait_for_signal(terminate: &mut Signal, interrupt: &mut Signal) -> bool {
     tokio::select! {
         _ = terminate.recv() => true,
         _ = interrupt.recv() => true,
-        () = actix_rt::time::sleep(LOOK) => false,
+        () = actix_rt::time::sleep(POLL_INTERVAL) => false,
     }
 }
--- a/clementinepickd/src/role_logic.rs
+++ b/clementinepickd/src/role_logic.rs
@@ -1,4 +1,4 @@
-//! The two roles behind one interface, so that the control thread is written once.
+//! Wraps the state machines of the two roles, entry and sidecar, in one trait for the control thread.
 
 use std::collections::BTreeMap;
 
@@ -16,61 +16,62 @@
 use crate::input::{ClientOrder, ControlInput};
 use crate::settings::{Role, Settings};
 
-/// What either role does.
+/// An action that the control thread carries out for its role.
 #[derive(Debug)]
 pub(crate) enum Action {
-    /// Say something to a peer.
+    /// Sends a message to a peer.
     Send { to: VmId, message: Message },
-    /// Keep links open to exactly these.
+    /// Keeps links open to exactly these VMs.
     Dial(BTreeMap<VmId, Vm>),
-    /// Close a link.
+    /// Closes the link to a VM.
     Disconnect(VmId),
-    /// Give a caller a part of its answer.
+    /// Delivers a part of its answer to a caller.
     Answer {
         request: RequestId,
         part: AnswerPart,
     },
-    /// Use the platform or the backend server.
+    /// Sends a request to the platform or the backend server.
     Client(ClientOrder),
-    /// Log an event.
+    /// Logs and counts an event.
     Event(Event),
-    /// Nothing is left to do.
+    /// Reports that the shutdown has nothing left to do.
     Finished,
 }
 
-/// The decisions of one process.
+/// The state machine of one process: handles inputs and appends the resulting actions to `out`.
 pub(crate) trait RoleLogic {
-    /// Takes a caller's request.
-    fn request(&mut self, now: TimeUs, request: Box<Request>, out: &mut Vec<Action>);
-    /// Takes a caller's question for an earlier answer.
-    fn fetch(&mut self, now: TimeUs, fetch: Box<Fetch>, out: &mut Vec<Action>);
-    /// Learns that a caller is gone.
-    fn caller_gone(&mut self, now: TimeUs, request: RequestId, out: &mut Vec<Action>);
-    /// Ends a program.
+    /// Handles a caller's request.
+    fn on_request(&mut self, now: TimeUs, request: Box<Request>, out: &mut Vec<Action>);
+    /// Handles a caller's query for the answer of an earlier call.
+    fn on_fetch(&mut self, now: TimeUs, fetch: Box<Fetch>, out: &mut Vec<Action>);
+    /// Handles the disconnect of a caller.
+    fn on_caller_gone(&mut self, now: TimeUs, request: RequestId, out: &mut Vec<Action>);
+    /// Ends a program at a caller's request.
     fn end_program(&mut self, now: TimeUs, program: ProgramId, out: &mut Vec<Action>);
-    /// Learns of a link.
-    fn link_up(&mut self, now: TimeUs, peer: Peer, out: &mut Vec<Action>);
-    /// Learns that a link is closed.
-    fn link_down(&mut self, now: TimeUs, vm: VmId, out: &mut Vec<Action>);
-    /// Takes a peer's message.
-    fn link(&mut self, now: TimeUs, from: VmId, message: Message, out: &mut Vec<Action>);
-    /// Takes an answer of the platform or the backend server.
-    fn client(&mut self, now: TimeUs, input: ControlInput, out: &mut Vec<Action>);
-    /// Lets time pass.
-    fn tick(&mut self, now: TimeUs, out: &mut Vec<Action>);
-    /// Takes no new work.
+    /// Handles an established link.
+    fn on_link_up(&mut self, now: TimeUs, peer: Peer, out: &mut Vec<Action>);
+    /// Handles a closed link.
+    fn on_link_down(&mut self, now: TimeUs, vm: VmId, out: &mut Vec<Action>);
+    /// Handles a message of a peer.
+    fn on_link_message(&mut self, now: TimeUs, from: VmId, message: Message, out: &mut Vec<Action>);
+    /// Handles a response of the platform or the backend server; inputs of the other role are ignored.
+    fn on_client_input(&mut self, now: TimeUs, input: ControlInput, out: &mut Vec<Action>);
+    /// Handles what is due at `now`.
+    fn on_tick(&mut self, now: TimeUs, out: &mut Vec<Action>);
+    /// Begins a graceful shutdown.
     fn shutdown(&mut self, now: TimeUs, out: &mut Vec<Action>);
-    /// Answers all that is unfinished, truthfully.
-    fn force(&mut self, now: TimeUs, out: &mut Vec<Action>);
-    /// Whether the process can serve.
+    /// Answers all unfinished calls with what is known of them.
+    fn force_shutdown(&mut self, now: TimeUs, out: &mut Vec<Action>);
+    /// Returns whether the process can serve calls.
     fn is_ready(&self) -> bool;
-    /// The whole state.
+    /// Returns the whole state for the state dump.
     fn dump(&self, now: TimeUs) -> Value;
-    /// The sizes of the state, by the name of their gauge.
+    /// Returns the sizes of the state by gauge name.
     fn counts(&self) -> BTreeMap<&'static str, usize>;
 }
 
-/// The decisions for the role in `settings`, and who the process is on its links.
+/// Creates the state machine for the role in `settings`, and the peer that identifies the process on
+/// its links.
 pub(crate) fn new_role_logic(
     settings: &Settings,
     incarnation: Incarnation,
@@ -106,7 +107,7 @@
         self.entry.handle(now, input, &mut actions);
         out.extend(actions.into_iter().map(|action| match action {
             EntryAction::Send { to, message } => Action::Send { to, message },
-            EntryAction::Connect(vms) => Action::Dial(self.to_dial(vms)),
+            EntryAction::Connect(vms) => Action::Dial(self.dial_targets(vms)),
             EntryAction::Disconnect(vm) => Action::Disconnect(vm),
             EntryAction::Answer { request, part } => Action::Answer { request, part },
             EntryAction::Log(action) => Action::Client(ClientOrder::Log(action)),
@@ -115,26 +116,28 @@
         }));
     }
 
-    /// Of two entries the one with the lesser id connects, so that there is one link between them.
-    fn to_dial(&self, vms: Vec<Vm>) -> BTreeMap<VmId, Vm> {
-        let dialled = vms.into_iter().filter(|vm| match vm.role {
+    /// Returns the VMs to connect to.
+    ///
+    /// Of two entries, the one with the lesser id connects, so that there is one link between them.
+    fn dial_targets(&self, vms: Vec<Vm>) -> BTreeMap<VmId, Vm> {
+        let targets = vms.into_iter().filter(|vm| match vm.role {
             VmRole::Sidecar => true,
             VmRole::Entry => vm.id > self.vm,
         });
-        dialled.map(|vm| (vm.id.clone(), vm)).collect()
+        targets.map(|vm| (vm.id.clone(), vm)).collect()
     }
 }
 
 impl RoleLogic for EntryLogic {
-    fn request(&mut self, now: TimeUs, request: Box<Request>, out: &mut Vec<Action>) {
+    fn on_request(&mut self, now: TimeUs, request: Box<Request>, out: &mut Vec<Action>) {
         self.handle(now, EntryInput::Request(request), out);
     }
 
-    fn fetch(&mut self, now: TimeUs, fetch: Box<Fetch>, out: &mut Vec<Action>) {
+    fn on_fetch(&mut self, now: TimeUs, fetch: Box<Fetch>, out: &mut Vec<Action>) {
         self.handle(now, EntryInput::Fetch(fetch), out);
     }
 
-    fn caller_gone(&mut self, now: TimeUs, request: RequestId, out: &mut Vec<Action>) {
+    fn on_caller_gone(&mut self, now: TimeUs, request: RequestId, out: &mut Vec<Action>) {
         self.handle(now, EntryInput::CallerGone(request), out);
     }
 
@@ -143,25 +146,31 @@
         self.handle(now, EntryInput::EndProgram { program, reason }, out);
     }
 
-    fn link_up(&mut self, now: TimeUs, peer: Peer, out: &mut Vec<Action>) {
+    fn on_link_up(&mut self, now: TimeUs, peer: Peer, out: &mut Vec<Action>) {
         self.handle(now, EntryInput::LinkUp(peer), out);
     }
 
-    fn link_down(&mut self, now: TimeUs, vm: VmId, out: &mut Vec<Action>) {
+    fn on_link_down(&mut self, now: TimeUs, vm: VmId, out: &mut Vec<Action>) {
         self.handle(now, EntryInput::LinkDown(vm), out);
     }
 
-    fn link(&mut self, now: TimeUs, from: VmId, message: Message, out: &mut Vec<Action>) {
+    fn on_link_message(
+        &mut self,
+        now: TimeUs,
+        from: VmId,
+        message: Message,
+        out: &mut Vec<Action>,
+    ) {
         self.handle(now, EntryInput::Link { from, message }, out);
     }
 
-    fn client(&mut self, now: TimeUs, input: ControlInput, out: &mut Vec<Action>) {
+    fn on_client_input(&mut self, now: TimeUs, input: ControlInput, out: &mut Vec<Action>) {
         if let ControlInput::Entry(input) = input {
             self.handle(now, input, out);
         }
     }
 
-    fn tick(&mut self, now: TimeUs, out: &mut Vec<Action>) {
+    fn on_tick(&mut self, now: TimeUs, out: &mut Vec<Action>) {
         self.handle(now, EntryInput::Tick, out);
     }
 
@@ -169,7 +178,7 @@
         self.handle(now, EntryInput::Shutdown, out);
     }
 
-    fn force(&mut self, now: TimeUs, out: &mut Vec<Action>) {
+    fn force_shutdown(&mut self, now: TimeUs, out: &mut Vec<Action>) {
         self.handle(now, EntryInput::Force, out);
     }
 
@@ -204,33 +213,39 @@
 }
 
 impl RoleLogic for SidecarLogic {
-    fn request(&mut self, _: TimeUs, _: Box<Request>, _: &mut Vec<Action>) {}
+    fn on_request(&mut self, _: TimeUs, _: Box<Request>, _: &mut Vec<Action>) {}
 
-    fn fetch(&mut self, _: TimeUs, _: Box<Fetch>, _: &mut Vec<Action>) {}
+    fn on_fetch(&mut self, _: TimeUs, _: Box<Fetch>, _: &mut Vec<Action>) {}
 
-    fn caller_gone(&mut self, _: TimeUs, _: RequestId, _: &mut Vec<Action>) {}
+    fn on_caller_gone(&mut self, _: TimeUs, _: RequestId, _: &mut Vec<Action>) {}
 
     fn end_program(&mut self, _: TimeUs, _: ProgramId, _: &mut Vec<Action>) {}
 
-    fn link_up(&mut self, now: TimeUs, peer: Peer, out: &mut Vec<Action>) {
+    fn on_link_up(&mut self, now: TimeUs, peer: Peer, out: &mut Vec<Action>) {
         self.handle(now, SidecarInput::LinkUp(peer), out);
     }
 
-    fn link_down(&mut self, now: TimeUs, vm: VmId, out: &mut Vec<Action>) {
+    fn on_link_down(&mut self, now: TimeUs, vm: VmId, out: &mut Vec<Action>) {
         self.handle(now, SidecarInput::LinkDown(vm), out);
     }
 
-    fn link(&mut self, now: TimeUs, from: VmId, message: Message, out: &mut Vec<Action>) {
+    fn on_link_message(
+        &mut self,
+        now: TimeUs,
+        from: VmId,
+        message: Message,
+        out: &mut Vec<Action>,
+    ) {
         self.handle(now, SidecarInput::Link { from, message }, out);
     }
 
-    fn client(&mut self, now: TimeUs, input: ControlInput, out: &mut Vec<Action>) {
+    fn on_client_input(&mut self, now: TimeUs, input: ControlInput, out: &mut Vec<Action>) {
         if let ControlInput::Sidecar(input) = input {
             self.handle(now, input, out);
         }
     }
 
-    fn tick(&mut self, now: TimeUs, out: &mut Vec<Action>) {
+    fn on_tick(&mut self, now: TimeUs, out: &mut Vec<Action>) {
         self.handle(now, SidecarInput::Tick, out);
     }
 
@@ -238,7 +253,7 @@
         self.handle(now, SidecarInput::Shutdown, out);
     }
 
-    fn force(&mut self, now: TimeUs, out: &mut Vec<Action>) {
+    fn force_shutdown(&mut self, now: TimeUs, out: &mut Vec<Action>) {
         self.handle(now, SidecarInput::Force, out);
     }
 
--- a/clementinepickd/tests/handshake.rs
+++ b/clementinepickd/tests/handshake.rs
@@ -58,7 +58,7 @@
     fn takes(&self, keys: &LinkKeys, proof: &Proof) -> bool {
         match verify(keys, Side::Connecting, &self.transcript(), proof) {
             Ok(()) => true,
-            Err(HandshakeError::WrongKey) => false,
+            Err(HandshakeError::KeyMismatch) => false,
             Err(err) => panic!("{err}"),
         }
     }
