--- a/clementinepickd/src/control.rs
+++ b/clementinepickd/src/control.rs
@@ -1,7 +1,7 @@
 //! Runs the control thread, which owns the state machine of the process's role.
 //!
-//! It passes inputs and the time to the state machine and carries out the actions that come back. It
-//! never waits for a peer or a caller.
+//! It passes inputs and the time to the state machine and carries out the actions that come back.
+//! It never waits for a peer or a caller.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -179,8 +179,8 @@
         let all_answered = self.outputs.streams.available_permits() >= self.settings.limits.streams;
         match self.stage {
             Stage::Serving | Stage::Notice { .. } => false,
-            // A call that a peer sent before it learned of the shutdown would be lost with the link,
-            // and the peer could not tell whether it ran. The process lingers to refuse it.
+            // A call that a peer sent before it learned of the shutdown would be lost with the
+            // link, and the peer could not tell whether it ran. The process lingers to refuse it.
             Stage::Leaving { stay_until_us, .. } => {
                 self.is_finished && all_answered && self.now() >= stay_until_us
             }
@@ -269,7 +269,7 @@
         self.role_logic.on_link_up(now, peer, out);
     }
 
-    /// Drops a link, which closes once its queued messages are sent, and notifies the state machine.
+    /// Drops a link, which closes once its queue is sent, and notifies the state machine.
     fn close_link(&mut self, now: TimeUs, vm: &VmId, out: &mut Vec<Action>) {
         if self.links.remove(vm).is_some() {
             self.role_logic.on_link_down(now, vm.clone(), out);
--- a/clementinepickd/src/ini_reader.rs
+++ b/clementinepickd/src/ini_reader.rs
@@ -1,4 +1,4 @@
-//! Reads keys of an INI file and says precisely what is wrong with one.
+//! Reads typed values from an INI file; errors name the file, the section and the key.
 
 use std::collections::BTreeSet;
 use std::str::FromStr;
@@ -8,57 +8,57 @@
 
 use crate::settings::LinkKey;
 
-/// A settings file that can't be used.
+/// An error that makes a settings file unusable.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// The file can't be read.
-    #[error("{file}: {error}")]
+    /// The file could not be read.
+    #[error("{file}: cannot read settings file: {error}")]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         file: String,
-        /// Why.
+        /// The cause.
         error: std::io::Error,
     },
-    /// The file is no INI.
-    #[error("{file}: {detail}")]
+    /// The file is not valid INI.
+    #[error("{file}: invalid INI syntax: {detail}")]
     Syntax {
-        /// The file.
+        /// The path of the file.
         file: String,
-        /// Where and why.
+        /// The position and the cause.
         detail: String,
     },
-    /// A key is missing, unknown, given twice or has a value that can't be read.
+    /// A key is missing, unknown or given twice, or its value is invalid.
     #[error("{file}: [{section}] {key}: {detail}")]
     Key {
-        /// The file.
+        /// The path of the file.
         file: String,
-        /// The section.
+        /// The section of the key.
         section: String,
-        /// The key.
+        /// The name of the key.
         key: String,
-        /// What is wrong.
+        /// The cause.
         detail: String,
     },
 }
 
-/// An INI file that is being read, with the keys that were asked for.
+/// Reads the keys of an INI file and records which ones were requested.
 pub(crate) struct IniReader<'a> {
     file: &'a str,
     ini: &'a Ini,
-    used: BTreeSet<(&'static str, &'static str)>,
+    requested: BTreeSet<(&'static str, &'static str)>,
 }
 
 impl<'a> IniReader<'a> {
-    /// A source; `file` stands in errors.
+    /// Creates a reader; `file` is the path that errors name.
     pub(crate) fn new(file: &'a str, ini: &'a Ini) -> Self {
         Self {
             file,
             ini,
-            used: BTreeSet::new(),
+            requested: BTreeSet::new(),
         }
     }
 
-    /// An error at a key.
+    /// Returns an error about a key.
     pub(crate) fn key_error(
         &self,
         section: &str,
@@ -73,12 +73,12 @@
         }
     }
 
-    fn text(
+    fn read_text(
         &mut self,
         section: &'static str,
         key: &'static str,
     ) -> Result<Option<&str>, SettingsError> {
-        self.used.insert((section, key));
+        self.requested.insert((section, key));
         let values: Vec<&str> = self
             .ini
             .section_all(Some(section))
@@ -91,7 +91,7 @@
         }
     }
 
-    /// The value of a key, if it is given.
+    /// Reads the value of an optional key.
     pub(crate) fn read<T>(
         &mut self,
         section: &'static str,
@@ -101,7 +101,7 @@
         T: FromStr,
         T::Err: ToString,
     {
-        let Some(text) = self.text(section, key)? else {
+        let Some(text) = self.read_text(section, key)? else {
             return Ok(None);
         };
         let (value, text) = (text.parse::<T>(), text.to_owned());
@@ -111,7 +111,7 @@
         })
     }
 
-    /// Sets a field to the value of a key, if it is given.
+    /// Reads an optional key into `field`, which keeps its value when the key is absent.
     pub(crate) fn read_into<T>(
         &mut self,
         section: &'static str,
@@ -128,7 +128,7 @@
         Ok(())
     }
 
-    /// The value of a key that must be given.
+    /// Reads the value of a required key.
     pub(crate) fn require<T>(
         &mut self,
         section: &'static str,
@@ -142,27 +142,31 @@
         value.ok_or_else(|| self.key_error(section, key, "is missing"))
     }
 
-    /// A secret.
+    /// Reads an optional secret; errors do not contain its text.
     pub(crate) fn read_secret(
         &mut self,
         section: &'static str,
         key: &'static str,
     ) -> Result<Option<LinkKey>, SettingsError> {
-        let Some(text) = self.text(section, key)? else {
+        let Some(text) = self.read_text(section, key)? else {
             return Ok(None);
         };
         let read = LinkKey::new(text);
-        let short = || self.key_error(section, key, "must have 16 characters or more");
-        read.ok_or_else(short).map(Some)
+        let too_short = || self.key_error(section, key, "must have 16 characters or more");
+        read.ok_or_else(too_short).map(Some)
     }
 
-    /// Fails if the file has a key that nobody asked for.
+    /// Returns an error if the file has a key that was not requested.
     pub(crate) fn check_unknown_keys(&self) -> Result<(), SettingsError> {
         for (section, properties) in self.ini {
             let section = section.unwrap_or_default();
             for (key, _) in properties {
-                if !self.used.iter().any(|(s, k)| *s == section && *k == key) {
-                    let detail = self.unknown(section);
+                if !self
+                    .requested
+                    .iter()
+                    .any(|(s, k)| *s == section && *k == key)
+                {
+                    let detail = self.describe_known_keys(section);
                     return Err(self.key_error(section, key, detail));
                 }
             }
@@ -170,18 +174,18 @@
         Ok(())
     }
 
-    /// Says which keys a section has in this role.
-    fn unknown(&self, section: &str) -> String {
-        let in_section = self.used.iter().filter(|(s, _)| *s == section);
-        let known: Vec<&str> = in_section.map(|(_, key)| *key).collect();
-        if known.is_empty() {
-            let sections: BTreeSet<&str> = self.used.iter().map(|(s, _)| *s).collect();
+    /// Describes the keys that a section has in this role.
+    fn describe_known_keys(&self, section: &str) -> String {
+        let in_section = self.requested.iter().filter(|(s, _)| *s == section);
+        let known_keys: Vec<&str> = in_section.map(|(_, key)| *key).collect();
+        if known_keys.is_empty() {
+            let sections: BTreeSet<&str> = self.requested.iter().map(|(s, _)| *s).collect();
             let sections: Vec<&str> = sections.into_iter().collect();
             return format!(
                 "this role has no such section; it has {}",
                 sections.join(", ")
             );
         }
-        format!("unknown key; the section has {}", known.join(", "))
+        format!("unknown key; the section has {}", known_keys.join(", "))
     }
 }
--- a/clementinepickd/src/lib.rs
+++ b/clementinepickd/src/lib.rs
@@ -1,9 +1,9 @@
 //! Runs the state machines of the crate [`clementinepick`] as a process with sockets, threads and
 //! clocks, in the role of an entry, a sidecar or a gateway.
 //!
-//! In the roles entry and sidecar, one control thread, spawned by [`Daemon::start`], owns the state.
-//! Other threads serve links, callers' connections and requests to the platform, and exchange typed
-//! messages with it. [`gateway`] has its own threads.
+//! In the roles entry and sidecar, one control thread, spawned by [`Daemon::start`], owns the
+//! state. Other threads serve links, callers' connections and requests to the platform, and
+//! exchange typed messages with it. A [`gateway`] starts threads of its own.
 
 mod answer;
 mod answer_queue;
--- a/clementinepickd/src/logging.rs
+++ b/clementinepickd/src/logging.rs
@@ -1,4 +1,4 @@
-//! The structured log: one JSON line an event on the standard output.
+//! Writes events to the standard output as structured log lines, one JSON object per event.
 
 use std::io::{Write, stdout};
 
@@ -10,37 +10,41 @@
 
 use crate::settings::LogLevel;
 
-/// The most lines that wait to be written; more are dropped, and their count is logged.
-const MAX_WAITING_LINES: usize = 4_096;
+/// The maximum number of lines queued for writing.
+///
+/// Further lines are dropped and their count is logged.
+const QUEUE_CAPACITY_LINES: usize = 4_096;
 
-/// A logger to the standard output whose lines name the process; dropping it writes what waits.
+/// Creates a logger to the standard output whose lines name the process.
+///
+/// Dropping it writes the queued lines.
 pub(crate) fn new_logger(level: LogLevel, vm: &VmId, incarnation: Incarnation) -> Logger {
     new_logger_to(stdout(), level, vm, incarnation)
 }
 
-/// The same with another place to write to.
+/// Creates a logger like [`new_logger`] that writes to `output`.
 pub(crate) fn new_logger_to<W: Write + Send + 'static>(
     output: W,
     level: LogLevel,
     vm: &VmId,
     incarnation: Incarnation,
 ) -> Logger {
-    let lowest = match level {
+    let min_level = match level {
         LogLevel::Info => Level::Info,
         LogLevel::Warning => Level::Warning,
         LogLevel::Error => Level::Error,
         LogLevel::Off => return Logger::root(slog::Discard, o!()),
     };
     let json = Json::new(output).add_default_keys().build().fuse();
-    let waiting = Async::new(json).chan_size(MAX_WAITING_LINES).build();
-    let drain = LevelFilter::new(waiting, lowest).fuse();
+    let queue = Async::new(json).chan_size(QUEUE_CAPACITY_LINES).build();
+    let drain = LevelFilter::new(queue, min_level).fuse();
     Logger::root(
         drain,
         o!("process" => vm.to_string(), "process_incarnation" => incarnation.0),
     )
 }
 
-/// Writes an event with its number, name and fields.
+/// Logs an event with its number, name and fields at its severity.
 pub(crate) fn write_event(logger: &Logger, event: &Event) {
     let fields = Fields(event.clone());
     let (number, name) = (event.kind.number(), event.kind.name());
@@ -51,7 +55,7 @@
     }
 }
 
-/// The fields of an event as keys of its line.
+/// Serializes the fields of an event as keys of its line.
 struct Fields(Event);
 
 impl KV for Fields {
--- a/clementinepickd/src/role_logic.rs
+++ b/clementinepickd/src/role_logic.rs
@@ -1,4 +1,4 @@
-//! Wraps the state machines of the two roles, entry and sidecar, in one trait for the control thread.
+//! Wraps the state machines of the roles entry and sidecar in one trait for the control thread.
 
 use std::collections::BTreeMap;
 
@@ -54,7 +54,7 @@
     fn on_link_down(&mut self, now: TimeUs, vm: VmId, out: &mut Vec<Action>);
     /// Handles a message of a peer.
     fn on_link_message(&mut self, now: TimeUs, from: VmId, message: Message, out: &mut Vec<Action>);
-    /// Handles a response of the platform or the backend server; inputs of the other role are ignored.
+    /// Handles a response of the platform or the backend server; ignores inputs of the other role.
     fn on_client_input(&mut self, now: TimeUs, input: ControlInput, out: &mut Vec<Action>);
     /// Handles what is due at `now`.
     fn on_tick(&mut self, now: TimeUs, out: &mut Vec<Action>);
@@ -70,8 +70,8 @@
     fn counts(&self) -> BTreeMap<&'static str, usize>;
 }
 
-/// Creates the state machine for the role in `settings`, and the peer that identifies the process on
-/// its links.
+/// Creates the state machine for the role in `settings`, and the peer that identifies the process
+/// on its links.
 pub(crate) fn new_role_logic(
     settings: &Settings,
     incarnation: Incarnation,
--- a/clementinepickd/src/safeguard.rs
+++ b/clementinepickd/src/safeguard.rs
@@ -1,32 +1,31 @@
-//! Safeguards that a build for tests can leave out, to show that the checks see it.
+//! Lets a test build disable one safeguard, to show that the checks detect its absence.
 //!
-//! Without the feature `leave_out`, every safeguard is there and this costs nothing.
+//! Without the feature `leave_out`, all safeguards are enabled at no run-time cost.
 
-/// A safeguard that can be left out.
+/// A safeguard that a test build can disable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Safeguard {
-    /// A turn's end waits for its record.
+    /// The end of a turn is sent to the caller only after its record is stored.
     RecordBeforeEnd,
-    /// A standing slice is given only to programs whose records count it.
+    /// A standing slice is granted only to programs whose records count it.
     StandingCount,
-    /// A booking is sent once.
+    /// A booking, which is not idempotent, is sent to a backend server at most once.
     BookingOnce,
-    /// Callers are told of a planned end before it.
+    /// Calls are still accepted for the drain delay after the process reports that it is not ready.
     DrainNotice,
-    /// An answer that names another request is not passed on.
+    /// A response that names another request is not passed on to the caller.
     OwnAnswer,
 }
 
 impl Safeguard {
-    /// Whether the safeguard is left out in this process.
+    /// Returns whether the safeguard is disabled, which it never is in this build.
     #[cfg(not(feature = "leave_out"))]
-    #[expect(clippy::unused_self, reason = "the other build looks at it")]
+    #[expect(clippy::unused_self, reason = "the build with the feature uses it")]
     pub(crate) const fn is_disabled(self) -> bool {
         false
     }
 
-    /// Whether the safeguard is left out in this process, by the variable
-    /// `CLEMENTINEPICK_LEAVE_OUT`.
+    /// Returns whether the variable `CLEMENTINEPICK_LEAVE_OUT` names the safeguard.
     #[cfg(feature = "leave_out")]
     pub(crate) fn is_disabled(self) -> bool {
         let name = match self {
@@ -36,6 +35,6 @@
             Self::DrainNotice => "drain_notice",
             Self::OwnAnswer => "own_answer",
         };
-        std::env::var("CLEMENTINEPICK_LEAVE_OUT").is_ok_and(|left_out| left_out == name)
+        std::env::var("CLEMENTINEPICK_LEAVE_OUT").is_ok_and(|disabled| disabled == name)
     }
 }
--- a/clementinepickd/src/settings.rs
+++ b/clementinepickd/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a process, as code or from an INI file.
+//! Defines the settings of an entry or a sidecar, their defaults and the checks on them.
 
 use std::fmt;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -7,24 +7,23 @@
 use clementinepick::units::{Bytes, SpanUs};
 use derive_more::{Display, FromStr};
 
-/// The least length of a link key, in bytes.
+/// The minimum length of a link key, in bytes.
 pub const MIN_KEY_BYTES: usize = 16;
 
-/// A loopback address whose port the system chooses.
+/// A loopback address with a port that the system assigns.
 const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// The secret of a deployment, by which its processes know each other; it prints as `***`.
+/// A shared secret, which prints as `***`: the link key of a deployment or an operator's key.
 #[derive(Clone, Default, PartialEq, Eq)]
 pub struct LinkKey(String);
 
 impl LinkKey {
-    /// A key of at least [`MIN_KEY_BYTES`] bytes, or nothing when `text` is shorter.
+    /// Creates a key, or returns `None` when `text` is shorter than [`MIN_KEY_BYTES`].
     #[must_use]
     pub fn new(text: &str) -> Option<Self> {
         (text.len() >= MIN_KEY_BYTES).then(|| Self(text.to_owned()))
     }
 
-    /// The secret itself.
     pub(crate) fn as_bytes(&self) -> &[u8] {
         self.0.as_bytes()
     }
@@ -36,26 +35,26 @@
     }
 }
 
-/// The keys that are valid at a time: two while they are rotated.
+/// The keys that are valid at the same time: two during a rotation.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct LinkKeys {
-    /// The key in use.
+    /// The current key.
     pub current: LinkKey,
-    /// Another key that is valid as well.
+    /// Another valid key, during a rotation.
     pub previous: Option<LinkKey>,
 }
 
-/// How much is logged.
+/// The lowest severity that is logged.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Display, FromStr)]
 pub enum LogLevel {
-    /// Every event.
+    /// All events.
     #[default]
     #[display("info")]
     Info,
     /// Warnings and errors.
     #[display("warning")]
     Warning,
-    /// Errors.
+    /// Errors only.
     #[display("error")]
     Error,
     /// Nothing.
@@ -63,7 +62,7 @@
     Off,
 }
 
-/// What a sidecar's backend server is.
+/// The kind of a sidecar's backend server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Display, FromStr)]
 pub enum BackendKind {
     /// A model engine.
@@ -75,20 +74,20 @@
     Plain,
 }
 
-/// What only an entry is told.
+/// Settings of the role of an entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EntryRole {
-    /// The log service.
+    /// The address of the log service.
     pub log_address: SocketAddr,
-    /// The list of VMs.
+    /// The address of the service that lists the VMs.
     pub vms_address: SocketAddr,
-    /// The service of chat calls that name none.
+    /// The service for chat calls that name none.
     pub default_service: Option<ServiceName>,
-    /// The count of partitions, the same at every entry of a deployment.
+    /// The number of partitions; must be the same at every entry of a deployment.
     pub partition_count: u16,
-    /// The time between two reads of the list of VMs.
+    /// The interval between two reads of the list of VMs.
     pub vms_poll_us: SpanUs,
-    /// How long one request to the log or the list of VMs may take.
+    /// The timeout of a request to the log or the list of VMs.
     pub platform_timeout_us: SpanUs,
 }
 
@@ -105,25 +104,25 @@
     }
 }
 
-/// What only a sidecar is told.
+/// Settings of the role of a sidecar.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SidecarRole {
-    /// The service of its backend server.
+    /// The service that its backend server provides.
     pub service: ServiceName,
-    /// What the backend server is.
+    /// The kind of the backend server.
     pub backend_kind: BackendKind,
-    /// The backend server.
+    /// The address of the backend server.
     pub backend_address: SocketAddr,
-    /// The time between two reads of the engine's load and cache events.
+    /// The interval between two reads of the engine's load and cache events.
     pub poll_us: SpanUs,
-    /// How long a request to the engine other than a turn may take.
+    /// The timeout of a request to the engine, turns excepted.
     pub backend_timeout_us: SpanUs,
 }
 
 impl Default for SidecarRole {
     fn default() -> Self {
         Self {
-            service: name("unnamed"),
+            service: parse_name("unnamed"),
             backend_kind: BackendKind::Engine,
             backend_address: ANY_PORT,
             poll_us: SpanUs::from_ms(200),
@@ -132,33 +131,33 @@
     }
 }
 
-/// What the process is.
+/// The role of a process, with its settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Role {
-    /// It takes callers' requests.
+    /// Accepts callers' requests.
     Entry(EntryRole),
-    /// It stands beside a backend server.
+    /// Runs next to a backend server.
     Sidecar(SidecarRole),
 }
 
-/// How links to other processes are kept.
+/// Settings of the links to other processes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LinkSettings {
-    /// The keys.
+    /// The keys that authenticate links.
     pub keys: LinkKeys,
-    /// The largest message.
+    /// The maximum size of a message.
     pub max_frame_bytes: Bytes,
-    /// The most messages that wait for one peer; a peer that lags further loses its link.
+    /// The maximum number of messages queued for one peer; its link is closed beyond it.
     pub queue_messages: usize,
-    /// About the most bytes that wait for one peer.
+    /// The approximate maximum of bytes queued for one peer.
     pub queue_bytes: Bytes,
-    /// The silence after which a link is closed.
+    /// The time without a message after which a link is closed.
     pub idle_timeout_us: SpanUs,
-    /// How long connecting and proving may take.
+    /// The timeout for connecting and authenticating.
     pub handshake_timeout_us: SpanUs,
-    /// The longest wait between two attempts to connect.
+    /// The maximum backoff between two attempts to connect.
     pub max_backoff_us: SpanUs,
-    /// The most links that others open to this process.
+    /// The maximum number of links that peers open to this process.
     pub max_links: usize,
 }
 
@@ -177,24 +176,25 @@
     }
 }
 
-/// What callers may use.
+/// Limits on callers' connections, requests and answers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Limits {
-    /// The largest body of a request, and of a plain service's answer.
+    /// The maximum size of a request's body, and of a plain service's response body.
     pub body_bytes: Bytes,
-    /// The largest sum of a request's header names and values.
+    /// The maximum total size of a request's header names and values.
     pub header_bytes: Bytes,
-    /// The most connections of callers.
+    /// The maximum number of callers' connections.
     pub connections: usize,
-    /// The most calls of callers at a time.
+    /// The maximum number of concurrent calls.
     pub streams: usize,
-    /// How long a request's header, and then its body, may take to arrive.
+    /// The timeout for receiving a request's header, and again for its body.
     pub receive_timeout_us: SpanUs,
-    /// How long an idle connection of a caller is kept.
+    /// How long an idle connection of a caller is kept open.
     pub keep_alive_us: SpanUs,
-    /// How long parts of an answer may wait for a caller that takes nothing, before it is cut off.
+    /// How long parts of an answer may wait for a caller that does not read before it is
+    /// disconnected.
     pub answer_stall_us: SpanUs,
-    /// The most text of an answer that waits for a slow caller, before it is cut off.
+    /// The maximum text of an answer that waits for a slow caller before it is disconnected.
     pub answer_bytes: Bytes,
 }
 
@@ -213,16 +213,17 @@
     }
 }
 
-/// How the process leaves.
+/// Settings of a graceful shutdown.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ShutdownSettings {
-    /// How long an entry goes on as before once it says that it is not ready, so that the balancer
-    /// and idle connections are gone before it refuses calls.
+    /// How long an entry still accepts calls once it reports that it is not ready, so that the load
+    /// balancer has stopped sending and idle connections are closed before it refuses calls.
     pub drain_delay_us: SpanUs,
-    /// How long the process stays on its links once its peers are told that it leaves, so that what
-    /// they had already sent is answered rather than lost.
+    /// How long the process keeps its links once its peers are notified of the shutdown, so that
+    /// calls they had already sent are answered rather than lost.
     pub linger_us: SpanUs,
-    /// The time after which what is unfinished is answered as it stands.
+    /// The time after which the shutdown is forced and unfinished calls are answered with what is
+    /// known of them.
     pub limit_us: SpanUs,
 }
 
@@ -236,40 +237,40 @@
     }
 }
 
-/// All settings of a process.
+/// All settings of an entry or a sidecar.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
-    /// The VM.
+    /// The id of the VM.
     pub vm: VmId,
-    /// Its availability zone.
+    /// The availability zone of the VM.
     pub zone: ZoneName,
-    /// This life of the process; absent: drawn from the time of the start.
+    /// The incarnation of the process; derived from the start time when absent.
     pub incarnation: Option<Incarnation>,
-    /// What the process is.
+    /// The role of the process.
     pub role: Role,
-    /// Where it takes HTTP; port 0 lets the system choose.
+    /// The address on which it serves HTTP; with port 0, the system assigns one.
     pub http_address: SocketAddr,
-    /// Where it takes links; port 0 lets the system choose.
+    /// The address on which it accepts links; with port 0, the system assigns one.
     pub link_address: SocketAddr,
-    /// The threads that carry callers' connections.
+    /// The number of threads that serve callers' connections.
     pub http_workers: usize,
-    /// How much is logged.
+    /// The lowest severity that is logged.
     pub log_level: LogLevel,
-    /// The key by which an operator may ask the process to leave; absent: nobody may over HTTP.
+    /// The key by which an operator may request a shutdown over HTTP; nobody may when absent.
     pub admin_key: Option<LinkKey>,
-    /// Links to other processes.
+    /// Settings of the links to other processes.
     pub links: LinkSettings,
-    /// What callers may use.
+    /// Limits on callers' connections, requests and answers.
     pub limits: Limits,
-    /// How the process leaves.
+    /// Settings of a graceful shutdown.
     pub shutdown: ShutdownSettings,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            vm: name("unnamed"),
-            zone: name("unnamed"),
+            vm: parse_name("unnamed"),
+            zone: parse_name("unnamed"),
             incarnation: None,
             role: Role::Entry(EntryRole::default()),
             http_address: ANY_PORT,
@@ -284,24 +285,24 @@
     }
 }
 
-/// Settings that can't work together.
+/// An invalid setting, or one that conflicts with another.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("[{section}] {key}: {detail}")]
 pub struct SettingsConflict {
-    /// The section at fault.
+    /// The section of the key.
     pub section: &'static str,
-    /// The key at fault.
+    /// The name of the key.
     pub key: &'static str,
-    /// What is wrong.
+    /// The cause.
     pub detail: String,
 }
 
 impl Settings {
-    /// Checks what the types do not.
+    /// Checks the rules that the types don't enforce.
     ///
     /// # Errors
     ///
-    /// The first setting that can't work.
+    /// Returns the first setting that breaks a rule.
     pub fn check(&self) -> Result<(), SettingsConflict> {
         let conflict = |section, key, detail: &str| {
             Err(SettingsConflict {
@@ -311,12 +312,13 @@
             })
         };
         if self.links.keys.current.as_bytes().len() < MIN_KEY_BYTES {
-            return conflict("links", "key", "a key of 16 characters or more is needed");
+            return conflict("links", "key", "must have 16 characters or more");
         }
-        // A body travels as a CBOR array of numbers, of up to two bytes each.
-        let needed = self.limits.body_bytes.0.saturating_mul(2) + FRAME_HEADROOM_BYTES;
-        if self.links.max_frame_bytes.0 < needed {
-            let detail = format!("must be at least {needed} B: twice [limits] body and 1 MB");
+        // A body is encoded as a CBOR array of numbers, each of up to two bytes.
+        let min_frame_bytes = self.limits.body_bytes.0.saturating_mul(2) + FRAME_HEADROOM_BYTES;
+        if self.links.max_frame_bytes.0 < min_frame_bytes {
+            let detail =
+                format!("must be at least {min_frame_bytes} B: twice [limits] body and 1 MB");
             return conflict("links", "max_frame", &detail);
         }
         let counts = [
@@ -340,13 +342,13 @@
     }
 }
 
-/// What a frame needs beside the body that it carries.
+/// The part of a frame's limit that is reserved for everything but the body.
 const FRAME_HEADROOM_BYTES: u64 = 1_000_000;
 
-/// A name that stands in the code.
-fn name<T: std::str::FromStr>(text: &str) -> T
+/// Parses a name that is a literal in the code.
+fn parse_name<T: std::str::FromStr>(text: &str) -> T
 where
     T::Err: fmt::Debug,
 {
-    text.parse().expect("a name in the code is right")
+    text.parse().expect("names in the code are valid")
 }
--- a/clementinepickd/src/telemetry.rs
+++ b/clementinepickd/src/telemetry.rs
@@ -1,7 +1,7 @@
-//! The metrics of one process.
+//! Records the metrics of one process.
 //!
-//! The recorder belongs to the process's control thread and is no global, since several processes
-//! may run as threads of one program in tests and demonstrations.
+//! The control thread owns the recorder. It is not global, since tests and demonstrations run
+//! several daemons in one program.
 
 use clementinepick::error::ErrorKind;
 use clementinepick::event::EventKind;
@@ -11,18 +11,17 @@
     BuildError, PrometheusBuilder, PrometheusHandle, PrometheusRecorder,
 };
 
-/// The bounds of the latency histogram, in seconds.
+/// The bucket bounds of the latency histogram, in seconds.
 const LATENCY_BUCKETS_S: &[f64] = &[
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 60.0, 300.0,
 ];
 
-/// The recorder of one process.
 pub(crate) struct Telemetry {
     recorder: PrometheusRecorder,
 }
 
 impl Telemetry {
-    /// A recorder with all counters at zero.
+    /// Creates a recorder without samples.
     pub(crate) fn new() -> Result<Self, BuildError> {
         let builder = PrometheusBuilder::new().set_buckets(LATENCY_BUCKETS_S)?;
         Ok(Self {
@@ -30,7 +29,7 @@
         })
     }
 
-    /// Renders the metrics, from any thread.
+    /// Returns a handle that renders the metrics from any thread.
     pub(crate) fn handle(&self) -> PrometheusHandle {
         self.recorder.handle()
     }
@@ -42,16 +41,16 @@
         });
     }
 
-    /// Counts an answered call.
-    pub(crate) fn record_call(&self, route: &'static str, outcome: &'static str, took: SpanUs) {
+    /// Counts a finished call and records its latency.
+    pub(crate) fn record_call(&self, route: &'static str, outcome: &'static str, latency: SpanUs) {
         with_local_recorder(&self.recorder, || {
             counter!("clementinepick_calls_total", "route" => route, "outcome" => outcome)
                 .increment(1);
-            histogram!("clementinepick_call_seconds", "route" => route).record(took.as_s_f64());
+            histogram!("clementinepick_call_seconds", "route" => route).record(latency.as_s_f64());
         });
     }
 
-    /// Counts a request that was refused before it reached the decisions.
+    /// Counts a request that was refused before it reached the state machine.
     pub(crate) fn record_refusal(&self, kind: ErrorKind) {
         with_local_recorder(&self.recorder, || {
             let outcome = kind.response().code;
@@ -60,7 +59,7 @@
         });
     }
 
-    /// Sets a gauge.
+    /// Sets the gauge `name` to a count.
     #[expect(clippy::cast_precision_loss, reason = "counts stay far below 2^53")]
     pub(crate) fn set_gauge(&self, name: &'static str, count: usize) {
         with_local_recorder(&self.recorder, || {
--- a/clementinepickd/tests/gateway_settings.rs
+++ b/clementinepickd/tests/gateway_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of gateways: read, refused with file, section and key, and listed on their page.
+//! Settings of gateways: parsing, errors that name file, section and key, and documentation.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -6,7 +6,7 @@
 
 use clementinepickd::settings_file::{ProcessSettings, parse_process};
 
-const RIGHT: &str = "\
+const VALID: &str = "\
 [process]
 role = gateway
 vm = edge-1
@@ -38,16 +38,16 @@
 limit = 7 s
 ";
 
-fn problem(from: &str, to: &str) -> String {
-    assert!(RIGHT.contains(from), "the file has no `{from}`");
-    let text = RIGHT.replace(from, to);
-    let err = parse_process("g.ini", &text).expect_err("wrong settings");
+fn error_after(from: &str, to: &str) -> String {
+    assert!(VALID.contains(from), "the settings contain no `{from}`");
+    let text = VALID.replace(from, to);
+    let err = parse_process("g.ini", &text).expect_err("invalid settings");
     err.to_string()
 }
 
 #[test]
 fn all_keys_are_read() {
-    let settings = parse_process("g.ini", RIGHT).expect("right settings");
+    let settings = parse_process("g.ini", VALID).expect("valid settings");
     let ProcessSettings::Gateway(settings) = settings else {
         panic!("a gateway's settings");
     };
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_named() {
+fn an_invalid_value_is_named() {
     let cases = [
         (("vm = edge-1\n", ""), "g.ini: [process] vm: is missing"),
         (
@@ -89,14 +89,14 @@
         ),
     ];
     for ((from, to), expected) in cases {
-        assert_eq!(problem(from, to), expected);
+        assert_eq!(error_after(from, to), expected);
     }
-    let unit = problem("cache = 4 MB", "cache = 4");
+    let unit = error_after("cache = 4 MB", "cache = 4");
     assert!(unit.starts_with("g.ini: [store] cache: `4`:"), "{unit}");
 }
 
 #[test]
-fn every_key_stands_on_its_page_and_the_reverse() {
+fn documented_keys_and_known_keys_are_the_same() {
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs/GATEWAY_SETTINGS.md");
     let page = fs::read_to_string(page).expect("the page");
     let rows = page.lines().filter(|line| line.starts_with("| `"));
@@ -109,7 +109,7 @@
         .collect();
     let mut section = String::new();
     let mut known = BTreeSet::new();
-    for line in RIGHT.lines() {
+    for line in VALID.lines() {
         if let Some(name) = line.strip_prefix('[') {
             section = name.trim_end_matches(']').to_owned();
         } else if let Some((key, _)) = line.split_once(" = ") {
@@ -119,10 +119,10 @@
     assert_eq!(listed, known);
 }
 
-/// The platform fills in the template of `deploy/`; a key that is misspelt there, or one that was
-/// renamed in the code, would keep every process of a deployment from starting.
+/// The platform fills in the template in `deploy/`. A misspelt key there, or one renamed in the code
+/// only, would keep every process of a deployment from starting.
 #[test]
-fn the_template_of_the_platform_makes_right_settings() {
+fn the_deployment_template_makes_valid_settings() {
     let template = Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy/gateway.ini");
     let template = fs::read_to_string(template).expect("the template");
     let filled = [
@@ -145,7 +145,7 @@
         text.replace(&placeholder, value)
     });
     assert!(!filled.contains("{{"), "{filled}");
-    let settings = parse_process("gateway.ini", &filled).expect("right settings");
+    let settings = parse_process("gateway.ini", &filled).expect("valid settings");
     let ProcessSettings::Gateway(settings) = settings else {
         panic!("a gateway's settings");
     };
--- a/clementinepickd/tests/handshake.rs
+++ b/clementinepickd/tests/handshake.rs
@@ -1,4 +1,4 @@
-//! What the ends of a link take as proof of a key.
+//! Proofs of the link handshake: which are accepted and which are refused.
 
 use clementinepick::ids::Incarnation;
 use clementinepick::message::Peer;
@@ -6,22 +6,22 @@
 use clementinepickd::handshake::{HandshakeError, Nonce, Proof, Side, Transcript, prove, verify};
 use clementinepickd::settings::{LinkKey, LinkKeys};
 
-const OLD: &str = "the old key, 16 characters or more";
-const NEW: &str = "the new key, 16 characters or more";
+const OLD_KEY: &str = "the old key, 16 characters or more";
+const NEW_KEY: &str = "the new key, 16 characters or more";
 
 fn keys(current: &str, previous: Option<&str>) -> LinkKeys {
     LinkKeys {
-        current: LinkKey::new(current).expect("long enough"),
+        current: LinkKey::new(current).expect("a key of valid length"),
         previous: previous.and_then(LinkKey::new),
     }
 }
 
 fn peer(vm: &str, role: VmRole, incarnation: u64) -> Peer {
     Peer {
-        vm: vm.parse().expect("a name"),
+        vm: vm.parse().expect("a valid name"),
         incarnation: Incarnation(incarnation),
         role,
-        zone: "kinigi-room".parse().expect("a name"),
+        zone: "kinigi-room".parse().expect("a valid name"),
         service: None,
     }
 }
@@ -55,7 +55,7 @@
         prove(keys, Side::Connecting, &self.transcript())
     }
 
-    fn takes(&self, keys: &LinkKeys, proof: &Proof) -> bool {
+    fn accepts(&self, keys: &LinkKeys, proof: &Proof) -> bool {
         match verify(keys, Side::Connecting, &self.transcript(), proof) {
             Ok(()) => true,
             Err(HandshakeError::KeyMismatch) => false,
@@ -67,50 +67,48 @@
 #[test]
 fn a_wrong_key_is_refused() {
     let handshake = Handshake::new((1, 2));
-    let proof = handshake.prove(&keys(OLD, None));
-    assert!(handshake.takes(&keys(OLD, None), &proof));
-    assert!(!handshake.takes(&keys(NEW, None), &proof));
-    assert!(!handshake.takes(&keys(OLD, None), &Proof { macs: Vec::new() }));
+    let proof = handshake.prove(&keys(OLD_KEY, None));
+    assert!(handshake.accepts(&keys(OLD_KEY, None), &proof));
+    assert!(!handshake.accepts(&keys(NEW_KEY, None), &proof));
+    assert!(!handshake.accepts(&keys(OLD_KEY, None), &Proof { macs: Vec::new() }));
 }
 
-// Keys are rotated process by process: old alone, then new and old, then new alone. At every
-// moment of both rollings any two processes must know each other, or a link would be refused.
+// Keys are rotated process by process: old alone, then new and old, then new alone. If any two
+// processes did not accept each other at some step, their link would be refused.
 #[test]
-fn any_two_processes_know_each_other_during_a_rotation() {
-    let old = keys(OLD, None);
-    let both = keys(NEW, Some(OLD));
-    let new = keys(NEW, None);
+fn any_two_processes_accept_each_other_during_a_key_rotation() {
+    let old = keys(OLD_KEY, None);
+    let both = keys(NEW_KEY, Some(OLD_KEY));
+    let new = keys(NEW_KEY, None);
     let handshake = Handshake::new((1, 2));
     for (prover, verifier) in [(&old, &both), (&both, &old), (&both, &new), (&new, &both)] {
-        assert!(handshake.takes(verifier, &handshake.prove(prover)));
+        assert!(handshake.accepts(verifier, &handshake.prove(prover)));
     }
-    assert!(!handshake.takes(&old, &handshake.prove(&new)));
+    assert!(!handshake.accepts(&old, &handshake.prove(&new)));
 }
 
-// Someone records a proof and plays it back to open a link of its own. The end that was connected
-// to has drawn another nonce, so the proof does not fit.
+// Guards against replay: a recorded proof does not match the nonces of another link.
 #[test]
 fn a_replayed_proof_is_refused() {
-    let keys = keys(OLD, None);
+    let keys = keys(OLD_KEY, None);
     let proof = Handshake::new((1, 2)).prove(&keys);
-    assert!(!Handshake::new((1, 3)).takes(&keys, &proof));
-    assert!(!Handshake::new((3, 2)).takes(&keys, &proof));
+    assert!(!Handshake::new((1, 3)).accepts(&keys, &proof));
+    assert!(!Handshake::new((3, 2)).accepts(&keys, &proof));
 }
 
-// Someone sends a process its own proof back, to seem to hold the key. The proof names its side.
+// Guards against reflection: a process's own proof, sent back to it, names the wrong side.
 #[test]
 fn a_reflected_proof_is_refused() {
-    let keys = keys(OLD, None);
+    let keys = keys(OLD_KEY, None);
     let handshake = Handshake::new((1, 2));
     let proof = prove(&keys, Side::Accepting, &handshake.transcript());
-    assert!(!handshake.takes(&keys, &proof));
+    assert!(!handshake.accepts(&keys, &proof));
 }
 
-// A process that holds the key proves as one VM and claims to be another, or an earlier life of
-// itself. The peers are bound into the proof.
+// Guards against impersonation: the proof covers the peer's VM, role and incarnation.
 #[test]
-fn a_proof_stands_for_one_peer_only() {
-    let keys = keys(OLD, None);
+fn a_proof_is_valid_for_one_peer_only() {
+    let keys = keys(OLD_KEY, None);
     let handshake = Handshake::new((1, 2));
     let proof = handshake.prove(&keys);
     for entry in [
@@ -122,6 +120,6 @@
             entry,
             ..Handshake::new((1, 2))
         };
-        assert!(!other.takes(&keys, &proof));
+        assert!(!other.accepts(&keys, &proof));
     }
 }
--- a/clementinepickd/tests/links.rs
+++ b/clementinepickd/tests/links.rs
@@ -1,4 +1,4 @@
-//! What a process does with peers on its link port: those that hold the key, and hostile ones.
+//! The link port of a process: which peers it accepts, and how it handles hostile or broken ones.
 
 mod exchange;
 mod support;
@@ -15,7 +15,7 @@
     Challenge, Hello, Nonce, Proof, Side, Transcript, Welcome, decode, encode, prove, verify,
 };
 use clementinepickd::settings::{Limits, LinkKeys, LinkSettings, Settings};
-use exchange::{PATIENCE, get};
+use exchange::{TEST_TIMEOUT, get};
 use futures_util::{SinkExt, StreamExt};
 use support::{KEY, end, keys, sidecar_settings};
 use tokio::net::TcpStream;
@@ -25,41 +25,45 @@
 
 const OTHER_KEY: &str = "another key that nobody here holds";
 
-/// A test's end of a link.
-struct Client {
+/// A link client of a test.
+struct LinkClient {
     socket: WebSocketStream<TcpStream>,
 }
 
 fn entry(vm: &str, incarnation: u64) -> Peer {
     Peer {
-        vm: vm.parse().expect("a name"),
+        vm: vm.parse().expect("a valid name"),
         incarnation: Incarnation(incarnation),
         role: VmRole::Entry,
-        zone: "kinigi-room".parse().expect("a name"),
+        zone: "kinigi-room".parse().expect("a valid name"),
         service: None,
     }
 }
 
-impl Client {
-    async fn dial(address: SocketAddr) -> Self {
-        let stream = TcpStream::connect(address).await.expect("it listens");
+impl LinkClient {
+    async fn connect(address: SocketAddr) -> Self {
+        let stream = TcpStream::connect(address)
+            .await
+            .expect("the daemon accepts connections");
         let url = format!("ws://{address}/");
-        let (socket, _) = client_async(url, stream).await.expect("a websocket");
+        let (socket, _) = client_async(url, stream)
+            .await
+            .expect("a WebSocket handshake");
         Self { socket }
     }
 
     async fn send(&mut self, bytes: Vec<u8>) {
-        // The other end may have closed already, which the test looks at afterwards.
+        // The daemon may have closed the link already; the test checks that afterwards.
         let _ = self
             .socket
             .send(Frame::Binary(FrameBytes::from(bytes)))
             .await;
     }
 
-    /// The next frame; nothing once the link is closed.
+    /// Returns the next frame, or `None` once the link is closed.
     async fn next(&mut self) -> Option<FrameBytes> {
-        let frame = timeout(PATIENCE, self.socket.next()).await;
-        match frame.expect("a frame or the end") {
+        let frame = timeout(TEST_TIMEOUT, self.socket.next()).await;
+        match frame.expect("a frame or the end of the link") {
             Some(Ok(Frame::Binary(bytes))) => Some(bytes),
             Some(Ok(Frame::Close(_)) | Err(_)) | None => None,
             Some(Ok(other)) => panic!("{other:?}"),
@@ -77,8 +81,8 @@
         decode(&self.next().await.expect("an open link")).expect("a message")
     }
 
-    /// Proves as `own`; false when it was refused. The proof is given back for a replay.
-    async fn prove(&mut self, keys: &LinkKeys, nonce: Nonce, own: &Peer) -> (bool, Proof) {
+    /// Runs the handshake as `own`; returns whether it was accepted, and the proof for a replay.
+    async fn authenticate(&mut self, keys: &LinkKeys, nonce: Nonce, own: &Peer) -> (bool, Proof) {
         self.send(encode(&Hello::new(nonce, own.clone()))).await;
         let challenge = self.next().await.expect("a challenge");
         let challenge: Challenge = decode(&challenge).expect("a challenge");
@@ -105,26 +109,29 @@
     }
 }
 
-async fn linked(daemon: &Daemon, vm: &str, incarnation: u64) -> Client {
-    let mut client = Client::dial(daemon.link_address()).await;
+async fn connect_link(daemon: &Daemon, vm: &str, incarnation: u64) -> LinkClient {
+    let mut client = LinkClient::connect(daemon.link_address()).await;
     let own = entry(vm, incarnation);
-    let (welcome, _) = client.prove(&keys(KEY, None), [7; 32], &own).await;
+    let (welcome, _) = client.authenticate(&keys(KEY, None), [7; 32], &own).await;
     assert!(welcome);
     client
 }
 
-/// Waits until the daemon has counted the event.
+/// Waits until the daemon's metrics count the event.
 fn wait_for_event(daemon: &Daemon, name: &str) {
     let line = format!("clementinepick_events_total{{event=\"{name}\"}}");
     let started = Instant::now();
     while !get(daemon.http_address(), "/metrics").contains(&line) {
-        assert!(started.elapsed() < PATIENCE, "no event {name}");
+        assert!(
+            started.elapsed() < TEST_TIMEOUT,
+            "the daemon did not count event {name}"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
 fn run(settings: Settings, test: impl AsyncFnOnce(&Daemon)) {
-    let daemon = Daemon::start(settings).expect("it starts");
+    let daemon = Daemon::start(settings).expect("the daemon starts");
     actix_rt::System::new().block_on(test(&daemon));
     end(daemon);
 }
@@ -132,25 +139,27 @@
 #[test]
 fn a_peer_with_the_key_gets_heartbeats() {
     run(sidecar_settings(), async |daemon| {
-        let mut client = linked(daemon, "entry-a", 1).await;
+        let mut client = connect_link(daemon, "entry-a", 1).await;
         assert!(matches!(client.next_message().await, Message::Heartbeat(_)));
     });
 }
 
-// A process of another deployment, or one left behind by a rotation, connects. It gets no link and
-// an operator sees why.
+// A process of another deployment, or one that missed a key rotation, must get no link, and an
+// operator must see why.
 #[test]
 fn a_wrong_key_is_refused_with_an_event() {
     run(sidecar_settings(), async |daemon| {
-        let mut client = Client::dial(daemon.link_address()).await;
+        let mut client = LinkClient::connect(daemon.link_address()).await;
         let wrong = keys(OTHER_KEY, None);
-        let (welcome, _) = client.prove(&wrong, [7; 32], &entry("entry-a", 1)).await;
+        let (welcome, _) = client
+            .authenticate(&wrong, [7; 32], &entry("entry-a", 1))
+            .await;
         assert!(!welcome);
         wait_for_event(daemon, "link_refused");
     });
 }
 
-// Halfway through a rotation this process holds both keys: peers with either are let in.
+// During a key rotation a process holds both keys and must accept peers with either.
 #[test]
 fn both_keys_are_valid_during_a_rotation() {
     let links = LinkSettings {
@@ -163,23 +172,24 @@
     };
     run(settings, async |daemon| {
         for (vm, key) in [("entry-a", KEY), ("entry-b", OTHER_KEY)] {
-            let mut client = Client::dial(daemon.link_address()).await;
-            let (welcome, _) = client.prove(&keys(key, None), [7; 32], &entry(vm, 1)).await;
+            let mut client = LinkClient::connect(daemon.link_address()).await;
+            let (welcome, _) = client
+                .authenticate(&keys(key, None), [7; 32], &entry(vm, 1))
+                .await;
             assert!(welcome, "{vm}");
         }
     });
 }
 
-// Someone has recorded a whole handshake and plays its frames back. The sidecar has drawn another
-// nonce, so the recorded proof is worth nothing.
+// Guards against replay of a recorded handshake: the sidecar draws a new nonce for each link.
 #[test]
 fn a_replayed_proof_is_refused() {
     run(sidecar_settings(), async |daemon| {
         let own = entry("entry-a", 1);
-        let mut first = Client::dial(daemon.link_address()).await;
-        let (welcome, recorded) = first.prove(&keys(KEY, None), [7; 32], &own).await;
+        let mut first = LinkClient::connect(daemon.link_address()).await;
+        let (welcome, recorded) = first.authenticate(&keys(KEY, None), [7; 32], &own).await;
         assert!(welcome);
-        let mut replay = Client::dial(daemon.link_address()).await;
+        let mut replay = LinkClient::connect(daemon.link_address()).await;
         replay.send(encode(&Hello::new([7; 32], own))).await;
         let _: Challenge = decode(&replay.next().await.expect("a frame")).expect("a challenge");
         replay.send(encode(&recorded)).await;
@@ -188,24 +198,23 @@
     });
 }
 
-// Without the key, a peer sends a frame of megabytes to fill the memory. The limit before the proof
-// is some kilobytes, so the frame is refused by its header.
+// Guards against memory exhaustion by peers without the key: before authentication, the frame limit
+// is a few kilobytes, and a larger frame is refused by its header.
 #[test]
 fn a_large_frame_before_the_proof_closes_the_connection() {
     run(sidecar_settings(), async |daemon| {
-        let mut client = Client::dial(daemon.link_address()).await;
+        let mut client = LinkClient::connect(daemon.link_address()).await;
         client.send(vec![0; 1_000_000]).await;
         assert!(client.next().await.is_none());
     });
 }
 
-// A peer of another version, or a broken one, sends what is no message. Its link closes with an
-// event; the links of others go on.
+// A peer that sends an invalid message must lose its link, with an event, but no other peer may.
 #[test]
-fn garbage_closes_the_link_of_its_sender_only() {
+fn an_invalid_message_closes_the_link_of_its_sender_only() {
     run(sidecar_settings(), async |daemon| {
-        let mut other = linked(daemon, "entry-b", 1).await;
-        let mut client = linked(daemon, "entry-a", 1).await;
+        let mut other = connect_link(daemon, "entry-b", 1).await;
+        let mut client = connect_link(daemon, "entry-a", 1).await;
         client.send(b"garbage".to_vec()).await;
         assert!(client.is_closed().await);
         wait_for_event(daemon, "link_fault");
@@ -227,31 +236,31 @@
         ..sidecar_settings()
     };
     run(settings, async |daemon| {
-        let mut client = linked(daemon, "entry-a", 1).await;
+        let mut client = connect_link(daemon, "entry-a", 1).await;
         client.send(vec![0; 1_100_000]).await;
         assert!(client.is_closed().await);
         wait_for_event(daemon, "link_fault");
     });
 }
 
-// An entry is replaced; the old process wakes up and connects again. Were it let in, it would push
-// out its successor's link, and the two would take turns.
+// A replaced entry that resumes and reconnects must not replace its successor's link; otherwise the
+// two would close each other's links in turn.
 #[test]
-fn an_earlier_life_does_not_push_out_a_later_one() {
+fn an_earlier_incarnation_does_not_replace_the_link_of_a_later_one() {
     run(sidecar_settings(), async |daemon| {
-        let mut later = linked(daemon, "entry-a", 2).await;
+        let mut later = connect_link(daemon, "entry-a", 2).await;
         assert!(matches!(later.next_message().await, Message::Heartbeat(_)));
-        let mut earlier = linked(daemon, "entry-a", 1).await;
+        let mut earlier = connect_link(daemon, "entry-a", 1).await;
         assert!(earlier.is_closed().await);
         later.next_message().await;
-        let mut next = linked(daemon, "entry-a", 3).await;
+        let mut next = connect_link(daemon, "entry-a", 3).await;
         assert!(later.is_closed().await);
         next.next_message().await;
     });
 }
 
-// The path from the entry is cut in one direction: the sidecar's sends still seem to succeed, but
-// nothing comes. It closes the link after the silence limit, so that the entry connects anew.
+// When the path from the entry is cut in one direction, the sidecar's sends still seem to succeed.
+// It must close the link after the idle timeout, so that the entry reconnects.
 #[test]
 fn a_silent_link_is_closed() {
     let settings = Settings {
@@ -262,7 +271,7 @@
         ..sidecar_settings()
     };
     run(settings, async |daemon| {
-        let mut client = linked(daemon, "entry-a", 1).await;
+        let mut client = connect_link(daemon, "entry-a", 1).await;
         assert!(client.is_closed().await);
         wait_for_event(daemon, "link_down");
     });
--- a/clementinepickd/tests/program.rs
+++ b/clementinepickd/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program itself: its exit codes and its signals.
+//! Exit codes and signal handling of the program.
 
 mod exchange;
 
@@ -9,23 +9,22 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::{Duration, Instant};
 
-use exchange::{PATIENCE, get};
+use exchange::{TEST_TIMEOUT, get};
 
-/// A settings file in the directory of this build's tests.
-fn settings(name: &str, text: &str) -> PathBuf {
+/// Writes a settings file to the temporary directory of this build's tests.
+fn write_settings(name: &str, text: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     fs::write(&path, text).expect("a file");
     path
 }
 
-/// The ports that the tests try, below those that the system hands out by itself.
+/// The ports that the tests try, below the system's range of ephemeral ports.
 ///
-/// A port that the system hands out can come back as the local end of the next connection. A test
-/// that asks again and again whether its program listens then reaches itself, reads back its own
-/// request, and keeps the program from the port.
+/// An ephemeral port could be reused as the local port of the next connection. A test that polls
+/// whether its program listens would then connect to itself and keep the program from the port.
 const PORTS: std::ops::Range<u16> = 20_000..32_000;
 
-/// The next port that a test of this run tries.
+/// The offset of the next port that a test of this run tries.
 static NEXT_PORT: AtomicU16 = AtomicU16::new(0);
 
 fn free_port() -> u16 {
@@ -41,7 +40,7 @@
     panic!("no port is free")
 }
 
-fn entry(notice: &str) -> (String, u16) {
+fn entry_settings(notice: &str) -> (String, u16) {
     let port = free_port();
     let text = format!(
         "[process]\nrole = entry\nvm = entry-a\nzone = kinigi-room\nlog_level = off\n\
@@ -70,12 +69,15 @@
     assert!(killed.expect("kill runs").success());
 }
 
-/// Waits until the process is in a stage of its life.
+/// Waits until the state dump shows that the process is in a stage.
 fn wait_for_stage(port: u16, stage: &str) {
     let address = ([127, 0, 0, 1], port).into();
     let started = Instant::now();
     loop {
-        assert!(started.elapsed() < PATIENCE, "never {stage}");
+        assert!(
+            started.elapsed() < TEST_TIMEOUT,
+            "the process did not reach stage {stage}"
+        );
         let listens = std::net::TcpStream::connect(address).is_ok();
         if listens && get(address, "/debug/dump").contains(&format!("\"stage\":\"{stage}")) {
             return;
@@ -85,9 +87,9 @@
 }
 
 #[test]
-fn wrong_settings_exit_with_2_and_name_the_key() {
-    let (text, _) = entry("soon");
-    let path = settings("wrong.ini", &text);
+fn invalid_settings_exit_with_2_and_name_the_key() {
+    let (text, _) = entry_settings("soon");
+    let path = write_settings("wrong.ini", &text);
     let path = path.to_str().expect("text");
     for arguments in [
         &["--settings", path][..],
@@ -104,28 +106,28 @@
 }
 
 #[test]
-fn right_settings_are_checked_without_a_start() {
-    let (text, _) = entry("1 s");
-    let path = settings("right.ini", &text);
+fn valid_settings_are_checked_without_a_start() {
+    let (text, _) = entry_settings("1 s");
+    let path = write_settings("right.ini", &text);
     let output = run(&["--settings", path.to_str().expect("text"), "--check"]);
     assert_eq!(output.status.code(), Some(0));
 }
 
 #[test]
-fn one_signal_ends_it_gracefully() {
-    let (text, port) = entry("0 ms");
-    let path = settings("one-signal.ini", &text);
+fn one_signal_ends_the_process_gracefully() {
+    let (text, port) = entry_settings("0 ms");
+    let path = write_settings("one-signal.ini", &text);
     let mut child = start(path.to_str().expect("text"));
     wait_for_stage(port, "Serving");
     terminate(&child);
     assert_eq!(child.wait().expect("an end").code(), Some(0));
 }
 
-// The operator does not want to wait for the notice, which is an hour here.
+// The drain delay is an hour here, which an operator must be able to cut short.
 #[test]
-fn a_second_signal_ends_it_at_once() {
-    let (text, port) = entry("1 h");
-    let path = settings("two-signals.ini", &text);
+fn a_second_signal_ends_the_process_at_once() {
+    let (text, port) = entry_settings("1 h");
+    let path = write_settings("two-signals.ini", &text);
     let mut child = start(path.to_str().expect("text"));
     wait_for_stage(port, "Serving");
     terminate(&child);
--- a/clementinepickd/tests/settings.rs
+++ b/clementinepickd/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files that are wrong name the file, the section and the key.
+//! Errors about invalid settings files name the file, the section and the key.
 
 use std::collections::BTreeSet;
 
@@ -40,30 +40,30 @@
 key = 0123456789abcdef
 ";
 
-fn right(text: &str) -> Settings {
-    parse("a.ini", text).expect("right settings")
+fn parse_valid(text: &str) -> Settings {
+    parse("a.ini", text).expect("valid settings")
 }
 
-fn check(text: &str, expected: &Expect) {
-    let err = parse("a.ini", text).expect_err("wrong settings");
+fn assert_error(text: &str, expected: &Expect) {
+    let err = parse("a.ini", text).expect_err("invalid settings");
     expected.assert_eq(&err.to_string());
 }
 
 #[test]
 fn both_roles_are_read() {
-    let entry = right(ENTRY);
+    let entry = parse_valid(ENTRY);
     assert!(matches!(&entry.role, Role::Entry(role) if role.partition_count == 64));
-    let sidecar = right(SIDECAR);
+    let sidecar = parse_valid(SIDECAR);
     assert!(matches!(&sidecar.role, Role::Sidecar(role) if role.service.as_str() == "agent-llm"));
 }
 
 #[test]
 fn a_missing_value_is_named() {
-    check(
+    assert_error(
         &ENTRY.replace("zone = musanze-hall\n", ""),
         &expect!["a.ini: [process] zone: is missing"],
     );
-    check(
+    assert_error(
         &ENTRY.replace("key = 0123456789abcdef\n", ""),
         &expect!["a.ini: [links] key: is missing"],
     );
@@ -71,15 +71,15 @@
 
 #[test]
 fn an_unknown_key_is_named_with_the_known_ones() {
-    check(
+    assert_error(
         &ENTRY.replace("vms =", "vm_list ="),
         &expect!["a.ini: [entry] vms: is missing"],
     );
-    check(
+    assert_error(
         &format!("{ENTRY}[shutdown]\nlimits = 3 s\n"),
         &expect!["a.ini: [shutdown] limits: unknown key; the section has limit, linger, notice"],
     );
-    check(
+    assert_error(
         &format!("{ENTRY}[sidecar]\nservice = book-app\n"),
         &expect![
             "a.ini: [sidecar] service: this role has no such section; it has entry, limits, links, process, shutdown"
@@ -88,14 +88,14 @@
 }
 
 #[test]
-fn a_bad_unit_is_named_with_an_example() {
-    check(
+fn an_invalid_unit_is_named_with_an_example() {
+    assert_error(
         &format!("{ENTRY}silence = 5\n"),
         &expect![
             "a.ini: [links] silence: `5`: `5` is not a time with its unit (us, ms, s, min or h), such as `250 ms`"
         ],
     );
-    check(
+    assert_error(
         &format!("{ENTRY}[limits]\nbody = 8 MiB\n"),
         &expect![
             "a.ini: [limits] body: `8 MiB`: `8 MiB` is not a size with its unit (B, KB, MB or GB), such as `16 MB`"
@@ -104,8 +104,8 @@
 }
 
 #[test]
-fn a_host_name_is_no_address() {
-    check(
+fn a_host_name_is_refused_as_an_address() {
+    assert_error(
         &ENTRY.replace("127.0.0.1:7001", "localhost:7001"),
         &expect!["a.ini: [entry] log: `localhost:7001`: invalid socket address syntax"],
     );
@@ -113,7 +113,7 @@
 
 #[test]
 fn a_key_given_twice_is_refused() {
-    check(
+    assert_error(
         &format!("{ENTRY}key = fedcba9876543210\n"),
         &expect!["a.ini: [links] key: is given twice"],
     );
@@ -121,15 +121,15 @@
 
 #[test]
 fn a_short_link_key_is_refused() {
-    check(
+    assert_error(
         &ENTRY.replace("0123456789abcdef", "secret"),
         &expect!["a.ini: [links] key: must have 16 characters or more"],
     );
 }
 
 #[test]
-fn a_frame_must_hold_the_largest_body() {
-    check(
+fn a_frame_limit_below_the_largest_body_is_refused() {
+    assert_error(
         &format!("{ENTRY}[limits]\nbody = 20 MB\n"),
         &expect![
             "a.ini: [links] max_frame: must be at least 41000000 B: twice [limits] body and 1 MB"
@@ -138,8 +138,8 @@
 }
 
 #[test]
-fn a_limit_of_nothing_is_refused() {
-    check(
+fn a_limit_of_zero_is_refused() {
+    assert_error(
         &format!("{ENTRY}[limits]\nstreams = 0\n"),
         &expect!["a.ini: [limits] streams: must be 1 or more"],
     );
@@ -147,11 +147,11 @@
 
 #[test]
 fn a_link_key_is_never_printed() {
-    let settings = format!("{:?}", right(ENTRY));
+    let settings = format!("{:?}", parse_valid(ENTRY));
     assert!(!settings.contains("0123456789abcdef"), "{settings}");
 }
 
-/// The keys of docs/SETTINGS.md, as `[section] key`.
+/// Returns the keys listed in docs/SETTINGS.md, as `[section] key`.
 fn documented_keys() -> BTreeSet<String> {
     let page = include_str!("../../docs/SETTINGS.md");
     let mut section = "";
@@ -167,7 +167,7 @@
     keys
 }
 
-/// The keys that the code knows in a section, which it lists when it meets another.
+/// Returns the keys that the parser accepts in a section, which it lists when it refuses another.
 fn known_keys(text: &str, section: &str) -> BTreeSet<String> {
     let err = parse("a.ini", &format!("{text}[{section}]\nno-such-key = 1\n"));
     let err = err.expect_err("an unknown key").to_string();
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn every_key_stands_on_its_page_and_the_reverse() {
+fn documented_keys_and_known_keys_are_the_same() {
     let mut known = known_keys(SIDECAR, "sidecar");
     for section in ["process", "entry", "links", "limits", "shutdown"] {
         known.extend(known_keys(ENTRY, section));
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn the_examples_are_right() {
+fn the_example_settings_are_valid() {
     let examples = concat!(env!("CARGO_MANIFEST_DIR"), "/../examples");
     let mut count = 0;
     for entry in std::fs::read_dir(examples).expect("examples") {
--- a/clementinepickd/tests/support/mod.rs
+++ b/clementinepickd/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Daemons on loopback ports for tests.
+//! Settings for daemons that run on loopback ports in tests.
 
 use clementinepick::units::SpanUs;
 use clementinepickd::Daemon;
@@ -6,22 +6,22 @@
     LinkKey, LinkKeys, LinkSettings, LogLevel, Role, Settings, ShutdownSettings, SidecarRole,
 };
 
-/// The key of the daemons here.
+/// The link key of the daemons.
 pub const KEY: &str = "a key for the daemons of this test";
 
-/// A key, and perhaps another that is valid as well.
+/// Returns link keys: the current one and, during a rotation, the previous one.
 pub fn keys(current: &str, previous: Option<&str>) -> LinkKeys {
     LinkKeys {
-        current: LinkKey::new(current).expect("long enough"),
+        current: LinkKey::new(current).expect("a key of valid length"),
         previous: previous.and_then(LinkKey::new),
     }
 }
 
-/// Settings of an entry whose platform does not answer.
+/// Returns settings of an entry whose platform is unavailable.
 pub fn entry_settings() -> Settings {
     Settings {
-        vm: "entry-a".parse().expect("a name"),
-        zone: "kinigi-room".parse().expect("a name"),
+        vm: "entry-a".parse().expect("a valid name"),
+        zone: "kinigi-room".parse().expect("a valid name"),
         log_level: LogLevel::Off,
         http_workers: 1,
         links: LinkSettings {
@@ -37,19 +37,19 @@
     }
 }
 
-/// Settings of a sidecar whose backend server does not answer.
+/// Returns settings of a sidecar whose backend server is unavailable.
 pub fn sidecar_settings() -> Settings {
     Settings {
-        vm: "sidecar-0".parse().expect("a name"),
+        vm: "sidecar-0".parse().expect("a valid name"),
         role: Role::Sidecar(SidecarRole {
-            service: "agent-llm".parse().expect("a name"),
+            service: "agent-llm".parse().expect("a valid name"),
             ..SidecarRole::default()
         }),
         ..entry_settings()
     }
 }
 
-/// Ends a daemon and waits for its threads.
+/// Shuts a daemon down gracefully and waits for its threads.
 pub fn end(daemon: Daemon) {
     daemon.shutdown();
     assert_eq!(daemon.join(), clementinepickd::ShutdownKind::Graceful);
