--- a/standins/src/load.rs
+++ b/standins/src/load.rs
@@ -71,11 +71,11 @@
     /// The table.
     pub report: Report,
     /// How late programs were started, which their latencies contain.
-    pub late: Latency,
+    pub start_delay: Latency,
     /// Holds and cancellations that did not run exactly once, with their counts.
-    pub not_once: Vec<(String, u64)>,
+    pub wrong_execution_counts: Vec<(String, u64)>,
     /// From the first arrival to the end of the last program.
-    pub took: Duration,
+    pub duration: Duration,
 }
 
 impl Load {
@@ -92,7 +92,7 @@
             println!("refused as {code} {count}");
         }
         let tokens: u64 = report.rows.values().map(|row| row.tokens).sum();
-        let took_s = result.took.as_secs_f64();
+        let took_s = result.duration.as_secs_f64();
         #[expect(
             clippy::cast_precision_loss,
             reason = "a rate is printed with one digit"
@@ -100,7 +100,10 @@
         let (programs_s, tokens_s) = (report.programs as f64 / took_s, tokens as f64 / took_s);
         println!("offered {:.1} programs/s for {} s", self.rate, self.seconds);
         println!("ended {programs_s:.1} programs/s, {tokens_s:.0} tokens/s over {took_s:.1} s");
-        println!("started late by up to {:.1} ms", result.late.ms_at(1.0));
+        println!(
+            "started late by up to {:.1} ms",
+            result.start_delay.ms_at(1.0)
+        );
         println!(
             "programs finished {} of {}",
             report.finished, report.programs
@@ -108,14 +111,14 @@
         for fault in report.faults.iter().take(MAX_PRINTED) {
             println!("fault: {fault}");
         }
-        for (id, count) in result.not_once.iter().take(MAX_PRINTED) {
+        for (id, count) in result.wrong_execution_counts.iter().take(MAX_PRINTED) {
             println!("fault: {id} ran {count} times");
         }
         if let Some(path) = &self.plot {
             plot_latencies(report, path)?;
             println!("plot {}", path.display());
         }
-        if report.finished == report.programs && result.not_once.is_empty() {
+        if report.finished == report.programs && result.wrong_execution_counts.is_empty() {
             return Ok(());
         }
         let text = "some programs did not finish as they must; see above";
@@ -137,19 +140,19 @@
         let watch = balancer.watch(caller.client().clone());
         let watch = actix_rt::spawn(watch);
         let begun = Instant::now();
-        let (report, late, scripts) = self.arrive(&caller, begun).await;
-        let took = begun.elapsed();
+        let (report, start_delay, scripts) = self.arrive(&caller, begun).await;
+        let duration = begun.elapsed();
         watch.abort();
-        let not_once = if self.plain.is_empty() {
+        let wrong_execution_counts = if self.plain.is_empty() {
             Vec::new()
         } else {
             not_once(&scripts, &self.executions(&caller).await?)
         };
         Ok(LoadResult {
             report,
-            late,
-            not_once,
-            took,
+            start_delay,
+            wrong_execution_counts,
+            duration,
         })
     }
 
@@ -171,20 +174,20 @@
             let (caller, room, sums) = (caller.clone(), Rc::clone(&room), Rc::clone(&sums));
             tasks.push(actix_rt::spawn(async move {
                 let permit = room.acquire().await;
-                let late = due.elapsed();
+                let start_delay = due.elapsed();
                 let record = run_program(&caller, &script, due).await;
                 drop(permit);
                 let mut sums = sums.borrow_mut();
                 sums.0.add(record);
-                sums.1.add(late);
+                sums.1.add(start_delay);
             }));
             due += gap(self.rate, &mut rng);
         }
         for task in tasks {
             let _ = task.await;
         }
-        let (report, late) = sums.take();
-        (report, late, scripts)
+        let (report, start_delay) = sums.take();
+        (report, start_delay, scripts)
     }
 
     async fn executions(&self, caller: &Caller) -> Result<Vec<BTreeMap<String, u64>>, Failure> {
--- a/standins/src/policy.rs
+++ b/standins/src/policy.rs
@@ -8,14 +8,14 @@
 use thiserror::Error;
 
 use crate::Failure;
-use crate::policy_engine::EngineShape;
-use crate::policy_knobs::{BadKnob, Knobs, POLICIES};
-use crate::policy_mix::{After, Mix, Turn, Work, engine_plans, plain_plans};
+use crate::policy_engine::EngineParameters;
 use crate::policy_mixes::{limitworks, nyiramasuka};
 use crate::policy_plot::plot_ratios;
-use crate::policy_result::{Figures, float};
+use crate::policy_result::{RunMetrics, to_f64};
 use crate::policy_run::Run;
-use crate::policy_table::table;
+use crate::policy_run_settings::{POLICIES, RunSettingError, RunSettings};
+use crate::policy_table::format_table;
+use crate::policy_workload::{AfterTurn, Mix, Turn, Work, engine_plans, plain_plans};
 
 /// What the policy tool is asked to do.
 #[derive(Debug, Clone)]
@@ -86,13 +86,13 @@
             capacity_per_s: None,
         };
         let results = run(&settings)?;
-        for figures in &results {
+        for metrics in &results {
             println!(
                 "{}",
-                serde_json::to_string(figures).map_err(PolicyError::from)?
+                serde_json::to_string(metrics).map_err(PolicyError::from)?
             );
         }
-        println!("{}", table(&results));
+        println!("{}", format_table(&results));
         if let Some(path) = &self.plot {
             plot_ratios(&results, path)?;
             println!("plot {}", path.display());
@@ -109,7 +109,7 @@
     UnknownMix(String),
     /// No policy or setting of this name.
     #[error(transparent)]
-    BadKnob(#[from] BadKnob),
+    RunSettingError(#[from] RunSettingError),
     /// Figures that JSON can't hold.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
@@ -146,7 +146,7 @@
 /// # Errors
 ///
 /// When there is none.
-pub fn mix_of(name: &str) -> Result<Mix, PolicyError> {
+pub fn find_mix(name: &str) -> Result<Mix, PolicyError> {
     match name {
         "nyiramasuka" => Ok(nyiramasuka()),
         "limitworks" => Ok(limitworks()),
@@ -159,19 +159,24 @@
 /// # Errors
 ///
 /// When a name or setting is unknown.
-pub fn run(settings: &PolicySettings) -> Result<Vec<Figures>, PolicyError> {
-    let mix = mix_of(&settings.mix)?;
+pub fn run(settings: &PolicySettings) -> Result<Vec<RunMetrics>, PolicyError> {
+    let mix = find_mix(&settings.mix)?;
     let policies: Vec<&str> = match &settings.policy {
         Some(policy) => vec![policy],
         None => POLICIES.to_vec(),
     };
     let mut jobs = Vec::new();
     for policy in policies {
-        let mut knobs = Knobs::of_policy(policy)?;
+        let mut run_settings = RunSettings::of_policy(policy)?;
         for change in &settings.changes {
-            knobs.set(change)?;
+            run_settings.set(change)?;
         }
-        jobs.extend(settings.seeds.iter().map(|seed| (knobs.clone(), *seed)));
+        jobs.extend(
+            settings
+                .seeds
+                .iter()
+                .map(|seed| (run_settings.clone(), *seed)),
+        );
     }
     let programs_per_s = settings.load
         * settings
@@ -190,17 +195,17 @@
     mix: &Mix,
     load: f64,
     programs_per_s: f64,
-    jobs: &[(Knobs, u64)],
+    jobs: &[(RunSettings, u64)],
     threads: usize,
-) -> Vec<Figures> {
+) -> Vec<RunMetrics> {
     let threads = threads.max(1);
-    let one = |(knobs, seed): &(Knobs, u64)| {
-        let until_us = TimeUs(knobs.horizon_us.0);
+    let one = |(run_settings, seed): &(RunSettings, u64)| {
+        let until_us = TimeUs(run_settings.horizon_us.0);
         let mut plans = engine_plans(mix, *seed, programs_per_s, until_us);
         plans.extend(plain_plans(mix, *seed, load, until_us));
-        Run::new(mix, knobs.clone(), *seed, plans).finish()
+        Run::new(mix, run_settings.clone(), *seed, plans).finish()
     };
-    let mut results: Vec<(usize, Figures)> = thread::scope(|scope| {
+    let mut results: Vec<(usize, RunMetrics)> = thread::scope(|scope| {
         let work = |first: usize| {
             let mine = jobs.iter().enumerate().skip(first).step_by(threads);
             mine.map(|(at, job)| (at, one(job))).collect::<Vec<_>>()
@@ -215,7 +220,7 @@
         joined.flatten().collect()
     });
     results.sort_by_key(|(at, _)| *at);
-    results.into_iter().map(|(_, figures)| figures).collect()
+    results.into_iter().map(|(_, metrics)| metrics).collect()
 }
 
 /// Programs a second that the engines can carry under `fifo`: the time that their calls take of an
@@ -226,8 +231,8 @@
 /// few runs of one seed.
 #[must_use]
 pub fn capacity_per_s(mix: &Mix) -> f64 {
-    let mut fifo = match Knobs::of_policy("fifo") {
-        Ok(knobs) => knobs,
+    let mut fifo = match RunSettings::of_policy("fifo") {
+        Ok(run_settings) => run_settings,
         Err(error) => unreachable!("fifo is a policy: {error}"),
     };
     fifo.horizon_us = CAPACITY_HORIZON;
@@ -235,8 +240,8 @@
     let mut per_s = f64::from(mix.engines) / program_engine_s(mix, 0.0);
     for _ in 0..CAPACITY_ROUNDS {
         let plans = engine_plans(mix, CAPACITY_SEED, per_s, until_us);
-        let figures = Run::new(mix, fifo.clone(), CAPACITY_SEED, plans).finish();
-        let reused = figures.reused_tokens / figures.prompt_tokens.max(1.0);
+        let metrics = Run::new(mix, fifo.clone(), CAPACITY_SEED, plans).finish();
+        let reused = metrics.reused_tokens / metrics.prompt_tokens.max(1.0);
         per_s = f64::from(mix.engines) / program_engine_s(mix, reused);
     }
     per_s
@@ -244,7 +249,7 @@
 
 /// The time that a program takes of an engine with a full batch, on average.
 fn program_engine_s(mix: &Mix, reused: f64) -> f64 {
-    let shape = EngineShape::default();
+    let shape = EngineParameters::default();
     let plans = engine_plans(mix, CAPACITY_SEED, 10.0, TimeUs(CAPACITY_HORIZON.0));
     let engine_us: f64 = plans
         .iter()
@@ -252,23 +257,23 @@
             Work::Turns {
                 system_tokens,
                 turns,
-            } => chain_us(float(system_tokens.0), turns, reused, &shape),
+            } => chain_us(to_f64(system_tokens.0), turns, reused, &shape),
             Work::Plain { .. } => 0.0,
         })
         .sum();
-    engine_us / 1e6 / float(plans.len() as u64)
+    engine_us / 1e6 / to_f64(plans.len() as u64)
 }
 
-fn chain_us(before: f64, turns: &[Turn], reused: f64, shape: &EngineShape) -> f64 {
-    let batch = float(shape.max_running as u64);
-    let output_token_us = float(shape.step_us) / batch + float(shape.sequence_us);
+fn chain_us(before: f64, turns: &[Turn], reused: f64, shape: &EngineParameters) -> f64 {
+    let batch = to_f64(shape.max_running as u64);
+    let output_token_us = to_f64(shape.step_us) / batch + to_f64(shape.sequence_us);
     let (mut length, mut sum) = (before, 0.0);
     for turn in turns {
-        length += float(turn.input_tokens.0);
-        sum += length * (1.0 - reused) * float(shape.prompt_token_us);
-        length += float(turn.output_tokens.0);
-        sum += float(turn.output_tokens.0) * output_token_us;
-        if let After::Fork(agents) = &turn.after {
+        length += to_f64(turn.input_tokens.0);
+        sum += length * (1.0 - reused) * to_f64(shape.prompt_token_us);
+        length += to_f64(turn.output_tokens.0);
+        sum += to_f64(turn.output_tokens.0) * output_token_us;
+        if let AfterTurn::Fork(agents) = &turn.after {
             let agents = agents
                 .iter()
                 .map(|agent| chain_us(length, agent, reused, shape));
--- a/standins/src/policy_entry.rs
+++ b/standins/src/policy_backend_selector.rs
@@ -9,7 +9,7 @@
 use clementinepick::route::{Choice, RouteQuery, Router};
 use clementinepick::units::{TimeUs, Tokens};
 
-use crate::policy_knobs::{Knobs, Routing};
+use crate::policy_run_settings::{Routing, RunSettings};
 
 /// What a baseline knows of one backend server.
 #[derive(Debug, Clone)]
@@ -32,18 +32,18 @@
 
 /// One entry.
 #[derive(Debug)]
-pub struct EntryChoice {
+pub struct BackendSelector {
     routing: Routing,
     router: Router,
     known: BTreeMap<VmId, Known>,
     next: BTreeMap<ServiceName, usize>,
 }
 
-impl EntryChoice {
+impl BackendSelector {
     /// An entry that knows all backend servers.
     #[must_use]
-    pub fn new(knobs: &Knobs, backends: &[(VmId, ServiceName, ZoneName)]) -> Self {
-        let mut router = Router::new(knobs.route.clone());
+    pub fn new(run_settings: &RunSettings, backends: &[(VmId, ServiceName, ZoneName)]) -> Self {
+        let mut router = Router::new(run_settings.route.clone());
         let mut known = BTreeMap::new();
         for (vm, service, zone) in backends {
             router.add(vm.clone(), service.clone(), zone.clone());
@@ -56,7 +56,7 @@
             known.insert(vm.clone(), fresh);
         }
         Self {
-            routing: knobs.routing,
+            routing: run_settings.routing,
             router,
             known,
             next: BTreeMap::new(),
@@ -143,7 +143,7 @@
     }
 
     /// A backend server was found gone or back.
-    pub fn set_up(&mut self, vm: &VmId, up: bool) {
+    pub fn set_available(&mut self, vm: &VmId, up: bool) {
         self.router.set_leaving(vm, !up);
         if let Some(known) = self.known.get_mut(vm) {
             known.up = up;
--- a/standins/src/policy_host.rs
+++ b/standins/src/policy_backend_vm.rs
@@ -11,12 +11,14 @@
 use clementinepick::prompt::{ChainHash, Segment};
 use clementinepick::units::{SpanUs, TimeUs, Tokens};
 
-use crate::policy_engine::{EngineCall, EngineDone, EngineShape, Progress, VirtualEngine};
-use crate::policy_knobs::{Knobs, Retaining};
+use crate::policy_engine::{
+    CompletedCall, EngineCall, EngineParameters, EngineProgress, VirtualEngine,
+};
+use crate::policy_run_settings::{RetentionPolicy, RunSettings};
 
 /// A call as it comes to a sidecar.
 #[derive(Debug, Clone)]
-pub struct HostCall {
+pub struct SidecarCall {
     /// The attempt.
     pub attempt: AttemptId,
     /// The program.
@@ -32,7 +34,7 @@
     /// The part of the prompt that its entry thinks is not cached here.
     pub prefill_tokens: Tokens,
     /// What is to be run.
-    pub work: HostWork,
+    pub work: CallWork,
 }
 
 /// What the sidecar remembers of a call until it ends.
@@ -46,7 +48,7 @@
 
 /// What a call runs.
 #[derive(Debug, Clone)]
-pub enum HostWork {
+pub enum CallWork {
     /// A turn of a model engine.
     Turn(EngineCall),
     /// A call of the plain service.
@@ -55,7 +57,7 @@
 
 /// The backend server itself.
 #[derive(Debug)]
-pub enum Backend {
+pub enum BackendServer {
     /// A model engine.
     Engine(Box<VirtualEngine>),
     /// A server of the plain service with so many slots.
@@ -69,82 +71,88 @@
     },
 }
 
-fn gate(document: &Document, cache_size_tokens: Option<Tokens>, knobs: &Knobs) -> AdmissionQueue {
+fn gate(
+    document: &Document,
+    cache_size_tokens: Option<Tokens>,
+    run_settings: &RunSettings,
+) -> AdmissionQueue {
     AdmissionQueue::new(AdmissionSettings {
         max_running: document.max_running_per_backend,
         max_waiting: document.max_waiting_per_backend,
         cache_size_tokens,
-        max_prefill_tokens: cache_size_tokens.and(knobs.max_prefill),
+        max_prefill_tokens: cache_size_tokens.and(run_settings.max_prefill),
         categories: document.categories.clone(),
     })
 }
 
 /// A backend server with its sidecar.
 #[derive(Debug)]
-pub struct Host {
+pub struct BackendVm {
     /// Its VM.
     pub vm: VmId,
     /// The backend server.
-    pub backend: Backend,
+    pub backend: BackendServer,
     /// Whether it is down.
-    pub down: bool,
+    pub is_down: bool,
     /// The number of the first cache event that is not published yet.
     pub next_cache_event: u64,
     gate: Option<AdmissionQueue>,
-    retain: Retaining,
+    retain: RetentionPolicy,
     retention: PrefixRetention,
     outputs: Predictor,
     calls: BTreeMap<AttemptId, Started>,
     /// Calls that were shed for others, until their entries are told.
     pub shed: Vec<AttemptId>,
-    waiting: BTreeMap<AttemptId, HostWork>,
+    waiting: BTreeMap<AttemptId, CallWork>,
     document: Document,
 }
 
-impl Host {
+impl BackendVm {
     /// An idle engine.
     #[must_use]
-    pub fn engine(vm: VmId, document: &Document, knobs: &Knobs) -> Self {
-        let shape = EngineShape::default();
-        let gate = knobs
-            .gate
-            .then(|| gate(document, Some(shape.cache_size_tokens), knobs));
+    pub fn engine(vm: VmId, document: &Document, run_settings: &RunSettings) -> Self {
+        let shape = EngineParameters::default();
+        let gate = run_settings
+            .has_admission_queue
+            .then(|| gate(document, Some(shape.cache_size_tokens), run_settings));
         Self::new(
             vm,
-            Backend::Engine(Box::new(VirtualEngine::new(shape))),
+            BackendServer::Engine(Box::new(VirtualEngine::new(shape))),
             gate,
             document,
-            knobs,
+            run_settings,
         )
     }
 
     /// An idle server of the plain service.
     #[must_use]
-    pub fn plain(vm: VmId, document: &Document, knobs: &Knobs) -> Self {
-        let gate = knobs.gate.then(|| gate(document, None, knobs));
-        let backend = Backend::Plain {
+    pub fn plain(vm: VmId, document: &Document, run_settings: &RunSettings) -> Self {
+        let gate = run_settings
+            .has_admission_queue
+            .then(|| gate(document, None, run_settings));
+        let backend = BackendServer::Plain {
             slots: document.max_running_per_backend as usize,
             running: BTreeMap::new(),
             waiting: VecDeque::new(),
         };
-        Self::new(vm, backend, gate, document, knobs)
+        Self::new(vm, backend, gate, document, run_settings)
     }
 
     fn new(
         vm: VmId,
-        backend: Backend,
+        backend: BackendServer,
         gate: Option<AdmissionQueue>,
         document: &Document,
-        knobs: &Knobs,
+        run_settings: &RunSettings,
     ) -> Self {
         Self {
             vm,
             backend,
-            down: false,
+            is_down: false,
             next_cache_event: 0,
             gate,
-            retain: knobs.retain,
-            retention: PrefixRetention::new(knobs.retention.clone()),
+            retain: run_settings.retention_policy,
+            retention: PrefixRetention::new(run_settings.retention.clone()),
             outputs: Predictor::default(),
             calls: BTreeMap::new(),
             shed: Vec::new(),
@@ -154,11 +162,11 @@
     }
 
     /// Takes a call; false when the gate refused it before any work.
-    pub fn take(&mut self, now: TimeUs, call: HostCall) -> bool {
+    pub fn receive_call(&mut self, now: TimeUs, call: SidecarCall) -> bool {
         self.retention.on_call(now, &call.program);
-        if let HostWork::Turn(turn) = &call.work {
+        if let CallWork::Turn(turn) = &call.work {
             let mut segments = turn.prompt.to_vec();
-            segments.push(turn.answer);
+            segments.push(turn.output);
             let started = Started {
                 program: call.program.clone(),
                 class: call.class.clone(),
@@ -177,11 +185,11 @@
             .cloned()
             .unwrap_or_default();
         let memory_tokens = match &call.work {
-            HostWork::Turn(turn) => {
+            CallWork::Turn(turn) => {
                 let prompt: Tokens = turn.prompt.iter().map(|s| s.length_tokens).sum();
                 prompt + predict_output(&self.outputs, &call.class, rules.max_output_tokens)
             }
-            HostWork::Plain(_) => Tokens(0),
+            CallWork::Plain(_) => Tokens(0),
         };
         let gate_call = QueuedCall {
             attempt: call.attempt,
@@ -207,7 +215,7 @@
     }
 
     /// The prompt of a call is in.
-    pub fn prefilled(&mut self, now: TimeUs, attempt: AttemptId) {
+    pub fn on_prefilled(&mut self, now: TimeUs, attempt: AttemptId) {
         if let Some(gate) = &mut self.gate {
             gate.on_first_text(attempt);
             self.admit(now);
@@ -215,10 +223,10 @@
     }
 
     /// A running call has ended well.
-    pub fn done(&mut self, now: TimeUs, attempt: AttemptId) {
+    pub fn on_completed(&mut self, now: TimeUs, attempt: AttemptId) {
         if let Some(call) = self.calls.remove(&attempt) {
             let (class, tool) = (&call.class, call.next_tool.as_ref());
-            let output = call.segments.last().map(|answer| answer.length_tokens.0);
+            let output = call.segments.last().map(|segment| segment.length_tokens.0);
             self.outputs.observe(class, None, output);
             self.retention
                 .on_turn_end(now, &call.program, class, tool, &call.segments);
@@ -227,24 +235,24 @@
     }
 
     /// A program has ended, by its own word or by the idle limit.
-    pub fn program_ended(&mut self, now: TimeUs, program: &ProgramId, known: bool) {
+    pub fn on_program_ended(&mut self, now: TimeUs, program: &ProgramId, known: bool) {
         let chains = self.retention.on_program_end(now, program, known);
-        if self.retain != Retaining::Off {
+        if self.retain != RetentionPolicy::Off {
             self.release(now, &chains);
         }
     }
 
     /// Releases the prefixes that do not pay any more.
-    pub fn tick(&mut self, now: TimeUs) {
+    pub fn release_expired(&mut self, now: TimeUs) {
         for (_, chains) in self.retention.take_expired(now) {
-            if self.retain == Retaining::Worth {
+            if self.retain == RetentionPolicy::ByExpectedReuse {
                 self.release(now, &chains);
             }
         }
     }
 
     fn release(&mut self, now: TimeUs, chains: &[ChainHash]) {
-        if let Backend::Engine(engine) = &mut self.backend {
+        if let BackendServer::Engine(engine) = &mut self.backend {
             engine.release(now, chains);
         }
     }
@@ -267,10 +275,10 @@
         }
     }
 
-    fn start(&mut self, now: TimeUs, attempt: AttemptId, work: HostWork) {
+    fn start(&mut self, now: TimeUs, attempt: AttemptId, work: CallWork) {
         match (&mut self.backend, work) {
-            (Backend::Engine(engine), HostWork::Turn(call)) => engine.submit(now, call),
-            (Backend::Plain { waiting, .. }, HostWork::Plain(service_us)) => {
+            (BackendServer::Engine(engine), CallWork::Turn(call)) => engine.submit(now, call),
+            (BackendServer::Plain { waiting, .. }, CallWork::Plain(service_us)) => {
                 waiting.push_back((attempt, service_us));
                 self.fill_slots(now);
             }
@@ -279,7 +287,7 @@
     }
 
     fn fill_slots(&mut self, now: TimeUs) {
-        let Backend::Plain {
+        let BackendServer::Plain {
             slots,
             running,
             waiting,
@@ -297,22 +305,22 @@
 
     /// When the backend server does something next.
     #[must_use]
-    pub fn next_us(&self) -> Option<TimeUs> {
+    pub fn next_event_us(&self) -> Option<TimeUs> {
         match &self.backend {
-            Backend::Engine(engine) => engine.next_us(),
-            Backend::Plain { running, .. } => running.values().min().copied(),
+            BackendServer::Engine(engine) => engine.next_event_us(),
+            BackendServer::Plain { running, .. } => running.values().min().copied(),
         }
     }
 
     /// Lets the backend server go on to `now`.
-    pub fn advance(&mut self, now: TimeUs) -> Progress {
+    pub fn advance(&mut self, now: TimeUs) -> EngineProgress {
         let progress = match &mut self.backend {
-            Backend::Engine(engine) => engine.advance(now),
-            Backend::Plain { running, .. } => {
-                let mut progress = Progress::default();
+            BackendServer::Engine(engine) => engine.advance(now),
+            BackendServer::Plain { running, .. } => {
+                let mut progress = EngineProgress::default();
                 let ended = running.iter().filter(|(_, end_us)| **end_us <= now);
-                progress.done = ended
-                    .map(|(attempt, _)| EngineDone {
+                progress.completed = ended
+                    .map(|(attempt, _)| CompletedCall {
                         attempt: *attempt,
                         cached_tokens: Tokens(0),
                     })
@@ -329,8 +337,8 @@
     pub fn cancel(&mut self, now: TimeUs, attempt: AttemptId) {
         self.waiting.remove(&attempt);
         match &mut self.backend {
-            Backend::Engine(engine) => engine.cancel(now, attempt),
-            Backend::Plain {
+            BackendServer::Engine(engine) => engine.cancel(now, attempt),
+            BackendServer::Plain {
                 running, waiting, ..
             } => {
                 running.remove(&attempt);
@@ -343,24 +351,24 @@
 
     /// The backend server fails, and its sidecar with it.
     pub fn fail(&mut self, now: TimeUs) {
-        self.down = true;
+        self.is_down = true;
         self.waiting.clear();
         self.calls.clear();
         self.retention.on_cache_lost();
         if let Some(gate) = &mut self.gate {
             gate.clear();
         }
-        if let Backend::Engine(engine) = &mut self.backend {
+        if let BackendServer::Engine(engine) = &mut self.backend {
             engine.fail(now);
         }
     }
 
     /// What the sidecar reports.
     #[must_use]
-    pub fn load(&self) -> BackendLoad {
+    pub fn load_report(&self) -> BackendLoad {
         let engine = match &self.backend {
-            Backend::Engine(engine) => engine.load(),
-            Backend::Plain {
+            BackendServer::Engine(engine) => engine.load_report(),
+            BackendServer::Plain {
                 running, waiting, ..
             } => clementinepick::platform::LoadReport {
                 running: u32::try_from(running.len()).unwrap_or(u32::MAX),
--- a/standins/src/policy_engine.rs
+++ b/standins/src/policy_engine.rs
@@ -16,7 +16,7 @@
 
 /// What an engine can do.
 #[derive(Debug, Clone)]
-pub struct EngineShape {
+pub struct EngineParameters {
     /// The cache memory.
     pub cache_size_tokens: Tokens,
     /// The most sequences in the batch.
@@ -31,7 +31,7 @@
     pub prompt_token_us: u64,
 }
 
-impl Default for EngineShape {
+impl Default for EngineParameters {
     fn default() -> Self {
         Self {
             cache_size_tokens: Tokens(400_000),
@@ -52,12 +52,12 @@
     /// The prompt.
     pub prompt: Rc<[Segment]>,
     /// The segment that the answer will add.
-    pub answer: Segment,
+    pub output: Segment,
 }
 
 /// A call that has ended.
 #[derive(Debug, Clone)]
-pub struct EngineDone {
+pub struct CompletedCall {
     /// The attempt.
     pub attempt: AttemptId,
     /// The part of the prompt that came from the cache.
@@ -66,11 +66,11 @@
 
 /// What happened in a stride.
 #[derive(Debug, Default)]
-pub struct Progress {
+pub struct EngineProgress {
     /// Calls whose prompt has been taken in.
     pub prefilled: Vec<AttemptId>,
     /// Calls that have ended.
-    pub done: Vec<EngineDone>,
+    pub completed: Vec<CompletedCall>,
 }
 
 #[derive(Debug)]
@@ -95,7 +95,7 @@
 /// One engine.
 #[derive(Debug)]
 pub struct VirtualEngine {
-    shape: EngineShape,
+    shape: EngineParameters,
     cache: PrefixCache,
     waiting: VecDeque<EngineCall>,
     running: Vec<Sequence>,
@@ -105,7 +105,7 @@
 impl VirtualEngine {
     /// An idle engine.
     #[must_use]
-    pub fn new(shape: EngineShape) -> Self {
+    pub fn new(shape: EngineParameters) -> Self {
         Self {
             cache: PrefixCache::new(shape.cache_size_tokens),
             shape,
@@ -123,14 +123,14 @@
 
     /// When something happens next.
     #[must_use]
-    pub fn next_us(&self) -> Option<TimeUs> {
+    pub fn next_event_us(&self) -> Option<TimeUs> {
         let stride = self.stride?;
         Some(stride.from_us.after(SpanUs(stride.step_us * stride.steps)))
     }
 
     /// Goes on to `now`, which is [`Self::next_us`].
-    pub fn advance(&mut self, now: TimeUs) -> Progress {
-        let mut progress = Progress::default();
+    pub fn advance(&mut self, now: TimeUs) -> EngineProgress {
+        let mut progress = EngineProgress::default();
         if let Some(stride) = self.stride.take() {
             self.apply(now, stride, &mut progress);
         }
@@ -169,7 +169,7 @@
 
     /// The engine's own word of its load.
     #[must_use]
-    pub fn load(&self) -> LoadReport {
+    pub fn load_report(&self) -> LoadReport {
         LoadReport {
             running: u32::try_from(self.running.len()).unwrap_or(u32::MAX),
             waiting: u32::try_from(self.waiting.len()).unwrap_or(u32::MAX),
@@ -199,7 +199,7 @@
             .map(|s| s.length_tokens)
             .sum();
         self.cache
-            .unreserve(missing + sequence.call.answer.length_tokens);
+            .unreserve(missing + sequence.call.output.length_tokens);
     }
 
     /// Ends the stride that is under way at the end of its present step.
@@ -214,7 +214,7 @@
         }
     }
 
-    fn apply(&mut self, now: TimeUs, stride: Stride, progress: &mut Progress) {
+    fn apply(&mut self, now: TimeUs, stride: Stride, progress: &mut EngineProgress) {
         let mut prompt_tokens = stride.prompt_tokens;
         let mut ended = Vec::new();
         for (at, sequence) in self.running.iter_mut().enumerate() {
@@ -234,16 +234,16 @@
         }
         for at in ended.into_iter().rev() {
             let sequence = self.running.remove(at);
-            progress.done.push(self.finish(now, &sequence));
+            progress.completed.push(self.finish(now, &sequence));
         }
     }
 
-    fn finish(&mut self, now: TimeUs, sequence: &Sequence) -> EngineDone {
+    fn finish(&mut self, now: TimeUs, sequence: &Sequence) -> CompletedCall {
         let mut segments = sequence.call.prompt.to_vec();
-        segments.push(sequence.call.answer);
+        segments.push(sequence.call.output);
         store(&mut self.cache, &segments, sequence.pinned);
         self.cache.unpin(now, &segments);
-        EngineDone {
+        CompletedCall {
             attempt: sequence.call.attempt,
             cached_tokens: sequence.cached_tokens,
         }
@@ -295,7 +295,7 @@
     let cached_tokens = call.prompt[..pinned].iter().map(|s| s.length_tokens).sum();
     let prompt_left: Tokens = call.prompt[pinned..].iter().map(|s| s.length_tokens).sum();
     cache.pin(now, &call.prompt[..pinned]);
-    if !cache.reserve(now, prompt_left + call.answer.length_tokens) {
+    if !cache.reserve(now, prompt_left + call.output.length_tokens) {
         cache.unpin(now, &call.prompt[..pinned]);
         return None;
     }
@@ -304,7 +304,7 @@
         cached_tokens,
         // The last token of a prompt is computed even when the rest is cached.
         prompt_left: prompt_left.0.max(1),
-        output_left: call.answer.length_tokens.0,
+        output_left: call.output.length_tokens.0,
         pinned,
     })
 }
--- a/standins/src/policy_mixes.rs
+++ b/standins/src/policy_mixes.rs
@@ -2,8 +2,8 @@
 
 use clementinepick::document::Document;
 
-use crate::policy_draw::{LogNormal, Pareto};
-use crate::policy_mix::{ClassShape, Mix, PlainShape, ToolShape};
+use crate::policy_sampling::{LogNormal, Pareto};
+use crate::policy_workload::{ClassProfile, Mix, PlainProfile, ToolProfile};
 
 /// The stargazing bookings: ten engines, seven backend servers of the bookings application.
 #[must_use]
@@ -55,11 +55,11 @@
         last_class: "limit-draft",
         urgent_class: "limit-request",
         classes: vec![
-            ClassShape {
+            ClassProfile {
                 input_tokens: lognormal(500.0, 0.9, 6_000.0),
                 ..conversation("dialogue", 0.45)
             },
-            ClassShape {
+            ClassProfile {
                 input_tokens: lognormal(1_300.0, 0.9, 12_000.0),
                 ..drafting("limit-draft", 0.55)
             },
@@ -75,30 +75,34 @@
     }
 }
 
-const fn lognormal(median: f64, sigma: f64, most: f64) -> LogNormal {
+const fn lognormal(median: f64, sigma: f64, upper_bound: f64) -> LogNormal {
     LogNormal {
         median,
         sigma,
-        most,
+        upper_bound,
     }
 }
 
-const fn pareto(least: f64, alpha: f64, most: f64) -> Pareto {
-    Pareto { least, alpha, most }
+const fn pareto(lower_bound: f64, alpha: f64, upper_bound: f64) -> Pareto {
+    Pareto {
+        lower_bound,
+        alpha,
+        upper_bound,
+    }
 }
 
-fn tool(name: &'static str, weight: f64, pause_s: LogNormal, hung: f64) -> ToolShape {
-    ToolShape {
+fn tool(name: &'static str, weight: f64, pause_s: LogNormal, hang_probability: f64) -> ToolProfile {
+    ToolProfile {
         name,
         weight,
         pause_s,
-        hung,
+        hang_probability,
         timeout_s: 60.0,
     }
 }
 
-fn conversation(name: &'static str, share: f64) -> ClassShape {
-    ClassShape {
+fn conversation(name: &'static str, share: f64) -> ClassProfile {
+    ClassProfile {
         name,
         share,
         system_tokens: 1_500,
@@ -110,15 +114,15 @@
             tool("lookup", 0.7, lognormal(0.3, 0.6, 60.0), 0.002),
             tool("booking", 0.3, lognormal(0.8, 0.8, 60.0), 0.005),
         ],
-        person_s: lognormal(25.0, 0.9, 400.0),
-        abandoned: 0.4,
-        forks: 0.0,
-        loops: 0.0,
+        think_time_s: lognormal(25.0, 0.9, 400.0),
+        abandon_probability: 0.4,
+        fork_probability: 0.0,
+        loop_probability: 0.0,
     }
 }
 
-fn drafting(name: &'static str, share: f64) -> ClassShape {
-    ClassShape {
+fn drafting(name: &'static str, share: f64) -> ClassProfile {
+    ClassProfile {
         name,
         share,
         system_tokens: 3_000,
@@ -131,26 +135,26 @@
             tool("forecast", 0.35, lognormal(3.0, 0.9, 60.0), 0.01),
             tool("approval", 0.05, lognormal(20.0, 0.8, 60.0), 0.05),
         ],
-        person_s: lognormal(60.0, 0.8, 600.0),
-        abandoned: 0.05,
-        forks: 0.3,
-        loops: 0.02,
+        think_time_s: lognormal(60.0, 0.8, 600.0),
+        abandon_probability: 0.05,
+        fork_probability: 0.3,
+        loop_probability: 0.02,
     }
 }
 
-fn plain(urgent: &'static str, notice: &'static str, lookup: &'static str) -> Vec<PlainShape> {
+fn plain(urgent: &'static str, notice: &'static str, lookup: &'static str) -> Vec<PlainProfile> {
     vec![
-        PlainShape {
+        PlainProfile {
             name: urgent,
             work_share: 0.15,
             service_s: lognormal(0.03, 0.4, 1.0),
         },
-        PlainShape {
+        PlainProfile {
             name: notice,
             work_share: 0.15,
             service_s: lognormal(0.04, 0.5, 1.0),
         },
-        PlainShape {
+        PlainProfile {
             name: lookup,
             work_share: 0.7,
             service_s: lognormal(0.12, 1.0, 5.0),
--- a/standins/src/policy_plot.rs
+++ b/standins/src/policy_plot.rs
@@ -9,7 +9,7 @@
 use plotters::style::{BLACK, Color, Palette, Palette99, PaletteColor, WHITE};
 
 use crate::Failure;
-use crate::policy_result::{Figures, GOALS, float};
+use crate::policy_result::{GOALS, RunMetrics, to_f64};
 use crate::policy_table::{median_of, policies_of};
 
 const SIZE: (u32, u32) = (1_000, 560);
@@ -21,14 +21,14 @@
 /// # Errors
 ///
 /// When the file can't be written.
-pub fn plot_ratios(results: &[Figures], path: &Path) -> Result<(), Failure> {
+pub fn plot_ratios(results: &[RunMetrics], path: &Path) -> Result<(), Failure> {
     draw(results, path).map_err(|err| Failure::Check(format!("{}: {err}", path.display())))
 }
 
-fn draw(results: &[Figures], path: &Path) -> Result<(), Box<dyn std::error::Error>> {
+fn draw(results: &[RunMetrics], path: &Path) -> Result<(), Box<dyn std::error::Error>> {
     let root = SVGBackend::new(path, SIZE).into_drawing_area();
     root.fill(&WHITE)?;
-    let last = float(GOALS.len() as u64 - 1);
+    let last = to_f64(GOALS.len() as u64 - 1);
     let mut chart = ChartBuilder::on(&root)
         .caption("Ratio to fifo, median over the seeds", ("sans-serif", 20))
         .margin(12)
@@ -45,10 +45,10 @@
         let color = PaletteColor::<Palette99>::pick(at % Palette99::COLORS.len());
         let style = color.stroke_width(2);
         let points = GOALS.iter().enumerate().map(|(place, goal)| {
-            let fifo = median_of(results, "fifo", goal.read);
+            let fifo = median_of(results, "fifo", goal.get);
             (
-                float(place as u64),
-                median_of(results, policy, goal.read) / fifo,
+                to_f64(place as u64),
+                median_of(results, policy, goal.get) / fifo,
             )
         });
         chart
@@ -67,7 +67,7 @@
 
 /// The name of the figure at a place of the axis; nothing between two.
 fn goal_at(place: f64) -> &'static str {
-    let near = |at: usize| (float(at as u64) - place).abs() < 0.01;
+    let near = |at: usize| (to_f64(at as u64) - place).abs() < 0.01;
     (0..GOALS.len())
         .find(|at| near(*at))
         .map_or("", |at| GOALS[at].name)
--- a/standins/src/policy_program.rs
+++ b/standins/src/policy_program.rs
@@ -7,7 +7,7 @@
 use clementinepick::prompt::{ChainHash, Prompt, Segment};
 use clementinepick::units::{SpanUs, TimeUs, Tokens};
 
-use crate::policy_mix::{After, Plan, Turn, Work, name};
+use crate::policy_workload::{AfterTurn, Plan, Turn, Work, parse_name};
 
 /// One program while it runs.
 #[derive(Debug, Clone)]
@@ -27,17 +27,17 @@
     /// When it issued its present call.
     pub issued_us: TimeUs,
     /// How often it was given its present call back.
-    pub sends: u32,
+    pub return_count: u32,
     /// The backend servers that its present call was sent to.
     pub tried: BTreeSet<VmId>,
     /// The backend server of its last turn.
-    pub last: Option<usize>,
+    pub last_vm: Option<usize>,
     /// The backend servers that may hold its prefix.
-    pub holders: BTreeSet<usize>,
+    pub vms_with_prefix: BTreeSet<usize>,
     /// The time that it waited for its person.
-    pub person_us: SpanUs,
+    pub think_time_us: SpanUs,
     /// Whether it has ended.
-    pub ended: bool,
+    pub has_ended: bool,
     root: usize,
     attained: Tokens,
     segments: Vec<Segment>,
@@ -50,21 +50,21 @@
 impl Program {
     /// The prompt and the answer of the present call of an engine.
     #[must_use]
-    pub fn present(&self) -> (Rc<[Segment]>, Segment) {
+    pub fn current_call(&self) -> (Rc<[Segment]>, Segment) {
         let prompt = self.prompt.clone().unwrap_or_default();
         let chain = prompt
             .last()
             .map_or(ChainHash::default(), |segment| segment.chain);
-        let answer = Segment {
+        let output = Segment {
             chain: chain.extend(b"answer"),
             length_tokens: self.turn().map_or(Tokens(0), |turn| turn.output_tokens),
         };
-        (prompt, answer)
+        (prompt, output)
     }
 
     /// The prompt of the present call, as the entry sees it.
     #[must_use]
-    pub fn shape(&self) -> Option<Prompt> {
+    pub fn to_prompt(&self) -> Option<Prompt> {
         self.prompt.as_ref().map(|segments| Prompt {
             segments: segments.to_vec(),
         })
@@ -74,8 +74,11 @@
     #[must_use]
     pub fn next_tool(&self) -> Option<ToolName> {
         match &self.turn()?.after {
-            After::Tool { tool, .. } => Some(tool.clone()),
-            After::Person { .. } | After::Fork(_) | After::End | After::Abandoned => None,
+            AfterTurn::Tool { tool, .. } => Some(tool.clone()),
+            AfterTurn::WaitForUser { .. }
+            | AfterTurn::Fork(_)
+            | AfterTurn::End
+            | AfterTurn::Abandoned => None,
         }
     }
 
@@ -93,7 +96,7 @@
     /// The programs; sub-agents follow as they come.
     pub list: Vec<Program>,
     /// Those that have not ended.
-    pub live: usize,
+    pub live_count: usize,
 }
 
 impl Programs {
@@ -115,7 +118,7 @@
             })
             .collect();
         Self {
-            live: list.len(),
+            live_count: list.len(),
             list,
         }
     }
@@ -133,14 +136,14 @@
     }
 
     /// A program issues its next call, or one that it was given back.
-    pub fn begin(&mut self, now: TimeUs, at: usize) {
+    pub fn begin_call(&mut self, now: TimeUs, at: usize) {
         let program = &mut self.list[at];
         if program.open {
             return;
         }
         program.open = true;
         program.issued_us = now;
-        program.sends = 0;
+        program.return_count = 0;
         let Some(turn) = program.turn() else { return };
         let chain = program
             .segments
@@ -157,33 +160,40 @@
     }
 
     /// A program's call was answered; returns the prompt's length.
-    pub fn take_answer(&mut self, at: usize, host: usize, cached: Tokens) -> Tokens {
+    pub fn record_response(&mut self, at: usize, host: usize, cached: Tokens) -> Tokens {
         let program = &mut self.list[at];
-        program.last = Some(host);
-        program.holders.insert(host);
+        program.last_vm = Some(host);
+        program.vms_with_prefix.insert(host);
         program.open = false;
         if program.turn().is_none() {
             return Tokens(0);
         }
-        let (prompt, answer) = program.present();
-        program.segments.push(answer);
+        let (prompt, output) = program.current_call();
+        program.segments.push(output);
         let length: Tokens = prompt.iter().map(|s| s.length_tokens).sum();
-        let served = length.saturating_sub(cached) + answer.length_tokens;
+        let served = length.saturating_sub(cached) + output.length_tokens;
         let root = program.root;
         self.list[root].attained += served;
         length
     }
 
     /// What a program does after its answer; it moves on to the next turn.
-    pub fn after(&mut self, _now: TimeUs, at: usize) -> After {
+    pub fn advance_turn(&mut self, _now: TimeUs, at: usize) -> AfterTurn {
         let program = &mut self.list[at];
-        let after = program.turn().map_or(After::End, |turn| turn.after.clone());
+        let after = program
+            .turn()
+            .map_or(AfterTurn::End, |turn| turn.after.clone());
         program.next += 1;
         after
     }
 
     /// Starts sub-agents that share a program's prompt; returns them.
-    pub fn fork(&mut self, now: TimeUs, at: usize, agents: Vec<Vec<Turn>>) -> Vec<usize> {
+    pub fn start_sub_agents(
+        &mut self,
+        now: TimeUs,
+        at: usize,
+        agents: Vec<Vec<Turn>>,
+    ) -> Vec<usize> {
         let mut started = Vec::new();
         for turns in agents {
             let child = self.list.len();
@@ -191,7 +201,7 @@
             parent.children += 1;
             parent.children_left += 1;
             let plan = Plan {
-                program: name(&format!("{}.{}", parent.id, parent.children)),
+                program: parse_name(&format!("{}.{}", parent.id, parent.children)),
                 class: parent.class.clone(),
                 arrives_us: now,
                 work: Work::Turns {
@@ -201,28 +211,28 @@
             };
             let root = parent.root;
             let mut fresh = program(plan, root, Some(at), parent.segments.clone());
-            fresh.last = parent.last;
+            fresh.last_vm = parent.last_vm;
             self.list.push(fresh);
-            self.live += 1;
+            self.live_count += 1;
             started.push(child);
         }
         started
     }
 
     /// A sub-agent has ended; says whether its parent goes on.
-    pub fn child_ended(&mut self, parent: usize) -> bool {
+    pub fn on_child_ended(&mut self, parent: usize) -> bool {
         let parent = &mut self.list[parent];
         parent.children_left = parent.children_left.saturating_sub(1);
-        parent.children_left == 0 && !parent.ended
+        parent.children_left == 0 && !parent.has_ended
     }
 
     /// A program has ended.
     pub fn end(&mut self, at: usize) -> Program {
         let program = &mut self.list[at];
-        if !program.ended {
-            self.live -= 1;
+        if !program.has_ended {
+            self.live_count -= 1;
         }
-        program.ended = true;
+        program.has_ended = true;
         // The transcript is of no use any more; a long run would hold them all.
         program.prompt = None;
         let ended = program.clone();
@@ -240,12 +250,12 @@
         parent,
         prompt: None,
         issued_us: plan.arrives_us,
-        sends: 0,
+        return_count: 0,
         tried: BTreeSet::new(),
-        last: None,
-        holders: BTreeSet::new(),
-        person_us: SpanUs(0),
-        ended: false,
+        last_vm: None,
+        vms_with_prefix: BTreeSet::new(),
+        think_time_us: SpanUs(0),
+        has_ended: false,
         root,
         attained: Tokens(0),
         segments,
--- a/standins/src/policy_result.rs
+++ b/standins/src/policy_result.rs
@@ -6,11 +6,11 @@
 use clementinepick::units::SpanUs;
 use serde::Serialize;
 
-use crate::policy_mix::Mix;
+use crate::policy_workload::Mix;
 
 /// The figures of one run; times in seconds.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
-pub struct Figures {
+pub struct RunMetrics {
     /// The policy.
     pub policy: String,
     /// The seed.
@@ -55,43 +55,43 @@
 pub const GOALS: &[Goal] = &[
     Goal {
         name: "first class p95",
-        at_most: Some(0.4),
-        read: |f| f.first_p95_s,
+        max_ratio: Some(0.4),
+        get: |f| f.first_p95_s,
     },
     Goal {
         name: "urgent p99",
-        at_most: Some(0.2),
-        read: |f| f.urgent_p99_s,
+        max_ratio: Some(0.2),
+        get: |f| f.urgent_p99_s,
     },
     Goal {
         name: "mean of programs",
-        at_most: Some(0.6),
-        read: |f| f.mean_s,
+        max_ratio: Some(0.6),
+        get: |f| f.mean_s,
     },
     Goal {
         name: "last class p99",
-        at_most: Some(1.5),
-        read: |f| f.last_p99_s,
+        max_ratio: Some(1.5),
+        get: |f| f.last_p99_s,
     },
     Goal {
         name: "turns completed/s",
-        at_most: None,
-        read: |f| f.completed_per_s,
+        max_ratio: None,
+        get: |f| f.completed_per_s,
     },
     Goal {
         name: "plain completed/s",
-        at_most: None,
-        read: |f| f.plain_completed_per_s,
+        max_ratio: None,
+        get: |f| f.plain_completed_per_s,
     },
     Goal {
         name: "wasted cache",
-        at_most: Some(0.25),
-        read: |f| f.wasted_gb_s,
+        max_ratio: Some(0.25),
+        get: |f| f.wasted_gb_s,
     },
     Goal {
         name: "reused tokens",
-        at_most: None,
-        read: |f| f.reused_tokens,
+        max_ratio: None,
+        get: |f| f.reused_tokens,
     },
 ];
 
@@ -101,16 +101,16 @@
     /// The figure.
     pub name: &'static str,
     /// The most that the ratio may be.
-    pub at_most: Option<f64>,
+    pub max_ratio: Option<f64>,
     /// Reads it.
-    pub read: fn(&Figures) -> f64,
+    pub get: fn(&RunMetrics) -> f64,
 }
 
 impl Goal {
     /// Whether a ratio reaches the goal; three decimals count, as in the table.
     #[must_use]
     pub fn is_met(&self, ratio: f64) -> bool {
-        match self.at_most {
+        match self.max_ratio {
             Some(most) => ratio < most + 0.0005,
             None => ratio > 0.9995,
         }
@@ -126,7 +126,7 @@
 
 impl Latencies {
     /// A program has ended well.
-    pub fn add(&mut self, class: &ClassName, latency_us: SpanUs) {
+    pub fn record(&mut self, class: &ClassName, latency_us: SpanUs) {
         self.by_class
             .entry(class.clone())
             .or_default()
@@ -134,9 +134,9 @@
     }
 
     /// A program has failed; it counts with the longest latency.
-    pub fn add_failed(&mut self, class: &ClassName, longest_us: SpanUs) {
+    pub fn record_failed(&mut self, class: &ClassName, longest_us: SpanUs) {
         self.failed += 1;
-        self.add(class, longest_us);
+        self.record(class, longest_us);
     }
 
     /// The programs that failed.
@@ -164,8 +164,8 @@
         let lists = self.by_class.iter().filter(|(name, _)| wanted(name));
         let (sum, count) = lists.fold((0.0, 0.0), |(sum, count), (_, list)| {
             (
-                sum + list.iter().map(|us| float(*us)).sum::<f64>(),
-                count + float(list.len() as u64),
+                sum + list.iter().map(|us| to_f64(*us)).sum::<f64>(),
+                count + to_f64(list.len() as u64),
             )
         });
         if count > 0.0 { sum / count / 1e6 } else { 0.0 }
@@ -180,17 +180,17 @@
     }
 
     /// Fills the latencies of the figures.
-    pub fn fill(&self, mix: &Mix, figures: &mut Figures) {
+    pub fn fill_metrics(&self, mix: &Mix, metrics: &mut RunMetrics) {
         let agents: Vec<&str> = mix.classes.iter().map(|class| class.name).collect();
         let plain: Vec<&str> = mix.plain.iter().map(|class| class.name).collect();
-        figures.first_p95_s = self.quantile_s(mix.first_class, 0.95);
-        figures.urgent_p99_s = self.quantile_s(mix.urgent_class, 0.99);
-        figures.mean_s = self.mean_s(&agents);
-        figures.last_p99_s = self.quantile_s(mix.last_class, 0.99);
-        figures.plain_mean_s = self.mean_s(&plain);
-        figures.plain_last_p99_s = plain.last().map_or(0.0, |last| self.quantile_s(last, 0.99));
-        figures.programs = self.count(&agents);
-        figures.failed = self.failed;
+        metrics.first_p95_s = self.quantile_s(mix.first_class, 0.95);
+        metrics.urgent_p99_s = self.quantile_s(mix.urgent_class, 0.99);
+        metrics.mean_s = self.mean_s(&agents);
+        metrics.last_p99_s = self.quantile_s(mix.last_class, 0.99);
+        metrics.plain_mean_s = self.mean_s(&plain);
+        metrics.plain_last_p99_s = plain.last().map_or(0.0, |last| self.quantile_s(last, 0.99));
+        metrics.programs = self.count(&agents);
+        metrics.failed = self.failed;
     }
 }
 
@@ -215,8 +215,8 @@
     if sorted.is_empty() {
         return 0.0;
     }
-    let rank = (float(sorted.len() as u64) * quantile).ceil().max(1.0) as usize;
-    float(sorted[rank.min(sorted.len()) - 1])
+    let rank = (to_f64(sorted.len() as u64) * quantile).ceil().max(1.0) as usize;
+    to_f64(sorted[rank.min(sorted.len()) - 1])
 }
 
 /// A count as a float; counts here stay far below 2^53.
@@ -225,7 +225,7 @@
     clippy::cast_precision_loss,
     reason = "counts here stay far below 2^53"
 )]
-pub const fn float(count: u64) -> f64 {
+pub const fn to_f64(count: u64) -> f64 {
     count as f64
 }
 
--- a/standins/src/policy_run.rs
+++ b/standins/src/policy_run.rs
@@ -8,14 +8,14 @@
 use rand_chacha::ChaCha12Rng;
 use rand_chacha::rand_core::SeedableRng;
 
-use crate::policy_draw::unit;
-use crate::policy_engine::{EngineCall, EngineDone};
-use crate::policy_entry::EntryChoice;
-use crate::policy_host::{Backend, Host, HostCall, HostWork};
-use crate::policy_knobs::Knobs;
-use crate::policy_mix::{After, Mix, Plan, Work, name};
+use crate::policy_backend_selector::BackendSelector;
+use crate::policy_backend_vm::{BackendServer, BackendVm, CallWork, SidecarCall};
+use crate::policy_engine::{CompletedCall, EngineCall};
 use crate::policy_program::{Program, Programs};
-use crate::policy_result::{Figures, Latencies, float};
+use crate::policy_result::{Latencies, RunMetrics, to_f64};
+use crate::policy_run_settings::RunSettings;
+use crate::policy_sampling::uniform;
+use crate::policy_workload::{AfterTurn, Mix, Plan, Work, parse_name};
 
 /// Entries among which the programs are spread.
 const ENTRIES: usize = 3;
@@ -76,25 +76,25 @@
     host: usize,
     work_tokens: Tokens,
     started: bool,
-    turn: Option<HostCall>,
+    turn: Option<SidecarCall>,
 }
 
 /// The state of one run.
 pub struct Run<'a> {
     mix: &'a Mix,
-    knobs: Knobs,
+    run_settings: RunSettings,
     now: TimeUs,
     queue: BinaryHeap<Reverse<(TimeUs, u64, Event)>>,
     events: u64,
-    hosts: Vec<Host>,
+    hosts: Vec<BackendVm>,
     by_vm: BTreeMap<VmId, usize>,
-    entries: Vec<EntryChoice>,
+    entries: Vec<BackendSelector>,
     programs: Programs,
     calls: BTreeMap<AttemptId, Call>,
     attempts: u128,
     rng: ChaCha12Rng,
     latencies: Latencies,
-    figures: Figures,
+    metrics: RunMetrics,
     measuring: bool,
     wasted_before: (u128, u128),
 }
@@ -102,39 +102,39 @@
 impl<'a> Run<'a> {
     /// A run over the plans, before its first event.
     #[must_use]
-    pub fn new(mix: &'a Mix, knobs: Knobs, seed: u64, plans: Vec<Plan>) -> Self {
+    pub fn new(mix: &'a Mix, run_settings: RunSettings, seed: u64, plans: Vec<Plan>) -> Self {
         let mut hosts = Vec::new();
         for n in 0..mix.engines {
-            hosts.push(Host::engine(
-                name(&format!("engine-{n:02}")),
+            hosts.push(BackendVm::engine(
+                parse_name(&format!("engine-{n:02}")),
                 &mix.engine_document,
-                &knobs,
+                &run_settings,
             ));
         }
         for n in 0..mix.plain_servers {
-            hosts.push(Host::plain(
-                name(&format!("plain-{n:02}")),
+            hosts.push(BackendVm::plain(
+                parse_name(&format!("plain-{n:02}")),
                 &mix.plain_document,
-                &knobs,
+                &run_settings,
             ));
         }
-        let service = |host: &Host| match host.backend {
-            Backend::Engine(_) => mix.engine_document.service.clone(),
-            Backend::Plain { .. } => mix.plain_document.service.clone(),
+        let service = |host: &BackendVm| match host.backend {
+            BackendServer::Engine(_) => mix.engine_document.service.clone(),
+            BackendServer::Plain { .. } => mix.plain_document.service.clone(),
         };
         let known: Vec<_> = hosts
             .iter()
-            .map(|host| (host.vm.clone(), service(host), name("zone")))
+            .map(|host| (host.vm.clone(), service(host), parse_name("zone")))
             .collect();
         let by_vm = known
             .iter()
             .enumerate()
             .map(|(at, (vm, ..))| (vm.clone(), at))
             .collect();
-        let figures = Figures {
-            policy: knobs.policy.clone(),
+        let metrics = RunMetrics {
+            policy: run_settings.policy.clone(),
             seed,
-            ..Figures::default()
+            ..RunMetrics::default()
         };
         let mut run = Self {
             mix,
@@ -143,18 +143,18 @@
             events: 0,
             by_vm,
             entries: (0..ENTRIES)
-                .map(|_| EntryChoice::new(&knobs, &known))
+                .map(|_| BackendSelector::new(&run_settings, &known))
                 .collect(),
             programs: Programs::new(plans),
             calls: BTreeMap::new(),
             attempts: 0,
             rng: ChaCha12Rng::seed_from_u64(seed ^ 0xfa_17),
             latencies: Latencies::default(),
-            figures,
+            metrics,
             measuring: false,
             wasted_before: (0, 0),
             hosts,
-            knobs,
+            run_settings,
         };
         run.start();
         run
@@ -166,12 +166,12 @@
             self.queue
                 .push(Reverse((program.arrives_us, self.events, Event::Issue(at))));
         }
-        let horizon = TimeUs(self.knobs.horizon_us.0);
-        self.at(TimeUs(self.knobs.heartbeat_us.0), Event::Heartbeat);
+        let horizon = TimeUs(self.run_settings.horizon_us.0);
+        self.at(TimeUs(self.run_settings.heartbeat_us.0), Event::Heartbeat);
         self.at(TimeUs(TICK.0), Event::Tick);
-        self.at(TimeUs(self.knobs.warmup_us.0), Event::WindowStart);
+        self.at(TimeUs(self.run_settings.warmup_us.0), Event::WindowStart);
         self.at(horizon, Event::WindowEnd);
-        if self.knobs.fault {
+        if self.run_settings.injects_fault {
             let fault_us = TimeUs(horizon.0 / 3);
             self.at(fault_us, Event::Fault);
             self.at(fault_us.after(SILENCE), Event::Noticed(false));
@@ -187,23 +187,23 @@
 
     /// Runs to the end.
     #[must_use]
-    pub fn finish(mut self) -> Figures {
-        let last_us = TimeUs(self.knobs.horizon_us.0).after(DRAIN);
+    pub fn finish(mut self) -> RunMetrics {
+        let last_us = TimeUs(self.run_settings.horizon_us.0).after(DRAIN);
         while let Some(Reverse((at_us, _, event))) = self.queue.pop() {
-            if at_us > last_us || self.programs.live == 0 {
+            if at_us > last_us || self.programs.live_count == 0 {
                 break;
             }
             self.now = at_us;
             self.handle(event);
         }
         self.fail_unfinished();
-        self.latencies.fill(self.mix, &mut self.figures);
-        self.figures
+        self.latencies.fill_metrics(self.mix, &mut self.metrics);
+        self.metrics
     }
 
     fn fail_unfinished(&mut self) {
         for at in 0..self.programs.list.len() {
-            if !self.programs.list[at].ended {
+            if !self.programs.list[at].has_ended {
                 self.fail_program(at);
             }
         }
@@ -220,7 +220,7 @@
             Event::Heartbeat => self.heartbeat(),
             Event::Tick => {
                 for host in &mut self.hosts {
-                    host.tick(self.now);
+                    host.release_expired(self.now);
                 }
                 self.at(self.now.after(TICK), Event::Tick);
             }
@@ -228,10 +228,10 @@
             Event::Noticed(up) => {
                 let vm = self.hosts[0].vm.clone();
                 for entry in &mut self.entries {
-                    entry.set_up(&vm, up);
+                    entry.set_available(&vm, up);
                 }
             }
-            Event::Repaired => self.hosts[0].down = false,
+            Event::Repaired => self.hosts[0].is_down = false,
             Event::WindowStart => {
                 self.measuring = true;
                 self.wasted_before = self.wasted();
@@ -239,11 +239,12 @@
             Event::WindowEnd => {
                 self.measuring = false;
                 let (before, after) = (self.wasted_before, self.wasted());
-                self.figures.wasted_gb_s = gb_s(after.0 - before.0);
-                self.figures.never_reused_gb_s = gb_s(after.1.saturating_sub(before.1));
-                let window_s = self.knobs.horizon_us.as_s_f64() - self.knobs.warmup_us.as_s_f64();
-                self.figures.completed_per_s /= window_s;
-                self.figures.plain_completed_per_s /= window_s;
+                self.metrics.wasted_gb_s = gb_s(after.0 - before.0);
+                self.metrics.never_reused_gb_s = gb_s(after.1.saturating_sub(before.1));
+                let window_s = self.run_settings.horizon_us.as_s_f64()
+                    - self.run_settings.warmup_us.as_s_f64();
+                self.metrics.completed_per_s /= window_s;
+                self.metrics.plain_completed_per_s /= window_s;
             }
         }
     }
@@ -251,8 +252,8 @@
     /// Idle cache so far that no reuse followed, and the part that was never reused at all.
     fn wasted(&self) -> (u128, u128) {
         let engines = self.hosts.iter().filter_map(|host| match &host.backend {
-            Backend::Engine(engine) => Some(engine.spend(self.now)),
-            Backend::Plain { .. } => None,
+            BackendServer::Engine(engine) => Some(engine.spend(self.now)),
+            BackendServer::Plain { .. } => None,
         });
         engines.fold((0, 0), |(all, never), spend| {
             (
@@ -270,10 +271,10 @@
     }
 
     fn issue(&mut self, at: usize) {
-        if self.programs.list[at].ended {
+        if self.programs.list[at].has_ended {
             return;
         }
-        self.programs.begin(self.now, at);
+        self.programs.begin_call(self.now, at);
         self.send(at, BTreeSet::new());
     }
 
@@ -283,8 +284,8 @@
         let service = self.service_of(program);
         // A sub-agent spends from the account of its root, so it has the root's owner.
         let entry = self.programs.root(at) % ENTRIES;
-        let prompt = program.shape();
-        let last = program.last.map(|host| self.hosts[host].vm.clone());
+        let prompt = program.to_prompt();
+        let last = program.last_vm.map(|host| self.hosts[host].vm.clone());
         let picked =
             self.entries[entry].pick(self.now, &service, prompt.as_ref(), last.as_ref(), &tried);
         let Some(choice) = picked else {
@@ -306,17 +307,17 @@
             .issued_us
             .after(rules.map_or(SpanUs(0), |r| r.deadline_us));
         let work = match &program.work {
-            Work::Plain { service_us } => HostWork::Plain(*service_us),
+            Work::Plain { service_us } => CallWork::Plain(*service_us),
             Work::Turns { .. } => {
-                let (prompt, answer) = program.present();
-                HostWork::Turn(EngineCall {
+                let (prompt, output) = program.current_call();
+                CallWork::Turn(EngineCall {
                     attempt,
                     prompt,
-                    answer,
+                    output,
                 })
             }
         };
-        let host_call = HostCall {
+        let host_call = SidecarCall {
             attempt,
             program: program.id.clone(),
             class: program.class.clone(),
@@ -348,7 +349,7 @@
         let (host, turn) = (call.host, call.turn.take());
         call.started = true;
         let Some(turn) = turn else { return };
-        if self.hosts[host].down || !self.hosts[host].take(self.now, turn) {
+        if self.hosts[host].is_down || !self.hosts[host].receive_call(self.now, turn) {
             self.refused(attempt);
             return;
         }
@@ -359,27 +360,27 @@
     }
 
     fn wake(&mut self, host: usize) {
-        if let Some(next_us) = self.hosts[host].next_us() {
-            self.at(next_us, Event::Backend(host));
+        if let Some(next_event_us) = self.hosts[host].next_event_us() {
+            self.at(next_event_us, Event::Backend(host));
         }
     }
 
     fn backend(&mut self, host: usize) {
-        if self.hosts[host].next_us() != Some(self.now) {
+        if self.hosts[host].next_event_us() != Some(self.now) {
             return;
         }
         let progress = self.hosts[host].advance(self.now);
         for attempt in progress.prefilled {
-            self.hosts[host].prefilled(self.now, attempt);
+            self.hosts[host].on_prefilled(self.now, attempt);
         }
-        for done in progress.done {
-            self.hosts[host].done(self.now, done.attempt);
+        for done in progress.completed {
+            self.hosts[host].on_completed(self.now, done.attempt);
             self.done(&done);
         }
         self.wake(host);
     }
 
-    fn done(&mut self, done: &EngineDone) {
+    fn done(&mut self, done: &CompletedCall) {
         let Some(call) = self.calls.remove(&done.attempt) else {
             return;
         };
@@ -387,42 +388,42 @@
         self.entries[call.entry].on_ended(vm, call.work_tokens, false);
         if self.measuring {
             match self.programs.list[call.program].work {
-                Work::Turns { .. } => self.figures.completed_per_s += 1.0,
-                Work::Plain { .. } => self.figures.plain_completed_per_s += 1.0,
+                Work::Turns { .. } => self.metrics.completed_per_s += 1.0,
+                Work::Plain { .. } => self.metrics.plain_completed_per_s += 1.0,
             }
-            self.figures.reused_tokens += float(done.cached_tokens.0);
+            self.metrics.reused_tokens += to_f64(done.cached_tokens.0);
         }
-        if let Some(prompt) = self.programs.list[call.program].shape() {
+        if let Some(prompt) = self.programs.list[call.program].to_prompt() {
             let vm = &self.hosts[call.host].vm;
             self.entries[call.entry].on_prompt_cached(vm, &prompt);
         }
-        let prompt_tokens = self
-            .programs
-            .take_answer(call.program, call.host, done.cached_tokens);
+        let prompt_tokens =
+            self.programs
+                .record_response(call.program, call.host, done.cached_tokens);
         if self.measuring {
-            self.figures.prompt_tokens += float(prompt_tokens.0);
+            self.metrics.prompt_tokens += to_f64(prompt_tokens.0);
         }
         self.at(self.now.after(ONE_WAY), Event::Answer(call.program));
     }
 
     /// The program has its answer and goes on.
     fn answered(&mut self, at: usize) {
-        match self.programs.after(self.now, at) {
-            After::Tool { pause_us, .. } => self.at(self.now.after(pause_us), Event::Issue(at)),
-            After::Person { pause_us } => {
-                self.programs.list[at].person_us += pause_us;
+        match self.programs.advance_turn(self.now, at) {
+            AfterTurn::Tool { pause_us, .. } => self.at(self.now.after(pause_us), Event::Issue(at)),
+            AfterTurn::WaitForUser { pause_us } => {
+                self.programs.list[at].think_time_us += pause_us;
                 self.at(self.now.after(pause_us), Event::Issue(at));
             }
-            After::Fork(agents) => {
-                for child in self.programs.fork(self.now, at, agents) {
+            AfterTurn::Fork(agents) => {
+                for child in self.programs.start_sub_agents(self.now, at, agents) {
                     self.at(self.now, Event::Issue(child));
                 }
             }
-            After::End => {
+            AfterTurn::End => {
                 self.release(at, true);
                 self.end(at);
             }
-            After::Abandoned => {
+            AfterTurn::Abandoned => {
                 // Nobody says that the program has ended: its owner learns it by the idle limit.
                 let idle_us = self.mix.engine_document.program.idle_us;
                 self.at(self.now.after(idle_us), Event::Idle(at));
@@ -434,23 +435,23 @@
     fn end(&mut self, at: usize) {
         let program = self.programs.end(at);
         if let Some(parent) = program.parent {
-            if self.programs.child_ended(parent) {
+            if self.programs.on_child_ended(parent) {
                 self.at(self.now, Event::Issue(parent));
             }
             return;
         }
         let whole = self.now.since(program.arrives_us);
-        let latency_us = SpanUs(whole.0 - program.person_us.0);
-        if program.arrives_us.0 >= self.knobs.warmup_us.0 {
-            self.latencies.add(&program.class, latency_us);
+        let latency_us = SpanUs(whole.0 - program.think_time_us.0);
+        if program.arrives_us.0 >= self.run_settings.warmup_us.0 {
+            self.latencies.record(&program.class, latency_us);
         }
     }
 
     /// Frees what a program left in the engines.
     fn release(&mut self, at: usize, known: bool) {
         let program = &self.programs.list[at];
-        for host in &program.holders {
-            self.hosts[*host].program_ended(self.now, &program.id, known);
+        for host in &program.vms_with_prefix {
+            self.hosts[*host].on_program_ended(self.now, &program.id, known);
         }
     }
 
@@ -458,12 +459,12 @@
         self.release(at, true);
         let program = self.programs.end(at);
         if let Some(parent) = program.parent {
-            if !self.programs.list[parent].ended {
+            if !self.programs.list[parent].has_ended {
                 self.fail_program(parent);
             }
-        } else if program.arrives_us.0 >= self.knobs.warmup_us.0 {
-            let longest_us = self.knobs.horizon_us + DRAIN;
-            self.latencies.add_failed(&program.class, longest_us);
+        } else if program.arrives_us.0 >= self.run_settings.warmup_us.0 {
+            let longest_us = self.run_settings.horizon_us + DRAIN;
+            self.latencies.record_failed(&program.class, longest_us);
         }
     }
 
@@ -474,7 +475,7 @@
         };
         let vm = &self.hosts[call.host].vm;
         self.entries[call.entry].on_ended(vm, call.work_tokens, true);
-        self.figures.retries += 1;
+        self.metrics.retries += 1;
         let tried = self.programs.list[call.program].tried.clone();
         if tried.len() < MAX_TRIED {
             self.send(call.program, tried);
@@ -484,10 +485,10 @@
     }
 
     fn come_back(&mut self, at: usize) {
-        self.figures.refused += 1;
+        self.metrics.refused += 1;
         let program = &mut self.programs.list[at];
-        program.sends += 1;
-        if program.sends > MAX_SENDS {
+        program.return_count += 1;
+        if program.return_count > MAX_SENDS {
             self.fail_program(at);
         } else {
             self.at(self.now.after(COME_BACK), Event::Issue(at));
@@ -509,26 +510,29 @@
 
     fn heartbeat(&mut self) {
         for host in &mut self.hosts {
-            if host.down {
+            if host.is_down {
                 continue;
             }
-            let load = host.load();
+            let load = host.load_report();
             for entry in &mut self.entries {
                 entry.on_load(self.now, &host.vm, load);
             }
-            let Backend::Engine(engine) = &mut host.backend else {
+            let BackendServer::Engine(engine) = &mut host.backend else {
                 continue;
             };
             let events = engine.take_events();
             let first = host.next_cache_event;
             host.next_cache_event += events.len() as u64;
             for entry in &mut self.entries {
-                if unit(&mut self.rng) >= self.knobs.gaps {
+                if uniform(&mut self.rng) >= self.run_settings.event_loss_probability {
                     entry.on_cache(&host.vm, first, &events);
                 }
             }
         }
-        self.at(self.now.after(self.knobs.heartbeat_us), Event::Heartbeat);
+        self.at(
+            self.now.after(self.run_settings.heartbeat_us),
+            Event::Heartbeat,
+        );
     }
 
     /// The first engine fails with all that it holds.
--- a/standins/src/policy_knobs.rs
+++ b/standins/src/policy_run_settings.rs
@@ -20,26 +20,26 @@
 
 /// When cached prefixes are released.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Retaining {
+pub enum RetentionPolicy {
     /// Never; the engine drops what was used longest ago when it is full.
     Off,
     /// When their program is known to have ended.
-    Ended,
+    OnProgramEnd,
     /// By [`clementinepick::prefix_retention`], and when their program ends.
-    Worth,
+    ByExpectedReuse,
 }
 
 /// What can be changed by `--set key=value`.
 #[derive(Debug, Clone)]
-pub struct Knobs {
+pub struct RunSettings {
     /// The policy's name.
     pub policy: String,
     /// `routing`: how a backend server is chosen.
     pub routing: Routing,
     /// `gate`: whether calls wait in the order of the gate before a backend server.
-    pub gate: bool,
+    pub has_admission_queue: bool,
     /// `retain`: when cached prefixes are released.
-    pub retain: Retaining,
+    pub retention_policy: RetentionPolicy,
     /// How prefixes are kept: `price`.
     pub retention: PrefixRetentionSettings,
     /// How the router weighs: `per_running`, `prefill_weight`.
@@ -49,9 +49,9 @@
     /// `heartbeat`: the time between two load reports.
     pub heartbeat_us: SpanUs,
     /// `gaps`: the chance that a batch of cache events is lost.
-    pub gaps: f64,
+    pub event_loss_probability: f64,
     /// `fault`: whether an engine fails during the run.
-    pub fault: bool,
+    pub injects_fault: bool,
     /// `horizon`: how long programs arrive.
     pub horizon_us: SpanUs,
     /// `warmup`: what arrives before is not measured.
@@ -61,43 +61,45 @@
 /// A policy or setting that does not exist.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{0}")]
-pub struct BadKnob(String);
+pub struct RunSettingError(String);
 
 /// The policies.
 pub const POLICIES: &[&str] = &["fifo", "least-loaded", "clementinepick"];
 
-impl Knobs {
+impl RunSettings {
     /// The settings of a named policy.
     ///
     /// # Errors
     ///
     /// When there is no such policy.
-    pub fn of_policy(policy: &str) -> Result<Self, BadKnob> {
+    pub fn of_policy(policy: &str) -> Result<Self, RunSettingError> {
         let routing = match policy {
             "fifo" => Routing::RoundRobin,
             "least-loaded" => Routing::LeastLoaded,
             "clementinepick" => Routing::Router,
             _ => {
                 let known = POLICIES.join(", ");
-                return Err(BadKnob(format!("no policy `{policy}`; there are {known}")));
+                return Err(RunSettingError(format!(
+                    "no policy `{policy}`; there are {known}"
+                )));
             }
         };
         let ours = routing == Routing::Router;
         Ok(Self {
             policy: policy.to_owned(),
             routing,
-            gate: ours,
-            retain: if ours {
-                Retaining::Worth
+            has_admission_queue: ours,
+            retention_policy: if ours {
+                RetentionPolicy::ByExpectedReuse
             } else {
-                Retaining::Off
+                RetentionPolicy::Off
             },
             retention: PrefixRetentionSettings::default(),
             route: RouteSettings::default(),
             max_prefill: None,
             heartbeat_us: SpanUs::from_ms(500),
-            gaps: 0.01,
-            fault: false,
+            event_loss_probability: 0.01,
+            injects_fault: false,
             horizon_us: SpanUs::from_s(1_800),
             warmup_us: SpanUs::from_s(300),
         })
@@ -108,8 +110,8 @@
     /// # Errors
     ///
     /// When the key is unknown or the value can't be read.
-    pub fn set(&mut self, change: &str) -> Result<(), BadKnob> {
-        let bad = || BadKnob(format!("`{change}` is no setting of the policy tool"));
+    pub fn set(&mut self, change: &str) -> Result<(), RunSettingError> {
+        let bad = || RunSettingError(format!("`{change}` is no setting of the policy tool"));
         let (key, value) = change.split_once('=').ok_or_else(bad)?;
         match key {
             "routing" => {
@@ -120,12 +122,12 @@
                     _ => return Err(bad()),
                 }
             }
-            "gate" => self.gate = read(value).ok_or_else(bad)?,
+            "gate" => self.has_admission_queue = read(value).ok_or_else(bad)?,
             "retain" => {
-                self.retain = match value {
-                    "off" => Retaining::Off,
-                    "ended" => Retaining::Ended,
-                    "worth" => Retaining::Worth,
+                self.retention_policy = match value {
+                    "off" => RetentionPolicy::Off,
+                    "ended" => RetentionPolicy::OnProgramEnd,
+                    "worth" => RetentionPolicy::ByExpectedReuse,
                     _ => return Err(bad()),
                 }
             }
@@ -136,8 +138,8 @@
             "prefill_weight" => self.route.prefill_weight = read(value).ok_or_else(bad)?,
             "max_prefill" => self.max_prefill = Some(read(value).ok_or_else(bad)?),
             "heartbeat" => self.heartbeat_us = read(value).ok_or_else(bad)?,
-            "gaps" => self.gaps = read(value).ok_or_else(bad)?,
-            "fault" => self.fault = read(value).ok_or_else(bad)?,
+            "gaps" => self.event_loss_probability = read(value).ok_or_else(bad)?,
+            "fault" => self.injects_fault = read(value).ok_or_else(bad)?,
             "horizon" => self.horizon_us = read(value).ok_or_else(bad)?,
             "warmup" => self.warmup_us = read(value).ok_or_else(bad)?,
             _ => return Err(bad()),
--- a/standins/src/policy_draw.rs
+++ b/standins/src/policy_sampling.rs
@@ -6,7 +6,7 @@
 
 /// A draw from 0 up to 1.
 #[expect(clippy::cast_precision_loss, reason = "53 bits fit")]
-pub fn unit(rng: &mut ChaCha12Rng) -> f64 {
+pub fn uniform(rng: &mut ChaCha12Rng) -> f64 {
     (rng.next_u64() >> 11) as f64 / (1_u64 << 53) as f64
 }
 
@@ -17,7 +17,7 @@
     reason = "the draw is positive and far below 2^63"
 )]
 pub fn exponential_us(rng: &mut ChaCha12Rng, per_s: f64) -> SpanUs {
-    let gap_s = -(1.0 - unit(rng)).ln() / per_s;
+    let gap_s = -(1.0 - uniform(rng)).ln() / per_s;
     SpanUs((gap_s * 1e6) as u64)
 }
 
@@ -29,15 +29,15 @@
     /// The spread of the logarithm.
     pub sigma: f64,
     /// No draw is above it.
-    pub most: f64,
+    pub upper_bound: f64,
 }
 
 impl LogNormal {
     /// One draw.
     pub fn draw(&self, rng: &mut ChaCha12Rng) -> f64 {
-        let (first, second) = (1.0 - unit(rng), unit(rng));
+        let (first, second) = (1.0 - uniform(rng), uniform(rng));
         let normal = (-2.0 * first.ln()).sqrt() * (std::f64::consts::TAU * second).cos();
-        (self.median * (self.sigma * normal).exp()).min(self.most)
+        (self.median * (self.sigma * normal).exp()).min(self.upper_bound)
     }
 
     /// One draw as a count of at least one.
@@ -61,17 +61,17 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Pareto {
     /// No draw is below it.
-    pub least: f64,
+    pub lower_bound: f64,
     /// The tail's exponent: smaller is heavier.
     pub alpha: f64,
     /// No draw is above it.
-    pub most: f64,
+    pub upper_bound: f64,
 }
 
 impl Pareto {
     /// One draw.
     pub fn draw(&self, rng: &mut ChaCha12Rng) -> f64 {
-        let drawn = self.least / (1.0 - unit(rng)).powf(1.0 / self.alpha);
-        drawn.min(self.most)
+        let drawn = self.lower_bound / (1.0 - uniform(rng)).powf(1.0 / self.alpha);
+        drawn.min(self.upper_bound)
     }
 }
--- a/standins/src/policy_table.rs
+++ b/standins/src/policy_table.rs
@@ -2,68 +2,68 @@
 
 use std::fmt::Write;
 
-use crate::policy_result::{Figures, GOALS, float, median};
+use crate::policy_result::{GOALS, RunMetrics, median, to_f64};
 
 /// A figure without a goal.
 struct Other {
     name: &'static str,
-    read: fn(&Figures) -> f64,
+    get: fn(&RunMetrics) -> f64,
 }
 
 const OTHERS: &[Other] = &[
     Other {
         name: "never reused GB s",
-        read: |f| f.never_reused_gb_s,
+        get: |f| f.never_reused_gb_s,
     },
     Other {
         name: "prompt tokens",
-        read: |f| f.prompt_tokens,
+        get: |f| f.prompt_tokens,
     },
     Other {
         name: "plain mean",
-        read: |f| f.plain_mean_s,
+        get: |f| f.plain_mean_s,
     },
     Other {
         name: "plain last p99",
-        read: |f| f.plain_last_p99_s,
+        get: |f| f.plain_last_p99_s,
     },
     Other {
         name: "programs",
-        read: |f| float(f.programs),
+        get: |f| to_f64(f.programs),
     },
     Other {
         name: "failed programs",
-        read: |f| float(f.failed),
+        get: |f| to_f64(f.failed),
     },
     Other {
         name: "refused calls",
-        read: |f| float(f.refused),
+        get: |f| to_f64(f.refused),
     },
     Other {
         name: "retried calls",
-        read: |f| float(f.retries),
+        get: |f| to_f64(f.retries),
     },
     Other {
         name: "moved prefixes",
-        read: |f| float(f.moved),
+        get: |f| to_f64(f.moved),
     },
 ];
 
 /// The median of one figure over the seeds of a policy.
 #[must_use]
-pub fn median_of(results: &[Figures], policy: &str, read: fn(&Figures) -> f64) -> f64 {
+pub fn median_of(results: &[RunMetrics], policy: &str, get: fn(&RunMetrics) -> f64) -> f64 {
     median(
         results
             .iter()
             .filter(|f| f.policy == policy)
-            .map(read)
+            .map(get)
             .collect(),
     )
 }
 
 /// The policies of the results, in their order.
 #[must_use]
-pub fn policies_of(results: &[Figures]) -> Vec<&str> {
+pub fn policies_of(results: &[RunMetrics]) -> Vec<&str> {
     let mut policies: Vec<&str> = results.iter().map(|f| f.policy.as_str()).collect();
     policies.dedup();
     policies
@@ -71,7 +71,7 @@
 
 /// The table: a `+` stands where the ratio reaches its goal.
 #[must_use]
-pub fn table(results: &[Figures]) -> String {
+pub fn format_table(results: &[RunMetrics]) -> String {
     let policies = policies_of(results);
     let mut text = format!("{:<20}", "median over seeds");
     for policy in &policies {
@@ -79,9 +79,9 @@
     }
     for goal in GOALS {
         put(&mut text, &format!("\n{:<20}", goal.name));
-        let fifo = median_of(results, "fifo", goal.read);
+        let fifo = median_of(results, "fifo", goal.get);
         for policy in &policies {
-            let value = median_of(results, policy, goal.read);
+            let value = median_of(results, policy, goal.get);
             let ratio = if fifo > 0.0 { value / fifo } else { f64::NAN };
             let met = if goal.is_met(ratio) { '+' } else { '-' };
             put(&mut text, &format!("{value:>14.3} ({ratio:>6.3}{met})"));
@@ -90,7 +90,7 @@
     for other in OTHERS {
         put(&mut text, &format!("\n{:<20}", other.name));
         for policy in &policies {
-            let value = median_of(results, policy, other.read);
+            let value = median_of(results, policy, other.get);
             put(&mut text, &format!("{value:>14.3}          "));
         }
     }
--- a/standins/src/policy_mix.rs
+++ b/standins/src/policy_workload.rs
@@ -9,11 +9,11 @@
 use rand_chacha::ChaCha12Rng;
 use rand_chacha::rand_core::SeedableRng;
 
-use crate::policy_draw::{LogNormal, Pareto, exponential_us, unit};
+use crate::policy_sampling::{LogNormal, Pareto, exponential_us, uniform};
 
 /// One tool that programs of a class call between turns.
 #[derive(Debug, Clone)]
-pub struct ToolShape {
+pub struct ToolProfile {
     /// The tool.
     pub name: &'static str,
     /// How often it is chosen, against the other tools of its class.
@@ -21,14 +21,14 @@
     /// The pause, in seconds.
     pub pause_s: LogNormal,
     /// The share of calls that hang until the program gives the tool up.
-    pub hung: f64,
+    pub hang_probability: f64,
     /// When the program gives the tool up.
     pub timeout_s: f64,
 }
 
 /// How programs of one class behave.
 #[derive(Debug, Clone)]
-pub struct ClassShape {
+pub struct ClassProfile {
     /// The class.
     pub name: &'static str,
     /// The share of the programs.
@@ -44,20 +44,20 @@
     /// Tokens that a turn generates.
     pub output_tokens: LogNormal,
     /// The tools.
-    pub tools: Vec<ToolShape>,
+    pub tools: Vec<ToolProfile>,
     /// The pause of the person between messages, in seconds; it is no latency of the program.
-    pub person_s: LogNormal,
+    pub think_time_s: LogNormal,
     /// The chance that the person does not come back after a message, and nobody ends the program.
-    pub abandoned: f64,
+    pub abandon_probability: f64,
     /// The chance that a program hands work to sub-agents, once.
-    pub forks: f64,
+    pub fork_probability: f64,
     /// The chance that a program repeats itself until its limit of turns.
-    pub loops: f64,
+    pub loop_probability: f64,
 }
 
 /// A stream of calls of the plain service, each a program of its own.
 #[derive(Debug, Clone)]
-pub struct PlainShape {
+pub struct PlainProfile {
     /// The class.
     pub name: &'static str,
     /// The share of the plain service's work that it makes.
@@ -86,14 +86,14 @@
     /// The urgent class of the plain service.
     pub urgent_class: &'static str,
     /// The classes of the engines' service.
-    pub classes: Vec<ClassShape>,
+    pub classes: Vec<ClassProfile>,
     /// The streams of the plain service.
-    pub plain: Vec<PlainShape>,
+    pub plain: Vec<PlainProfile>,
 }
 
 /// What a program does after a turn.
 #[derive(Debug, Clone, PartialEq)]
-pub enum After {
+pub enum AfterTurn {
     /// It calls a tool and goes on.
     Tool {
         /// The tool.
@@ -102,7 +102,7 @@
         pause_us: SpanUs,
     },
     /// It waits for its person, which is no latency of the program.
-    Person {
+    WaitForUser {
         /// How long the person takes.
         pause_us: SpanUs,
     },
@@ -122,7 +122,7 @@
     /// Tokens that the engine generates.
     pub output_tokens: Tokens,
     /// What follows.
-    pub after: After,
+    pub after: AfterTurn,
 }
 
 /// What a program does.
@@ -167,11 +167,11 @@
 /// Draws programs of one class of the engines' service.
 struct Drawer<'a> {
     rng: &'a mut ChaCha12Rng,
-    shape: &'a ClassShape,
+    shape: &'a ClassProfile,
 }
 
 impl Drawer<'_> {
-    fn turn(&mut self, after: After) -> Turn {
+    fn turn(&mut self, after: AfterTurn) -> Turn {
         Turn {
             input_tokens: Tokens(self.shape.input_tokens.draw_count(self.rng)),
             output_tokens: Tokens(self.shape.output_tokens.draw_count(self.rng)),
@@ -179,9 +179,9 @@
         }
     }
 
-    fn tool(&mut self) -> After {
+    fn tool(&mut self) -> AfterTurn {
         let whole: f64 = self.shape.tools.iter().map(|tool| tool.weight).sum();
-        let mut at = unit(self.rng) * whole;
+        let mut at = uniform(self.rng) * whole;
         let mut chosen = &self.shape.tools[0];
         for tool in &self.shape.tools {
             chosen = tool;
@@ -190,26 +190,26 @@
                 break;
             }
         }
-        let hangs = unit(self.rng) < chosen.hung;
+        let hangs = uniform(self.rng) < chosen.hang_probability;
         let pause_s = chosen.pause_s.draw(self.rng).min(chosen.timeout_s);
-        After::Tool {
-            tool: name(chosen.name),
+        AfterTurn::Tool {
+            tool: parse_name(chosen.name),
             pause_us: span(if hangs { chosen.timeout_s } else { pause_s }),
         }
     }
 
     fn between(&mut self, (least, most): (f64, f64)) -> usize {
-        count((least + unit(self.rng) * (most - least)).round())
+        count((least + uniform(self.rng) * (most - least)).round())
     }
 
-    fn sub_agents(&mut self) -> After {
+    fn sub_agents(&mut self) -> AfterTurn {
         let agents = self.between(SUB_AGENTS);
         let one = |drawer: &mut Self| {
             let turns = drawer.between(SUB_AGENT_TURNS);
             let mut list: Vec<Turn> = Vec::new();
             for at in 0..turns {
                 let after = if at + 1 == turns {
-                    After::End
+                    AfterTurn::End
                 } else {
                     drawer.tool()
                 };
@@ -217,12 +217,12 @@
             }
             list
         };
-        After::Fork((0..agents).map(|_| one(self)).collect())
+        AfterTurn::Fork((0..agents).map(|_| one(self)).collect())
     }
 
     fn turns(&mut self) -> Vec<Turn> {
-        let loops = unit(self.rng) < self.shape.loops;
-        let forks = unit(self.rng) < self.shape.forks;
+        let loops = uniform(self.rng) < self.shape.loop_probability;
+        let forks = uniform(self.rng) < self.shape.fork_probability;
         let messages = if loops {
             1
         } else {
@@ -240,11 +240,13 @@
                 let after = match (last, message + 1 == messages) {
                     (false, _) if forks && message == 0 && at == run / 2 => self.sub_agents(),
                     (false, _) => self.tool(),
-                    (true, false) => After::Person {
-                        pause_us: span(self.shape.person_s.draw(self.rng)),
+                    (true, false) => AfterTurn::WaitForUser {
+                        pause_us: span(self.shape.think_time_s.draw(self.rng)),
                     },
-                    (true, true) if unit(self.rng) < self.shape.abandoned => After::Abandoned,
-                    (true, true) => After::End,
+                    (true, true) if uniform(self.rng) < self.shape.abandon_probability => {
+                        AfterTurn::Abandoned
+                    }
+                    (true, true) => AfterTurn::End,
                 };
                 turns.push(self.turn(after));
             }
@@ -254,9 +256,9 @@
         }
         turns.truncate(MAX_TURNS);
         if let Some(last) = turns.last_mut()
-            && last.after != After::Abandoned
+            && last.after != AfterTurn::Abandoned
         {
-            last.after = After::End;
+            last.after = AfterTurn::End;
         }
         turns
     }
@@ -275,15 +277,15 @@
         }
         // Each program has its own generator: a change of one class leaves the others as they are.
         let mut own = ChaCha12Rng::seed_from_u64(seed ^ (plans.len() as u64 + 1) << 20);
-        let shape = choose(&mix.classes, unit(&mut own));
+        let shape = choose(&mix.classes, uniform(&mut own));
         let turns = Drawer {
             rng: &mut own,
             shape,
         }
         .turns();
         plans.push(Plan {
-            program: name(&format!("{}-{}", shape.name, plans.len())),
-            class: name(shape.name),
+            program: parse_name(&format!("{}-{}", shape.name, plans.len())),
+            class: parse_name(shape.name),
             arrives_us: at_us,
             work: Work::Turns {
                 system_tokens: Tokens(shape.system_tokens),
@@ -306,8 +308,8 @@
         while at_us <= until_us {
             number += 1;
             plans.push(Plan {
-                program: name(&format!("{}-{number}", shape.name)),
-                class: name(shape.name),
+                program: parse_name(&format!("{}-{number}", shape.name)),
+                class: parse_name(shape.name),
                 arrives_us: at_us,
                 work: Work::Plain {
                     service_us: span(shape.service_s.draw(&mut rng)),
@@ -319,7 +321,7 @@
     plans
 }
 
-fn choose(classes: &[ClassShape], mut at: f64) -> &ClassShape {
+fn choose(classes: &[ClassProfile], mut at: f64) -> &ClassProfile {
     for class in classes {
         at -= class.share;
         if at <= 0.0 {
@@ -330,7 +332,7 @@
 }
 
 /// A name that is known to be well formed.
-pub(crate) fn name<T: std::str::FromStr>(text: &str) -> T {
+pub(crate) fn parse_name<T: std::str::FromStr>(text: &str) -> T {
     let Ok(name) = text.parse() else {
         unreachable!("the tool's own names are well formed: {text}")
     };
--- a/standins/tests/load.rs
+++ b/standins/tests/load.rs
@@ -36,7 +36,7 @@
     assert_eq!(result.report.faults, Vec::<String>::new());
     assert!(result.report.programs >= 5, "{}", result.report.programs);
     assert_eq!(result.report.finished, result.report.programs);
-    assert_eq!(result.not_once, []);
+    assert_eq!(result.wrong_execution_counts, []);
     deployment.stop().expect("a clean end");
 }
 
--- a/standins/tests/policy.rs
+++ b/standins/tests/policy.rs
@@ -3,16 +3,16 @@
 //! The runs are deterministic, so a bound is broken by a change of the decisions and by nothing
 //! else. The figures of long runs stand in `docs/POLICY.md`.
 
-use standins::policy::{PolicySettings, mix_of, run};
-use standins::policy_result::{Figures, median};
+use standins::policy::{PolicySettings, find_mix, run};
+use standins::policy_result::{RunMetrics, median};
 
 /// Reads one figure.
-type Read = fn(&Figures) -> f64;
+type Read = fn(&RunMetrics) -> f64;
 
 const BOTH: &[&str] = &["fifo", "clementinepick"];
 
 /// Short runs of the baseline and of the decisions.
-fn short_runs(mix: &str, policies: &[&str], more: &[&str]) -> Vec<Figures> {
+fn short_runs(mix: &str, policies: &[&str], more: &[&str]) -> Vec<RunMetrics> {
     let one = |policy: &&str| {
         let changes = ["horizon=400 s", "warmup=100 s"].iter().chain(more);
         let settings = PolicySettings {
@@ -30,7 +30,7 @@
     policies.iter().flat_map(one).collect()
 }
 
-fn ratio(figures: &[Figures], read: Read) -> f64 {
+fn ratio(figures: &[RunMetrics], read: Read) -> f64 {
     let of = |policy| {
         median(
             figures
@@ -43,7 +43,7 @@
     of("clementinepick") / of("fifo")
 }
 
-fn check(figures: &[Figures], bounds: &[(&str, Read, f64)]) {
+fn check(figures: &[RunMetrics], bounds: &[(&str, Read, f64)]) {
     let measured = bounds
         .iter()
         .map(|(name, read, most)| (name, ratio(figures, *read), most));
@@ -103,5 +103,5 @@
 fn the_same_seed_gives_the_same_figures() {
     let runs = || short_runs("limitworks", &["clementinepick"], &["horizon=90 s"]);
     assert_eq!(runs(), runs());
-    assert!(mix_of("no-such-mix").is_err());
+    assert!(find_mix("no-such-mix").is_err());
 }
