--- a/clementinepickd/src/control.rs
+++ b/clementinepickd/src/control.rs
@@ -133,7 +133,7 @@
     }
 
     /// Runs until the shutdown has finished or was forced.
-    pub(crate) async fn run(mut self, mut inputs: Inputs) -> ShutdownKind {
+    pub(crate) async fn run(mut self, mut channels: Inputs) -> ShutdownKind {
         self.on_event(&Event::new(EventKind::ProcessStarted));
         let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -145,12 +145,12 @@
             tokio::select! {
                 biased;
                 _ = ticks.tick() => is_tick_due = true,
-                count = inputs.inputs.recv_many(&mut batch, MAX_INPUT_BATCH) => {
+                count = channels.inputs.recv_many(&mut batch, MAX_INPUT_BATCH) => {
                     if count == 0 {
                         break;
                     }
                 }
-                Some(request) = inputs.gone.recv() => self.on_gone(request),
+                Some(request) = channels.gone.recv() => self.on_gone(request),
             }
             for input in batch.drain(..) {
                 self.on_input(input);
--- a/clementinepickd/src/daemon.rs
+++ b/clementinepickd/src/daemon.rs
@@ -103,23 +103,23 @@
 
         let shared = Shared::new(&settings, sender.clone(), &outputs, telemetry.handle());
         let (http, server) = start_http(http_listener, settings.http_workers, shared, &shutdown)?;
-        let (own, link_settings) = (sender.clone(), settings.links.clone());
+        let (control_sender, link_settings) = (sender.clone(), settings.links.clone());
         let links = spawn("links", &shutdown, move || {
             System::new().block_on(link_manager::run(
                 link_settings,
                 peer,
                 link_listener,
-                own,
+                control_sender,
                 link_targets,
             ));
         })?;
-        let (own, role, limits) = (
+        let (control_sender, role, limits) = (
             sender.clone(),
             settings.role.clone(),
             settings.limits.clone(),
         );
         let clients = spawn("clients", &shutdown, move || {
-            System::new().block_on(clients::run(role, limits, own, client_commands));
+            System::new().block_on(clients::run(role, limits, control_sender, client_commands));
         })?;
         let threads = Threads {
             http,
@@ -189,22 +189,22 @@
 }
 
 fn run_control(control: Control, inputs: Inputs, threads: Threads) -> ShutdownKind {
-    let ended = System::new().block_on(async {
-        let ended = control.run(inputs).await;
-        http::stop(&threads.server, ended).await;
-        ended
+    let kind = System::new().block_on(async {
+        let kind = control.run(inputs).await;
+        http::stop(&threads.server, kind).await;
+        kind
     });
     unwrap_join(threads.http.join());
     unwrap_join(threads.links.join());
     unwrap_join(threads.clients.join());
-    ended
+    kind
 }
 
 fn unwrap_join<T>(result: thread::Result<T>) -> T {
     result.unwrap_or_else(|panic| resume_unwind(panic))
 }
 
-/// Forces a shutdown when it is dropped, which happens when its thread returns or panics.
+/// Forces a shutdown when the thread that holds it returns or panics.
 ///
 /// Without it, a panicked thread would leave a process that still answers `/healthz` but serves
 /// nothing.
--- a/clementinepickd/src/link.rs
+++ b/clementinepickd/src/link.rs
@@ -43,7 +43,7 @@
     expected: &VmId,
     address: &str,
 ) -> Result<AuthenticatedLink, HandshakeError> {
-    let connecting = async {
+    let handshake = async {
         let stream = TcpStream::connect(address)
             .await
             .map_err(connection_error)?;
@@ -74,7 +74,7 @@
             socket,
         })
     };
-    with_handshake_timeout(settings, connecting).await
+    with_handshake_timeout(settings, handshake).await
 }
 
 /// Runs the handshake as the accepting end.
@@ -141,9 +141,14 @@
 ///
 /// Discarding the read buffer of the old socket loses nothing: the peer sends nothing between its
 /// proof and the welcome.
-async fn raise_frame_limit(settings: &LinkSettings, socket: Socket) -> Socket {
+async fn raise_frame_limit(settings: &LinkSettings, handshake_socket: Socket) -> Socket {
     let message_config = socket_config(max_frame_len(settings));
-    WebSocketStream::from_raw_socket(socket.into_inner(), Role::Server, Some(message_config)).await
+    WebSocketStream::from_raw_socket(
+        handshake_socket.into_inner(),
+        Role::Server,
+        Some(message_config),
+    )
+    .await
 }
 
 fn max_frame_len(settings: &LinkSettings) -> usize {
--- a/clementinepickd/src/link_manager.rs
+++ b/clementinepickd/src/link_manager.rs
@@ -64,7 +64,7 @@
     let mut accepted: Vec<JoinHandle<()>> = Vec::new();
     loop {
         tokio::select! {
-            targets = target_updates.recv() => match targets {
+            update = target_updates.recv() => match update {
                 Some(DialOrder(targets)) => update_diallers(&shared, &mut diallers, targets),
                 None => break,
             },
--- a/clementinepickd/tests/links.rs
+++ b/clementinepickd/tests/links.rs
@@ -41,7 +41,7 @@
 }
 
 impl LinkClient {
-    async fn connect(address: SocketAddr) -> Self {
+    async fn open(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address)
             .await
             .expect("the daemon accepts connections");
@@ -110,7 +110,7 @@
 }
 
 async fn connect_link(daemon: &Daemon, vm: &str, incarnation: u64) -> LinkClient {
-    let mut client = LinkClient::connect(daemon.link_address()).await;
+    let mut client = LinkClient::open(daemon.link_address()).await;
     let own = entry(vm, incarnation);
     let (welcome, _) = client.authenticate(&keys(KEY, None), [7; 32], &own).await;
     assert!(welcome);
@@ -149,7 +149,7 @@
 #[test]
 fn a_wrong_key_is_refused_with_an_event() {
     run(sidecar_settings(), async |daemon| {
-        let mut client = LinkClient::connect(daemon.link_address()).await;
+        let mut client = LinkClient::open(daemon.link_address()).await;
         let wrong = keys(OTHER_KEY, None);
         let (welcome, _) = client
             .authenticate(&wrong, [7; 32], &entry("entry-a", 1))
@@ -172,7 +172,7 @@
     };
     run(settings, async |daemon| {
         for (vm, key) in [("entry-a", KEY), ("entry-b", OTHER_KEY)] {
-            let mut client = LinkClient::connect(daemon.link_address()).await;
+            let mut client = LinkClient::open(daemon.link_address()).await;
             let (welcome, _) = client
                 .authenticate(&keys(key, None), [7; 32], &entry(vm, 1))
                 .await;
@@ -186,10 +186,10 @@
 fn a_replayed_proof_is_refused() {
     run(sidecar_settings(), async |daemon| {
         let own = entry("entry-a", 1);
-        let mut first = LinkClient::connect(daemon.link_address()).await;
+        let mut first = LinkClient::open(daemon.link_address()).await;
         let (welcome, recorded) = first.authenticate(&keys(KEY, None), [7; 32], &own).await;
         assert!(welcome);
-        let mut replay = LinkClient::connect(daemon.link_address()).await;
+        let mut replay = LinkClient::open(daemon.link_address()).await;
         replay.send(encode(&Hello::new([7; 32], own))).await;
         let _: Challenge = decode(&replay.next().await.expect("a frame")).expect("a challenge");
         replay.send(encode(&recorded)).await;
@@ -203,7 +203,7 @@
 #[test]
 fn a_large_frame_before_the_proof_closes_the_connection() {
     run(sidecar_settings(), async |daemon| {
-        let mut client = LinkClient::connect(daemon.link_address()).await;
+        let mut client = LinkClient::open(daemon.link_address()).await;
         client.send(vec![0; 1_000_000]).await;
         assert!(client.next().await.is_none());
     });
