--- a/standins/src/chaos.rs
+++ b/standins/src/chaos.rs
@@ -8,9 +8,9 @@
 use clementinepick::safeguards::Safeguards;
 use clementinepick::units::{SpanUs, TimeUs};
 
-use crate::chaos_callers::Ending;
+use crate::chaos_callers::ProgramOutcome;
 use crate::chaos_checks::Violation;
-use crate::chaos_faults::{NAMES, draw};
+use crate::chaos_faults::{FAULT_NAMES, draw_faults};
 use crate::chaos_world::{Counts, World, WorldSettings};
 use crate::failure::Failure;
 
@@ -58,7 +58,7 @@
 
 /// The end of one run.
 #[derive(Debug, Clone)]
-pub struct RunEnd {
+pub struct RunResult {
     /// The seed.
     pub seed: u64,
     /// The steps made.
@@ -68,7 +68,7 @@
     /// What was counted.
     pub counts: Counts,
     /// Programs by how they ended.
-    pub endings: BTreeMap<&'static str, u64>,
+    pub outcomes: BTreeMap<&'static str, u64>,
     /// The digest of the whole trace.
     pub digest: u64,
     /// The last lines of the trace.
@@ -77,25 +77,25 @@
 
 /// Runs one seed.
 #[must_use]
-pub fn run_seed(settings: WorldSettings, fault_names: &[&str], max_steps: u64) -> RunEnd {
+pub fn run_seed(settings: WorldSettings, fault_names: &[&str], max_steps: u64) -> RunResult {
     let seed = settings.seed;
-    let busy_us = settings.busy_us;
-    let faults = draw(&settings, fault_names);
+    let active_phase_us = settings.active_phase_us;
+    let faults = draw_faults(&settings, fault_names);
     let mut world = World::new(settings, faults);
     let mut quiet_at: Option<TimeUs> = None;
     while world.step() && world.steps() < max_steps {
-        if quiet_at.is_none() && world.all_ended() && world.now() > TimeUs(busy_us.0) {
+        if quiet_at.is_none() && world.all_ended() && world.now() > TimeUs(active_phase_us.0) {
             quiet_at = Some(world.now().after(RELEASE_US));
         }
         if quiet_at.is_some_and(|at| world.now() >= at) {
-            world.check_quiet();
+            world.check_memory_released();
             break;
         }
-        if quiet_at.is_none() && world.now() > TimeUs(busy_us.0).after(SETTLE_US) {
+        if quiet_at.is_none() && world.now() > TimeUs(active_phase_us.0).after(SETTLE_US) {
             let stuck = world
                 .callers()
                 .iter()
-                .find(|caller| caller.ending.is_none());
+                .find(|caller| caller.outcome.is_none());
             let stuck = stuck
                 .map(|caller| caller.program.to_string())
                 .unwrap_or_default();
@@ -105,22 +105,22 @@
             break;
         }
     }
-    let mut endings = BTreeMap::new();
+    let mut outcomes = BTreeMap::new();
     for caller in world.callers() {
-        let name = match caller.ending {
-            Some(Ending::Finished) => "finished",
-            Some(Ending::Refused) => "refused",
-            Some(Ending::Unknown) => "unknown",
+        let name = match caller.outcome {
+            Some(ProgramOutcome::Finished) => "finished",
+            Some(ProgramOutcome::Refused) => "refused",
+            Some(ProgramOutcome::Unknown) => "unknown",
             None => "open",
         };
-        *endings.entry(name).or_default() += 1;
+        *outcomes.entry(name).or_default() += 1;
     }
-    RunEnd {
+    RunResult {
         seed,
         steps: world.steps(),
         violation: world.checks.violation.clone(),
         counts: world.counts.clone(),
-        endings,
+        outcomes,
         digest: world.trace_digest(),
         trace: world.trace().cloned().collect(),
     }
@@ -139,14 +139,15 @@
 
 fn fault_names(args: &Chaos) -> Result<Vec<&'static str>, String> {
     let Some(list) = &args.faults else {
-        return Ok(NAMES.to_vec());
+        return Ok(FAULT_NAMES.to_vec());
     };
     if list == "none" {
         return Ok(Vec::new());
     }
-    let known = |name: &str| NAMES.iter().find(|known| **known == name).copied();
+    let known = |name: &str| FAULT_NAMES.iter().find(|known| **known == name).copied();
     let names = list.split(',').map(|name| {
-        known(name).ok_or_else(|| format!("no fault `{name}`; there are {}", NAMES.join(", ")))
+        known(name)
+            .ok_or_else(|| format!("no fault `{name}`; there are {}", FAULT_NAMES.join(", ")))
     });
     names.collect()
 }
@@ -199,7 +200,7 @@
     seeds: std::ops::Range<u64>,
     names: &[&str],
     args: &Chaos,
-) -> Vec<RunEnd> {
+) -> Vec<RunResult> {
     let next = AtomicU64::new(seeds.start);
     let ends = Mutex::new(BTreeMap::new());
     std::thread::scope(|scope| {
@@ -230,8 +231,8 @@
         .unwrap_or_default()
 }
 
-fn report(args: &Chaos, ends: &[RunEnd]) -> usize {
-    let failed: Vec<&RunEnd> = ends.iter().filter(|end| end.violation.is_some()).collect();
+fn report(args: &Chaos, ends: &[RunResult]) -> usize {
+    let failed: Vec<&RunResult> = ends.iter().filter(|end| end.violation.is_some()).collect();
     if let Some(end) = failed
         .first()
         .copied()
@@ -242,19 +243,19 @@
         }
     }
     let mut by_name: BTreeMap<&str, u64> = BTreeMap::new();
-    let mut endings: BTreeMap<&str, u64> = BTreeMap::new();
+    let mut outcomes: BTreeMap<&str, u64> = BTreeMap::new();
     for end in ends {
         for (name, count) in &end.counts.by_name {
             *by_name.entry(name).or_default() += count;
         }
-        for (name, count) in &end.endings {
-            *endings.entry(name).or_default() += count;
+        for (name, count) in &end.outcomes {
+            *outcomes.entry(name).or_default() += count;
         }
     }
     for (name, count) in &by_name {
         println!("{name:<28} {count:>10}");
     }
-    for (name, count) in &endings {
+    for (name, count) in &outcomes {
         println!("programs {name:<19} {count:>10}");
     }
     let steps: u64 = ends.iter().map(|end| end.steps).sum();
@@ -269,7 +270,7 @@
         };
         println!(
             "seed {} step {}: {} broken: {}",
-            end.seed, end.steps, violation.promise, violation.detail
+            end.seed, end.steps, violation.property, violation.detail
         );
     }
     println!(
--- a/standins/src/chaos_backend.rs
+++ b/standins/src/chaos_backend.rs
@@ -26,7 +26,7 @@
 
 /// A call that a backend server has begun.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Started {
+pub struct StartedCall {
     /// The attempt.
     pub attempt: AttemptId,
     /// Its program.
@@ -39,13 +39,13 @@
 
 /// What has happened since the last look.
 #[derive(Debug, Default)]
-pub struct Happened {
+pub struct BackendProgress {
     /// What the sidecar hears.
     pub events: Vec<(AttemptId, BackendEvent)>,
     /// Holds that were carried out.
     pub executed: Vec<(ProgramId, BodyId)>,
     /// Tokens that were processed.
-    pub spent: Vec<(ProgramId, Tokens)>,
+    pub used_tokens: Vec<(ProgramId, Tokens)>,
 }
 
 /// A backend server.
@@ -63,7 +63,7 @@
     running: BTreeMap<AttemptId, (ProgramId, Tokens)>,
     /// The prefixes that were ever cached for a program alone.
     prefixes: BTreeMap<ProgramId, BTreeMap<ChainHash, Tokens>>,
-    spent: Vec<(ProgramId, Tokens)>,
+    used_tokens: Vec<(ProgramId, Tokens)>,
     slow_until_us: TimeUs,
 }
 
@@ -98,7 +98,7 @@
             next_cache_event: 0,
             running: BTreeMap::new(),
             prefixes: BTreeMap::new(),
-            spent: Vec::new(),
+            used_tokens: Vec::new(),
             slow_until_us: TimeUs(0),
         }))
     }
@@ -128,13 +128,13 @@
     }
 
     /// Takes a turn; `None` when it was refused.
-    pub fn generate(&mut self, now: TimeUs, body: GenerateBody) -> Option<Started> {
+    pub fn generate(&mut self, now: TimeUs, body: GenerateBody) -> Option<StartedCall> {
         let Self::Engine(server) = self else {
             return None;
         };
         let text = &body.messages.last()?.content;
         let number: BodyId = text.strip_prefix("body ")?.parse().ok()?;
-        let started = Started {
+        let started = StartedCall {
             attempt: body.attempt,
             program: body.program.clone(),
             seq: body_seq(number),
@@ -154,7 +154,12 @@
     }
 
     /// Takes a call of the plain service.
-    pub fn call(&mut self, now: TimeUs, attempt: AttemptId, call: &PlainCall) -> Option<Started> {
+    pub fn call(
+        &mut self,
+        now: TimeUs,
+        attempt: AttemptId,
+        call: &PlainCall,
+    ) -> Option<StartedCall> {
         let Self::Plain(server) = self else {
             return None;
         };
@@ -164,7 +169,7 @@
             .pending
             .insert((now.after(takes), attempt), call.clone());
         let (program, seq) = (body_program(body), body_seq(body));
-        Some(Started {
+        Some(StartedCall {
             attempt,
             program,
             seq,
@@ -196,7 +201,7 @@
     }
 
     /// The engine's load report.
-    pub fn load(&mut self, now: TimeUs) -> Option<LoadReport> {
+    pub fn load_report(&mut self, now: TimeUs) -> Option<LoadReport> {
         match self {
             Self::Engine(server) => {
                 if server.slow_until_us <= now && server.slow_until_us.0 > 0 {
@@ -243,7 +248,7 @@
     }
 
     /// Moves on to `now`.
-    pub fn advance(&mut self, now: TimeUs) -> Happened {
+    pub fn advance(&mut self, now: TimeUs) -> BackendProgress {
         match self {
             Self::Engine(server) => server.advance(now),
             Self::Plain(server) => server.advance(now),
@@ -252,7 +257,7 @@
 
     /// The tokens that lie cached for each program alone.
     #[must_use]
-    pub fn held(&self) -> Vec<(ProgramId, Tokens)> {
+    pub fn cached_tokens(&self) -> Vec<(ProgramId, Tokens)> {
         let Self::Engine(server) = self else {
             return Vec::new();
         };
@@ -296,16 +301,16 @@
 impl EngineServer {
     /// Books what an attempt has processed.
     fn book(&mut self, attempt: AttemptId) {
-        self.spent.extend(self.running.remove(&attempt));
+        self.used_tokens.extend(self.running.remove(&attempt));
     }
 
     fn book_all(&mut self) {
-        self.spent
+        self.used_tokens
             .extend(std::mem::take(&mut self.running).into_values());
     }
 
-    fn advance(&mut self, now: TimeUs) -> Happened {
-        let mut happened = Happened::default();
+    fn advance(&mut self, now: TimeUs) -> BackendProgress {
+        let mut happened = BackendProgress::default();
         for (attempt, line) in self.engine.advance(now) {
             let event = match line {
                 GenerateLine::Text {
@@ -345,7 +350,7 @@
             };
             happened.events.push((attempt, event));
         }
-        happened.spent = std::mem::take(&mut self.spent);
+        happened.used_tokens = std::mem::take(&mut self.used_tokens);
         happened
     }
 
@@ -361,8 +366,8 @@
 }
 
 impl PlainServer {
-    fn advance(&mut self, now: TimeUs) -> Happened {
-        let mut happened = Happened::default();
+    fn advance(&mut self, now: TimeUs) -> BackendProgress {
+        let mut happened = BackendProgress::default();
         while let Some(entry) = self
             .pending
             .first_entry()
--- a/standins/src/chaos_serve.rs
+++ b/standins/src/chaos_backend_events.rs
@@ -3,19 +3,21 @@
 use clementinepick::ids::VmId;
 use clementinepick::sidecar::SidecarInput;
 
-use crate::chaos_backend::{Backend, Started};
-use crate::chaos_world::{Due, Input, World};
+use crate::chaos_backend::{Backend, StartedCall};
+use crate::chaos_world::{Input, ScheduledEvent, World};
 
 impl World {
-    pub(crate) fn on_started(&mut self, vm: &VmId, started: Option<Started>) {
+    pub(crate) fn on_call_started(&mut self, vm: &VmId, started: Option<StartedCall>) {
         if let Some(started) = started {
-            let Started {
+            let StartedCall {
                 attempt,
                 program,
                 seq,
                 body,
             } = started;
-            self.note(|| format!("{vm} starts {program}/{seq} body {body} attempt {attempt}"));
+            self.record_trace(|| {
+                format!("{vm} starts {program}/{seq} body {body} attempt {attempt}")
+            });
             self.counts.add("calls started");
             self.checks
                 .on_start(self.now, vm, &program, seq, body, attempt);
@@ -27,10 +29,13 @@
         let Some(at) = self.backends.get(vm).and_then(Backend::next_event_at) else {
             return;
         };
-        self.schedule(at.max(self.now), Due::Backend { vm: vm.clone() });
+        self.schedule(
+            at.max(self.now),
+            ScheduledEvent::BackendWakeup { vm: vm.clone() },
+        );
     }
 
-    pub(crate) fn on_backend(&mut self, vm: &VmId) {
+    pub(crate) fn on_backend_wakeup(&mut self, vm: &VmId) {
         let Some(backend) = self.backends.get_mut(vm) else {
             return;
         };
@@ -40,18 +45,18 @@
             return;
         }
         let happened = backend.advance(self.now);
-        let life = self.nodes.get(vm).map_or(0, |node| node.life);
+        let start_count = self.nodes.get(vm).map_or(0, |node| node.start_count);
         for (program, body) in happened.executed {
-            self.note(|| format!("{vm} has executed body {body} of {program}"));
+            self.record_trace(|| format!("{vm} has executed body {body} of {program}"));
             self.checks.on_executed(&program, body);
         }
-        for (program, tokens) in happened.spent {
-            self.checks.on_spent(&program, tokens);
+        for (program, tokens) in happened.used_tokens {
+            self.checks.on_tokens_used(&program, tokens);
         }
         for (attempt, event) in happened.events {
-            self.give(
+            self.deliver_input(
                 vm,
-                life,
+                start_count,
                 Input::Sidecar(SidecarInput::Backend { attempt, event }),
             );
         }
--- a/standins/src/chaos_calls.rs
+++ b/standins/src/chaos_caller_events.rs
@@ -9,46 +9,48 @@
 use rand::RngExt;
 
 use crate::chaos_backend::Backend;
-use crate::chaos_callers::{DEADLINE_US, Next, Open, Turn, take_part};
-use crate::chaos_world::{Core, Due, FORGOTTEN_US, Input, Node, World};
+use crate::chaos_callers::{CallKind, DEADLINE_US, NextAction, PendingRequest, apply_part};
+use crate::chaos_world::{Input, Node, ProcessLogic, RESPONSE_GRACE_US, ScheduledEvent, World};
 
 impl World {
     pub(crate) fn on_send(&mut self, caller: usize) {
-        if self.callers[caller].open.is_some() || self.callers[caller].ending.is_some() {
+        if self.callers[caller].pending.is_some() || self.callers[caller].outcome.is_some() {
             return;
         }
-        let Some(entry) = self.balance() else {
-            self.schedule_after(SpanUs::from_ms(200), Due::Send { caller });
+        let Some(entry) = self.choose_entry() else {
+            self.schedule_after(SpanUs::from_ms(200), ScheduledEvent::Send { caller });
             return;
         };
         let id = RequestId::draw(&mut self.rng);
         let state = &mut self.callers[caller];
-        let (program, at, turn) = (state.program.clone(), state.at, state.turn());
-        state.open = Some(Open {
+        let (program, at, turn) = (state.program.clone(), state.call_index, state.call_kind());
+        state.pending = Some(PendingRequest {
             id,
             entry: entry.clone(),
             text: String::new(),
             plain: None,
             sent_us: self.now,
         });
-        self.open.insert(id, caller);
-        self.note(|| format!("caller of {program} sends call {at} ({turn:?}) to {entry}, {id}"));
+        self.callers_by_request.insert(id, caller);
+        self.record_trace(|| {
+            format!("caller of {program} sends call {at} ({turn:?}) to {entry}, {id}")
+        });
         self.counts.add("requests");
-        let life = self.nodes[&entry].life;
-        let delay = self.delay();
+        let start_count = self.nodes[&entry].start_count;
+        let delay = self.draw_link_delay();
         self.schedule_after(
             delay,
-            Due::Arrive {
+            ScheduledEvent::Arrive {
                 caller,
                 entry,
-                life,
+                start_count,
                 request: id,
             },
         );
-        let patience = DEADLINE_US + FORGOTTEN_US;
+        let patience = DEADLINE_US + RESPONSE_GRACE_US;
         self.schedule_after(
             patience,
-            Due::Forgotten {
+            ScheduledEvent::ResponseTimeout {
                 caller,
                 request: id,
             },
@@ -56,9 +58,9 @@
     }
 
     /// The platform's balancer: a ready entry, else any that lives.
-    pub(crate) fn balance(&mut self) -> Option<VmId> {
-        let ready = |node: &Node| match &node.core {
-            Some(Core::Entry(entry)) => entry.is_ready(),
+    pub(crate) fn choose_entry(&mut self) -> Option<VmId> {
+        let ready = |node: &Node| match &node.logic {
+            Some(ProcessLogic::Entry(entry)) => entry.is_ready(),
             _ => false,
         };
         let ready: Vec<&VmId> = self
@@ -74,30 +76,40 @@
         Some(ready[at].clone())
     }
 
-    pub(crate) fn on_arrive(&mut self, caller: usize, entry: &VmId, life: u64, id: RequestId) {
+    pub(crate) fn on_arrive(
+        &mut self,
+        caller: usize,
+        entry: &VmId,
+        start_count: u64,
+        id: RequestId,
+    ) {
         if self.callers[caller]
-            .open
+            .pending
             .as_ref()
-            .is_none_or(|open| open.id != id)
+            .is_none_or(|pending| pending.id != id)
         {
             return;
         }
         let request = Box::new(self.callers[caller].request(id));
-        self.give(entry, life, Input::Entry(EntryInput::Request(request)));
+        self.deliver_input(
+            entry,
+            start_count,
+            Input::Entry(EntryInput::Request(request)),
+        );
     }
 
-    pub(crate) fn on_answer(&mut self, vm: &VmId, id: RequestId, part: &AnswerPart) {
-        self.note(|| format!("{vm} answers {id}: {}", brief(part)));
-        let Some(caller) = self.open.get(&id).copied() else {
+    pub(crate) fn on_response_part(&mut self, vm: &VmId, id: RequestId, part: &AnswerPart) {
+        self.record_trace(|| format!("{vm} answers {id}: {}", brief(part)));
+        let Some(caller) = self.callers_by_request.get(&id).copied() else {
             return;
         };
         let state = &mut self.callers[caller];
-        let Some(open) = state.open.as_mut().filter(|open| open.id == id) else {
+        let Some(pending) = state.pending.as_mut().filter(|pending| pending.id == id) else {
             self.checks
                 .fail("own answer", format!("a part after the end of {id}"));
             return;
         };
-        if let Some(wrong) = take_part(open, part) {
+        if let Some(wrong) = apply_part(pending, part) {
             let program = state.program.clone();
             self.checks
                 .fail("own answer", format!("{program}, {id}: {wrong}"));
@@ -106,31 +118,37 @@
         let next = match part {
             AnswerPart::Text { .. } | AnswerPart::Plain(_) => return,
             AnswerPart::Done(_) => {
-                self.check_answer(caller, id);
+                self.check_response(caller, id);
                 let think = SpanUs::from_ms(self.rng.random_range(1..4_000));
                 self.counts.add("answers");
-                self.callers[caller].on_done(think)
+                self.callers[caller].on_completed(think)
             }
             AnswerPart::Failed(error) => self.on_refused(caller, id, error),
         };
-        self.open.remove(&id);
-        self.go_on(caller, next);
+        self.callers_by_request.remove(&id);
+        self.schedule_next(caller, next);
     }
 
-    pub(crate) fn check_answer(&mut self, caller: usize, id: RequestId) {
+    pub(crate) fn check_response(&mut self, caller: usize, id: RequestId) {
         let state = &self.callers[caller];
-        let Some(open) = &state.open else { return };
-        let (program, at) = (&state.program, state.at);
-        let wrong = match state.turn() {
-            Turn::Chat => {
+        let Some(pending) = &state.pending else {
+            return;
+        };
+        let (program, at) = (&state.program, state.call_index);
+        let wrong = match state.call_kind() {
+            CallKind::Chat => {
                 let expected = Backend::expected_text(&state.request(id));
-                (open.text != expected)
-                    .then(|| format!("{program}/{at}: got `{}`, expected `{expected}`", open.text))
+                (pending.text != expected).then(|| {
+                    format!(
+                        "{program}/{at}: got `{}`, expected `{expected}`",
+                        pending.text
+                    )
+                })
             }
-            Turn::Hold => {
+            CallKind::Hold => {
                 let expected = Backend::expected_plain(state.body());
                 let executed = self.checks.was_executed(state.body());
-                (open.plain.as_ref() != Some(&expected) || !executed)
+                (pending.plain.as_ref() != Some(&expected) || !executed)
                     .then(|| format!("{program}/{at}: the answer to a hold is wrong or untrue"))
             }
         };
@@ -139,49 +157,54 @@
         }
     }
 
-    pub(crate) fn on_refused(&mut self, caller: usize, id: RequestId, error: &CallError) -> Next {
+    pub(crate) fn on_refused(
+        &mut self,
+        caller: usize,
+        id: RequestId,
+        error: &CallError,
+    ) -> NextAction {
         let answer = error.kind.response();
         self.counts.add(answer.code);
         let patient = self.rng.random_bool(0.9);
         let program = self.callers[caller].program.clone();
-        self.note(|| format!("caller of {program} is refused, {id}: {error}"));
+        self.record_trace(|| format!("caller of {program} is refused, {id}: {error}"));
         let next = self.callers[caller].on_failed(error, patient);
-        if next == Next::End && answer.not_run == NotRun::Yes {
+        if next == NextAction::End && answer.not_run == NotRun::Yes {
             let first_try = self.callers[caller].was_sent_once();
             let body = self.callers[caller].body();
             if first_try {
-                self.checks.on_given_up(&program, body);
+                self.checks.on_abandoned(&program, body);
             }
         }
         next
     }
 
-    pub(crate) fn on_forgotten(&mut self, caller: usize, id: RequestId) {
+    pub(crate) fn on_response_timeout(&mut self, caller: usize, id: RequestId) {
         let state = &self.callers[caller];
-        if let Some(open) = state.open.as_ref().filter(|open| open.id == id) {
-            let entry = open.entry.clone();
-            if self.nodes[&entry].paused {
+        if let Some(pending) = state.pending.as_ref().filter(|pending| pending.id == id) {
+            let entry = pending.entry.clone();
+            if self.nodes[&entry].is_paused {
                 self.schedule_after(
                     SpanUs::from_s(5),
-                    Due::Forgotten {
+                    ScheduledEvent::ResponseTimeout {
                         caller,
                         request: id,
                     },
                 );
                 return;
             }
-            let (program, at) = (state.program.clone(), state.at);
+            let (program, at) = (state.program.clone(), state.call_index);
             let detail = format!("{program}/{at}: no answer from {entry} long after the deadline");
-            self.note_calls_of(&program);
+            self.trace_program_calls(&program);
             self.checks.fail("an answer in time", detail);
         }
     }
 
     /// Puts what the entries know of a program's calls into the trace.
-    fn note_calls_of(&mut self, program: &ProgramId) {
+    fn trace_program_calls(&mut self, program: &ProgramId) {
         let mut lines = Vec::new();
         for (vm, node) in &self.nodes {
-            let Some(Core::Entry(entry)) = &node.core else {
+            let Some(ProcessLogic::Entry(entry)) = &node.logic else {
                 continue;
             };
             let dump = entry.dump(self.now);
@@ -190,30 +213,34 @@
             lines.extend(own.map(|call| format!("{vm} has {call}")));
         }
         for line in lines {
-            self.note(|| line);
+            self.record_trace(|| line);
         }
     }
 
-    pub(crate) fn go_on(&mut self, caller: usize, next: Next) {
+    pub(crate) fn schedule_next(&mut self, caller: usize, next: NextAction) {
         match next {
-            Next::Wait => {}
-            Next::SendAfter(span) => self.schedule_after(span, Due::Send { caller }),
-            Next::End => self.end_program(caller),
+            NextAction::Wait => {}
+            NextAction::SendAfter(span) => {
+                self.schedule_after(span, ScheduledEvent::Send { caller })
+            }
+            NextAction::End => self.end_program(caller),
         }
     }
 
     pub(crate) fn end_program(&mut self, caller: usize) {
         let program = self.callers[caller].program.clone();
-        let ending = self.callers[caller].ending;
-        self.note(|| format!("caller of {program} ends it: {ending:?}"));
+        let outcome = self.callers[caller].outcome;
+        self.record_trace(|| format!("caller of {program} ends it: {outcome:?}"));
         self.counts.add("programs ended");
-        let Some(entry) = self.balance() else { return };
-        let life = self.nodes[&entry].life;
+        let Some(entry) = self.choose_entry() else {
+            return;
+        };
+        let start_count = self.nodes[&entry].start_count;
         let input = EntryInput::EndProgram {
             program,
             reason: EndReason::Caller,
         };
-        self.give(&entry, life, Input::Entry(input));
+        self.deliver_input(&entry, start_count, Input::Entry(input));
     }
 }
 
--- a/standins/src/chaos_callers.rs
+++ b/standins/src/chaos_callers.rs
@@ -28,7 +28,7 @@
 
 /// One call of a program's script.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Turn {
+pub enum CallKind {
     /// A turn of the engine.
     Chat,
     /// A seat hold: non-idempotent.
@@ -37,7 +37,7 @@
 
 /// A request that waits for its answer.
 #[derive(Debug, Clone)]
-pub struct Open {
+pub struct PendingRequest {
     /// The request.
     pub id: RequestId,
     /// The entry it was sent to.
@@ -52,7 +52,7 @@
 
 /// What a caller does after an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
+pub enum NextAction {
     /// Nothing yet.
     Wait,
     /// Sends its next call, or the same again, after a pause.
@@ -63,7 +63,7 @@
 
 /// How a program ended, as its caller saw it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ending {
+pub enum ProgramOutcome {
     /// Every call was answered.
     Finished,
     /// A call was refused, and the caller believed it.
@@ -79,16 +79,16 @@
     pub program: ProgramId,
     /// Its token budget.
     pub budget: Tokens,
-    script: Vec<Turn>,
+    script: Vec<CallKind>,
     /// The call at which it is.
-    pub at: usize,
+    pub call_index: usize,
     /// The transcript so far.
     pub transcript: Vec<ChatMessage>,
     /// The request that is open.
-    pub open: Option<Open>,
+    pub pending: Option<PendingRequest>,
     repeats: u32,
     /// How it ended.
-    pub ending: Option<Ending>,
+    pub outcome: Option<ProgramOutcome>,
     /// The last refusal.
     pub last_error: Option<CallError>,
     body_base: BodyId,
@@ -109,9 +109,9 @@
         let script = (0..turns)
             .map(|_| {
                 if rng.random_bool(0.4) {
-                    Turn::Hold
+                    CallKind::Hold
                 } else {
-                    Turn::Chat
+                    CallKind::Chat
                 }
             })
             .collect();
@@ -124,11 +124,11 @@
                 100_000
             }),
             script,
-            at: 0,
+            call_index: 0,
             transcript: vec![ChatMessage::new("system", "You plan night-sky visits.")],
-            open: None,
+            pending: None,
             repeats: 0,
-            ending: None,
+            outcome: None,
             last_error: None,
             body_base: number * BODIES_PER_PROGRAM,
         }
@@ -136,14 +136,14 @@
 
     /// The turn at which it is.
     #[must_use]
-    pub fn turn(&self) -> Turn {
-        self.script[self.at]
+    pub fn call_kind(&self) -> CallKind {
+        self.script[self.call_index]
     }
 
     /// The body of the call at which it is; repeats carry the same.
     #[must_use]
     pub fn body(&self) -> BodyId {
-        self.body_base + self.at as BodyId
+        self.body_base + self.call_index as BodyId
     }
 
     fn key(&self) -> IdempotencyKey {
@@ -153,16 +153,16 @@
     /// The request for the call at which it is.
     #[must_use]
     pub fn request(&self, id: RequestId) -> Request {
-        let (service, payload, non_idempotent) = match self.turn() {
-            Turn::Chat => (ENGINE_SERVICE, self.chat(), false),
-            Turn::Hold => (PLAIN_SERVICE, self.hold(), true),
+        let (service, payload, non_idempotent) = match self.call_kind() {
+            CallKind::Chat => (ENGINE_SERVICE, self.chat(), false),
+            CallKind::Hold => (PLAIN_SERVICE, self.hold(), true),
         };
         Request {
             id,
             service: service_name(service),
             program: self.program.clone(),
             single_call: false,
-            seq: Some(CallSeq(self.at as u64)),
+            seq: Some(CallSeq(self.call_index as u64)),
             parent: None,
             root: None,
             append: false,
@@ -207,22 +207,22 @@
     }
 
     /// Takes the end of the answer to a chat turn or a hold.
-    pub fn on_done(&mut self, think_us: SpanUs) -> Next {
-        let Some(open) = self.open.take() else {
-            return Next::Wait;
+    pub fn on_completed(&mut self, think_us: SpanUs) -> NextAction {
+        let Some(pending) = self.pending.take() else {
+            return NextAction::Wait;
         };
-        if self.turn() == Turn::Chat {
+        if self.call_kind() == CallKind::Chat {
             self.transcript = self.messages();
             self.transcript
-                .push(ChatMessage::new("assistant", &open.text));
+                .push(ChatMessage::new("assistant", &pending.text));
         }
         self.repeats = 0;
-        self.at += 1;
-        if self.at < self.script.len() {
-            return Next::SendAfter(think_us);
+        self.call_index += 1;
+        if self.call_index < self.script.len() {
+            return NextAction::SendAfter(think_us);
         }
-        self.ending = Some(Ending::Finished);
-        Next::End
+        self.outcome = Some(ProgramOutcome::Finished);
+        NextAction::End
     }
 
     /// Whether the call at which it is was sent only once.
@@ -232,34 +232,34 @@
     }
 
     /// Takes a refusal; `patient` callers come back when they may.
-    pub fn on_failed(&mut self, error: &CallError, patient: bool) -> Next {
-        self.open = None;
+    pub fn on_failed(&mut self, error: &CallError, patient: bool) -> NextAction {
+        self.pending = None;
         self.last_error = Some(error.clone());
         let answer = error.kind.response();
         self.repeats += 1;
         let after = error.retry_after_us.unwrap_or(REPEAT_AFTER_US);
         let worth_it = answer.repeat_safe && answer.retry_after_s.is_some();
         if worth_it && patient && self.repeats < MAX_REPEATS {
-            return Next::SendAfter(after.max(REPEAT_AFTER_US));
+            return NextAction::SendAfter(after.max(REPEAT_AFTER_US));
         }
         let unknown = answer.not_run == NotRun::Unknown;
-        self.ending = Some(if unknown {
-            Ending::Unknown
+        self.outcome = Some(if unknown {
+            ProgramOutcome::Unknown
         } else {
-            Ending::Refused
+            ProgramOutcome::Refused
         });
-        Next::End
+        NextAction::End
     }
 
     /// The connection to the entry broke: sends the same call again, under its key and place.
-    pub fn on_cut(&mut self) -> Next {
-        self.open = None;
+    pub fn on_disconnected(&mut self) -> NextAction {
+        self.pending = None;
         self.repeats += 1;
         if self.repeats < MAX_REPEATS {
-            return Next::SendAfter(REPEAT_AFTER_US);
+            return NextAction::SendAfter(REPEAT_AFTER_US);
         }
-        self.ending = Some(Ending::Unknown);
-        Next::End
+        self.outcome = Some(ProgramOutcome::Unknown);
+        NextAction::End
     }
 }
 
@@ -292,22 +292,22 @@
 }
 
 /// Adds one part of an answer; says what is wrong with it, if anything is.
-pub fn take_part(open: &mut Open, part: &AnswerPart) -> Option<String> {
+pub fn apply_part(pending: &mut PendingRequest, part: &AnswerPart) -> Option<String> {
     match part {
         AnswerPart::Text { position, text } => {
-            let known = open.text.chars().count() as u64;
+            let known = pending.text.chars().count() as u64;
             if *position != known {
                 return Some(format!(
                     "text at {position}, but {known} characters have come"
                 ));
             }
-            open.text.push_str(text);
+            pending.text.push_str(text);
         }
         AnswerPart::Plain(answer) => {
-            if open.plain.is_some() {
+            if pending.plain.is_some() {
                 return Some("a second plain answer".to_owned());
             }
-            open.plain = Some(answer.body.clone());
+            pending.plain = Some(answer.body.clone());
         }
         AnswerPart::Done(_) | AnswerPart::Failed(_) => {}
     }
--- a/standins/src/chaos_checks.rs
+++ b/standins/src/chaos_checks.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
     /// Which promise.
-    pub promise: &'static str,
+    pub property: &'static str,
     /// What was seen.
     pub detail: String,
 }
@@ -31,11 +31,11 @@
     /// How often each non-idempotent body was executed.
     executed: BTreeMap<BodyId, u32>,
     /// Bodies whose last answer said "not run" and which were not sent again.
-    given_up: BTreeSet<BodyId>,
+    abandoned: BTreeSet<BodyId>,
     /// Bodies that any backend server has started.
     ran: BTreeSet<BodyId>,
     /// Tokens that engines have processed, by program.
-    spent: BTreeMap<ProgramId, Tokens>,
+    used_tokens: BTreeMap<ProgramId, Tokens>,
     budgets: BTreeMap<ProgramId, Tokens>,
     leaving: BTreeMap<VmId, TimeUs>,
     revisions: BTreeMap<(VmId, ServiceName), Revision>,
@@ -46,8 +46,8 @@
 
 impl Checks {
     /// Notes a broken promise; the first one counts.
-    pub fn fail(&mut self, promise: &'static str, detail: String) {
-        self.violation.get_or_insert(Violation { promise, detail });
+    pub fn fail(&mut self, property: &'static str, detail: String) {
+        self.violation.get_or_insert(Violation { property, detail });
     }
 
     /// A program may spend this much.
@@ -73,7 +73,7 @@
             *highest = seq;
         }
         self.ran.insert(body);
-        if self.given_up.contains(&body) {
+        if self.abandoned.contains(&body) {
             self.fail(
                 "not run",
                 format!("{program}/{seq} was refused as not run, and now runs"),
@@ -101,8 +101,8 @@
     }
 
     /// An engine has processed tokens for a program.
-    pub fn on_spent(&mut self, program: &ProgramId, tokens: Tokens) {
-        let spent = self.spent.entry(program.clone()).or_default();
+    pub fn on_tokens_used(&mut self, program: &ProgramId, tokens: Tokens) {
+        let spent = self.used_tokens.entry(program.clone()).or_default();
         *spent += tokens;
         let (spent, budget) = (*spent, self.budgets.get(program).copied());
         if let Some(budget) = budget.filter(|budget| spent > *budget) {
@@ -111,8 +111,8 @@
     }
 
     /// A caller was told that a call did not run, and leaves it at that.
-    pub fn on_given_up(&mut self, program: &ProgramId, body: BodyId) {
-        self.given_up.insert(body);
+    pub fn on_abandoned(&mut self, program: &ProgramId, body: BodyId) {
+        self.abandoned.insert(body);
         if self.ran.contains(&body) {
             let detail = format!("{program}: body {body} ran, yet was refused as not run");
             self.fail("not run", detail);
@@ -154,7 +154,7 @@
     }
 
     /// An engine holds memory for a program at the end of a run, when all should be free.
-    pub fn on_held(&mut self, vm: &VmId, program: &ProgramId, held: Tokens) {
+    pub fn on_memory_held(&mut self, vm: &VmId, program: &ProgramId, held: Tokens) {
         if self.ended.contains_key(program) {
             self.fail(
                 "engine memory",
--- a/standins/src/chaos_strike.rs
+++ b/standins/src/chaos_fault_injection.rs
@@ -8,35 +8,35 @@
 use rand::RngExt;
 
 use crate::chaos_faults::Fault;
-use crate::chaos_world::{CUT_LINK_US, Due, Input, World};
+use crate::chaos_world::{Input, RETRANSMISSION_TIMEOUT_US, ScheduledEvent, World};
 use crate::log_service::AppendFault;
 
 impl World {
-    pub(crate) fn on_fault(&mut self, fault: &Fault) {
-        self.note(|| format!("fault: {fault:?}"));
+    pub(crate) fn inject_fault(&mut self, fault: &Fault) {
+        self.record_trace(|| format!("fault: {fault:?}"));
         self.counts.add(fault.name());
         match fault {
             Fault::Kill { vm, back_us } => {
-                self.kill(vm);
-                self.schedule_after(*back_us, Due::Start { vm: vm.clone() });
+                self.kill_process(vm);
+                self.schedule_after(*back_us, ScheduledEvent::StartProcess { vm: vm.clone() });
             }
             Fault::KillVm { vm, back_us } => {
-                self.kill(vm);
+                self.kill_process(vm);
                 if let Some(backend) = self.backends.get_mut(vm) {
                     backend.restart(self.now);
                 }
-                self.schedule_after(*back_us, Due::Start { vm: vm.clone() });
+                self.schedule_after(*back_us, ScheduledEvent::StartProcess { vm: vm.clone() });
             }
             Fault::Pause { vm, span_us } => {
-                if let Some(node) = self.nodes.get_mut(vm).filter(|node| node.core.is_some()) {
-                    node.paused = true;
+                if let Some(node) = self.nodes.get_mut(vm).filter(|node| node.logic.is_some()) {
+                    node.is_paused = true;
                 }
-                self.schedule_after(*span_us, Due::Heal(fault.clone()));
+                self.schedule_after(*span_us, ScheduledEvent::EndFault(fault.clone()));
             }
             Fault::LogDown { span_us } => {
                 self.log.add_outage(self.now, self.now.after(*span_us));
             }
-            Fault::LogLosesAnswers { appends } => self.lose_answers(*appends),
+            Fault::LogLosesAnswers { appends } => self.lose_append_responses(*appends),
             Fault::Cut {
                 from,
                 to,
@@ -47,20 +47,20 @@
                 if *both {
                     self.cuts.insert((to.clone(), from.clone()));
                 }
-                self.schedule_after(*span_us, Due::Heal(fault.clone()));
-                if *span_us >= CUT_LINK_US {
+                self.schedule_after(*span_us, ScheduledEvent::EndFault(fault.clone()));
+                if *span_us >= RETRANSMISSION_TIMEOUT_US {
                     // Retransmissions give up before the cut heals.
                     self.schedule_after(
-                        CUT_LINK_US,
-                        Due::Heal(Fault::LinkReset {
+                        RETRANSMISSION_TIMEOUT_US,
+                        ScheduledEvent::EndFault(Fault::LinkReset {
                             from: from.clone(),
                             to: to.clone(),
                         }),
                     );
                 }
             }
-            Fault::LinkReset { from, to } => self.link_down(from, to),
-            Fault::ZoneLost { zone, span_us } => self.lose_zone(zone, *span_us),
+            Fault::LinkReset { from, to } => self.close_link(from, to),
+            Fault::ZoneLost { zone, span_us } => self.kill_zone(zone, *span_us),
             Fault::Shutdown { vm } => self.shut_down(vm),
             Fault::Publish => self.on_publish(),
             Fault::PublishRace => {
@@ -75,7 +75,7 @@
         }
     }
 
-    pub(crate) fn lose_answers(&mut self, appends: u32) {
+    pub(crate) fn lose_append_responses(&mut self, appends: u32) {
         let script: Vec<Option<AppendFault>> = (0..appends)
             .map(|_| match self.rng.random_range(0..4) {
                 0 => Some(AppendFault::LostRequest),
@@ -89,7 +89,7 @@
         self.log.script(script);
     }
 
-    pub(crate) fn lose_zone(&mut self, zone: &ZoneName, span_us: SpanUs) {
+    pub(crate) fn kill_zone(&mut self, zone: &ZoneName, span_us: SpanUs) {
         let lost: Vec<VmId> = self
             .nodes
             .iter()
@@ -97,7 +97,7 @@
             .map(|(vm, _)| vm.clone())
             .collect();
         for vm in lost {
-            self.on_fault(&Fault::KillVm {
+            self.inject_fault(&Fault::KillVm {
                 vm,
                 back_us: span_us,
             });
@@ -108,11 +108,11 @@
         let Some(node) = self.nodes.get_mut(vm) else {
             return;
         };
-        if node.core.is_none() || node.paused {
+        if node.logic.is_none() || node.is_paused {
             return;
         }
-        node.leaving = true;
-        let (life, role) = (node.life, node.role);
+        node.is_leaving = true;
+        let (start_count, role) = (node.start_count, node.role);
         if role == VmRole::Sidecar {
             self.checks.on_leaving(self.now, vm);
         }
@@ -120,25 +120,25 @@
             VmRole::Entry => Input::Entry(EntryInput::Shutdown),
             VmRole::Sidecar => Input::Sidecar(SidecarInput::Shutdown),
         };
-        self.give(vm, life, input);
-        self.list_vms(vm);
+        self.deliver_input(vm, start_count, input);
+        self.update_vm_list(vm);
     }
 
-    pub(crate) fn on_heal(&mut self, fault: &Fault) {
+    pub(crate) fn end_fault(&mut self, fault: &Fault) {
         match fault {
-            Fault::Pause { vm, .. } => self.resume(vm),
+            Fault::Pause { vm, .. } => self.resume_process(vm),
             Fault::Cut { from, to, both, .. } => {
-                self.heal_cut(from, to);
+                self.remove_cut(from, to);
                 if *both {
-                    self.heal_cut(to, from);
+                    self.remove_cut(to, from);
                 }
             }
-            Fault::LinkReset { from, to } if self.is_cut(from, to) => self.link_down(from, to),
+            Fault::LinkReset { from, to } if self.is_cut(from, to) => self.close_link(from, to),
             _ => {}
         }
     }
 
-    pub(crate) fn heal_cut(&mut self, from: &VmId, to: &VmId) {
+    pub(crate) fn remove_cut(&mut self, from: &VmId, to: &VmId) {
         let direction = (from.clone(), to.clone());
         self.cuts.remove(&direction);
         for (generation, message) in self.stalled.remove(&direction).unwrap_or_default() {
@@ -146,18 +146,18 @@
         }
     }
 
-    pub(crate) fn resume(&mut self, vm: &VmId) {
+    pub(crate) fn resume_process(&mut self, vm: &VmId) {
         let Some(node) = self.nodes.get_mut(vm) else {
             return;
         };
-        if !std::mem::take(&mut node.paused) {
+        if !std::mem::take(&mut node.is_paused) {
             return;
         }
-        let life = node.life;
-        let held: Vec<Input> = node.held.drain(..).collect();
-        self.note(|| format!("{vm} goes on"));
+        let start_count = node.start_count;
+        let held: Vec<Input> = node.paused_inputs.drain(..).collect();
+        self.record_trace(|| format!("{vm} goes on"));
         for input in held {
-            self.give(vm, life, input);
+            self.deliver_input(vm, start_count, input);
         }
     }
 }
--- a/standins/src/chaos_faults.rs
+++ b/standins/src/chaos_faults.rs
@@ -112,7 +112,7 @@
 }
 
 /// The faults that can be asked for.
-pub const NAMES: &[&str] = &[
+pub const FAULT_NAMES: &[&str] = &[
     "kill",
     "kill-vm",
     "pause",
@@ -129,16 +129,16 @@
 
 /// Draws the faults of a run, of the kinds in `names`.
 #[must_use]
-pub fn draw(settings: &WorldSettings, names: &[&str]) -> Vec<(TimeUs, Fault)> {
+pub fn draw_faults(settings: &WorldSettings, names: &[&str]) -> Vec<(TimeUs, Fault)> {
     let mut rng = ChaCha12Rng::seed_from_u64(settings.seed ^ FAULT_SEED);
-    let (entries, sidecars) = World::vms(settings);
+    let (entries, sidecars) = World::vm_ids(settings);
     if names.is_empty() {
         return Vec::new();
     }
     let count = rng.random_range(2..=12);
     let mut faults: Vec<(TimeUs, Fault)> = (0..count)
         .map(|_| {
-            let at = TimeUs(rng.random_range(FIRST_US..settings.busy_us.0));
+            let at = TimeUs(rng.random_range(FIRST_US..settings.active_phase_us.0));
             let name = names[rng.random_range(0..names.len())];
             (at, draw_one(name, &entries, &sidecars, &mut rng))
         })
--- a/standins/src/chaos_links.rs
+++ b/standins/src/chaos_links.rs
@@ -6,37 +6,46 @@
 use clementinepick::platform::VmRole;
 use clementinepick::sidecar::SidecarInput;
 
-use crate::chaos_world::{CONNECT_US, Core, Due, Input, World, pair};
+use crate::chaos_world::{
+    CONNECT_INTERVAL_US, Input, ProcessLogic, ScheduledEvent, World, link_key,
+};
 
 impl World {
     pub(crate) fn send(&mut self, from: &VmId, to: VmId, message: Message) {
         let link = self
             .links
-            .get(&pair(from, &to))
+            .get(&link_key(from, &to))
             .copied()
             .unwrap_or_default();
-        if !link.up {
+        if !link.is_up {
             return;
         }
-        let delay = self.delay();
+        let delay = self.draw_link_delay();
         let generation = link.generation;
         let to_key = to.clone();
-        let due = Due::Deliver {
+        let due = ScheduledEvent::Deliver {
             from: from.clone(),
             to,
             generation,
             message: Box::new(message),
         };
         // One link keeps its order: what is sent later is never due earlier.
-        let last = self.last_due.entry((from.clone(), to_key)).or_default();
+        let last = self
+            .last_delivery_us
+            .entry((from.clone(), to_key))
+            .or_default();
         let at = self.now.after(delay).max(*last);
         *last = at;
         self.schedule(at, due);
     }
 
     pub(crate) fn on_deliver(&mut self, from: &VmId, to: &VmId, generation: u64, message: Message) {
-        let link = self.links.get(&pair(from, to)).copied().unwrap_or_default();
-        if !link.up || link.generation != generation {
+        let link = self
+            .links
+            .get(&link_key(from, to))
+            .copied()
+            .unwrap_or_default();
+        if !link.is_up || link.generation != generation {
             return;
         }
         let direction = (from.clone(), to.clone());
@@ -50,7 +59,7 @@
         let Some(node) = self.nodes.get(to) else {
             return;
         };
-        let life = node.life;
+        let start_count = node.start_count;
         let input = match node.role {
             VmRole::Entry => Input::Entry(EntryInput::Link {
                 from: from.clone(),
@@ -61,7 +70,7 @@
                 message,
             }),
         };
-        self.give(to, life, input);
+        self.deliver_input(to, start_count, input);
     }
 
     pub(crate) fn is_cut(&self, a: &VmId, b: &VmId) -> bool {
@@ -69,9 +78,9 @@
     }
 
     pub(crate) fn on_connect(&mut self) {
-        self.schedule_after(CONNECT_US, Due::Connect);
+        self.schedule_after(CONNECT_INTERVAL_US, ScheduledEvent::Connect);
         let wanted: Vec<(VmId, VmId)> = self
-            .wants
+            .wanted_links
             .iter()
             .flat_map(|(from, to)| to.iter().map(move |to| (from.clone(), to.clone())))
             .collect();
@@ -79,45 +88,45 @@
             let lives = |vm: &VmId| {
                 self.nodes
                     .get(vm)
-                    .is_some_and(|node| node.core.is_some() && !node.paused)
+                    .is_some_and(|node| node.logic.is_some() && !node.is_paused)
             };
             if !lives(&a) || !lives(&b) || self.is_cut(&a, &b) {
                 continue;
             }
-            let link = self.links.entry(pair(&a, &b)).or_default();
-            if link.up || link.connecting {
+            let link = self.links.entry(link_key(&a, &b)).or_default();
+            if link.is_up || link.is_connecting {
                 continue;
             }
             link.generation += 1;
-            link.connecting = true;
+            link.is_connecting = true;
             let generation = link.generation;
-            let delay = self.delay();
-            self.schedule_after(delay, Due::LinkUp { a, b, generation });
+            let delay = self.draw_link_delay();
+            self.schedule_after(delay, ScheduledEvent::LinkUp { a, b, generation });
         }
     }
 
     pub(crate) fn on_link_up(&mut self, a: &VmId, b: &VmId, generation: u64) {
         let peers = (self.peer(a), self.peer(b));
         let cut = self.is_cut(a, b);
-        let Some(link) = self.links.get_mut(&pair(a, b)) else {
+        let Some(link) = self.links.get_mut(&link_key(a, b)) else {
             return;
         };
         if link.generation != generation {
             return;
         }
-        link.connecting = false;
+        link.is_connecting = false;
         let (Some(peer_a), Some(peer_b)) = peers else {
             return;
         };
         if cut {
             return;
         }
-        link.up = true;
-        self.give_link_up(a, peer_b);
-        self.give_link_up(b, peer_a);
+        link.is_up = true;
+        self.deliver_link_up(a, peer_b);
+        self.deliver_link_up(b, peer_a);
     }
 
-    pub(crate) fn give_link_up(&mut self, to: &VmId, peer: Peer) {
+    pub(crate) fn deliver_link_up(&mut self, to: &VmId, peer: Peer) {
         let Some(node) = self.nodes.get(to) else {
             return;
         };
@@ -125,23 +134,23 @@
             VmRole::Entry => Input::Entry(EntryInput::LinkUp(peer)),
             VmRole::Sidecar => Input::Sidecar(SidecarInput::LinkUp(peer)),
         };
-        let life = node.life;
-        self.give(to, life, input);
+        let start_count = node.start_count;
+        self.deliver_input(to, start_count, input);
     }
 
     pub(crate) fn peer(&self, vm: &VmId) -> Option<Peer> {
-        match self.nodes.get(vm)?.core.as_ref()? {
-            Core::Entry(entry) => Some(entry.peer()),
-            Core::Sidecar(sidecar) => Some(sidecar.peer()),
+        match self.nodes.get(vm)?.logic.as_ref()? {
+            ProcessLogic::Entry(entry) => Some(entry.peer()),
+            ProcessLogic::Sidecar(sidecar) => Some(sidecar.peer()),
         }
     }
 
-    pub(crate) fn link_down(&mut self, a: &VmId, b: &VmId) {
-        let Some(link) = self.links.get_mut(&pair(a, b)) else {
+    pub(crate) fn close_link(&mut self, a: &VmId, b: &VmId) {
+        let Some(link) = self.links.get_mut(&link_key(a, b)) else {
             return;
         };
-        link.connecting = false;
-        if !std::mem::take(&mut link.up) {
+        link.is_connecting = false;
+        if !std::mem::take(&mut link.is_up) {
             return;
         }
         link.generation += 1;
@@ -149,12 +158,12 @@
             let Some(node) = self.nodes.get(to) else {
                 continue;
             };
-            let life = node.life;
+            let start_count = node.start_count;
             let input = match node.role {
                 VmRole::Entry => Input::Entry(EntryInput::LinkDown(gone.clone())),
                 VmRole::Sidecar => Input::Sidecar(SidecarInput::LinkDown(gone.clone())),
             };
-            self.give(to, life, input);
+            self.deliver_input(to, start_count, input);
         }
     }
 }
--- a/standins/src/chaos_platform.rs
+++ b/standins/src/chaos_platform.rs
@@ -8,26 +8,29 @@
 use rand::RngExt;
 
 use crate::chaos_callers::{ENGINE_SERVICE, PLAIN_SERVICE, service_name};
-use crate::chaos_world::{Core, Due, Input, READ_MAX, VM_LIST_US, World, document, outcome_of};
+use crate::chaos_world::{
+    Input, MAX_READ_RECORDS, ProcessLogic, ScheduledEvent, VM_LIST_INTERVAL_US, World,
+    append_outcome, service_document,
+};
 
 impl World {
-    pub(crate) fn do_log(&mut self, vm: &VmId, life: u64, action: JournalAction) {
-        let delay = self.log_delay();
+    pub(crate) fn run_log_action(&mut self, vm: &VmId, start_count: u64, action: JournalAction) {
+        let delay = self.draw_log_delay();
         let due = match action {
             JournalAction::Append {
                 stream,
                 batch,
                 records,
-            } => Due::LogAppend {
+            } => ScheduledEvent::LogAppend {
                 vm: vm.clone(),
-                life,
+                start_count,
                 stream,
                 batch,
                 records,
             },
-            JournalAction::Read { stream, from } => Due::LogRead {
+            JournalAction::Read { stream, from } => ScheduledEvent::LogRead {
                 vm: vm.clone(),
-                life,
+                start_count,
                 stream,
                 from,
             },
@@ -35,17 +38,31 @@
         self.schedule_after(delay, due);
     }
 
-    pub(crate) fn on_log_read(&mut self, vm: VmId, life: u64, stream: StreamName, from: Offset) {
-        let answer: Option<ReadResponse> = self.log.read(self.now, stream, from, READ_MAX).ok();
-        let delay = self.log_delay();
+    pub(crate) fn on_log_read(
+        &mut self,
+        vm: VmId,
+        start_count: u64,
+        stream: StreamName,
+        from: Offset,
+    ) {
+        let answer: Option<ReadResponse> =
+            self.log.read(self.now, stream, from, MAX_READ_RECORDS).ok();
+        let delay = self.draw_log_delay();
         let input = Box::new(EntryInput::LogRead { stream, answer });
-        self.schedule_after(delay, Due::LogAnswer { vm, life, input });
+        self.schedule_after(
+            delay,
+            ScheduledEvent::LogResponse {
+                vm,
+                start_count,
+                input,
+            },
+        );
     }
 
     pub(crate) fn on_log_append(
         &mut self,
         vm: VmId,
-        life: u64,
+        start_count: u64,
         stream: StreamName,
         batch: u64,
         records: &[Record],
@@ -53,18 +70,25 @@
         let texts = records
             .iter()
             .map(|r| serde_json::to_string(r).expect("serializable"));
-        let outcome = outcome_of(&self.log.append(self.now, stream, texts.collect()));
+        let outcome = append_outcome(&self.log.append(self.now, stream, texts.collect()));
         self.counts.add("appends");
         if outcome == AppendOutcome::Unknown {
             self.counts.add("append answers lost");
         }
-        let delay = self.log_delay();
+        let delay = self.draw_log_delay();
         let input = Box::new(EntryInput::LogAppended {
             stream,
             batch,
             outcome,
         });
-        self.schedule_after(delay, Due::LogAnswer { vm, life, input });
+        self.schedule_after(
+            delay,
+            ScheduledEvent::LogResponse {
+                vm,
+                start_count,
+                input,
+            },
+        );
     }
 
     pub(crate) fn on_publish(&mut self) {
@@ -82,12 +106,13 @@
                     operation: OperationId(u128::from(self.rng.random_range(1..u64::MAX))),
                     service: service_name(service),
                     base,
-                    document: document(service, self.published),
+                    document: service_document(service, self.published),
                 },
             };
             let text = serde_json::to_string(&record).expect("serializable");
-            let outcome = outcome_of(&self.log.append(self.now, StreamName::Config, vec![text]));
-            self.note(|| format!("{author} publishes {service} over {base}: {outcome:?}"));
+            let outcome =
+                append_outcome(&self.log.append(self.now, StreamName::Config, vec![text]));
+            self.record_trace(|| format!("{author} publishes {service} over {base}: {outcome:?}"));
         }
     }
 
@@ -97,15 +122,15 @@
         let revisions = self
             .nodes
             .values()
-            .filter_map(|node| match node.core.as_ref()? {
-                Core::Entry(entry) => entry.revisions().get(&service).copied(),
-                Core::Sidecar(_) => None,
+            .filter_map(|node| match node.logic.as_ref()? {
+                ProcessLogic::Entry(entry) => entry.revisions().get(&service).copied(),
+                ProcessLogic::Sidecar(_) => None,
             });
         revisions.max().unwrap_or_default()
     }
 
     /// Enters a VM's present state into the list, which tells it with the next look.
-    pub(crate) fn list_vms(&mut self, vm: &VmId) {
+    pub(crate) fn update_vm_list(&mut self, vm: &VmId) {
         let Some(node) = self.nodes.get(vm) else {
             return;
         };
@@ -115,25 +140,29 @@
             service: node.service.map(service_name),
             zone: node.zone.clone(),
             link_address: format!("{vm}:0"),
-            state: if node.leaving {
+            state: if node.is_leaving {
                 VmState::Leaving
             } else {
                 VmState::Live
             },
         };
-        self.listed.retain(|listed| listed.id != *vm);
-        self.listed.push(entry);
+        self.vm_list.retain(|listed| listed.id != *vm);
+        self.vm_list.push(entry);
     }
 
     pub(crate) fn on_vm_list(&mut self) {
-        self.schedule_after(VM_LIST_US, Due::VmList);
-        let mut list = self.listed.clone();
+        self.schedule_after(VM_LIST_INTERVAL_US, ScheduledEvent::VmList);
+        let mut list = self.vm_list.clone();
         list.sort_by(|a, b| a.id.cmp(&b.id));
         for vm in self.nodes.keys().cloned().collect::<Vec<_>>() {
             let node = &self.nodes[&vm];
             if node.role == VmRole::Entry {
-                let life = node.life;
-                self.give(&vm, life, Input::Entry(EntryInput::Vms(list.clone())));
+                let start_count = node.start_count;
+                self.deliver_input(
+                    &vm,
+                    start_count,
+                    Input::Entry(EntryInput::Vms(list.clone())),
+                );
             }
         }
     }
--- a/standins/src/chaos_process.rs
+++ b/standins/src/chaos_process.rs
@@ -10,193 +10,205 @@
 
 use crate::chaos_backend::Backend;
 use crate::chaos_callers::service_name;
-use crate::chaos_world::{Core, Due, Input, TICK_US, World};
+use crate::chaos_world::{Input, ProcessLogic, ScheduledEvent, TICK_INTERVAL_US, World};
 
 impl World {
-    pub(crate) fn start(&mut self, vm: &VmId) {
+    pub(crate) fn start_process(&mut self, vm: &VmId) {
         let seed = self.rng.random_range(1..u64::MAX);
         let Some(node) = self.nodes.get_mut(vm) else {
             return;
         };
-        if node.core.is_some() {
+        if node.logic.is_some() {
             return;
         }
-        node.life += 1;
-        node.paused = false;
-        node.held.clear();
-        node.leaving = false;
-        let incarnation = Incarnation(node.life);
-        node.core = Some(match node.service {
+        node.start_count += 1;
+        node.is_paused = false;
+        node.paused_inputs.clear();
+        node.is_leaving = false;
+        let incarnation = Incarnation(node.start_count);
+        node.logic = Some(match node.service {
             None => {
                 let mut settings = EntrySettings::new(vm.clone(), incarnation, node.zone.clone());
                 settings.seed = seed;
                 settings.partition_count = 8;
                 settings.safeguards = self.settings.safeguards.clone();
-                Core::Entry(Box::new(Entry::new(settings)))
+                ProcessLogic::Entry(Box::new(Entry::new(settings)))
             }
             Some(service) => {
                 let service = service_name(service);
                 let mut settings =
                     SidecarSettings::new(vm.clone(), incarnation, node.zone.clone(), service);
                 settings.safeguards = self.settings.safeguards.clone();
-                Core::Sidecar(Box::new(Sidecar::new(settings)))
+                ProcessLogic::Sidecar(Box::new(Sidecar::new(settings)))
             }
         });
-        let life = node.life;
+        let start_count = node.start_count;
         self.checks.on_replaced(vm);
-        self.note(|| format!("{vm} starts, life {life}"));
+        self.record_trace(|| format!("{vm} starts, life {start_count}"));
         self.schedule_after(
-            SpanUs(seed % TICK_US.0),
-            Due::Tick {
+            SpanUs(seed % TICK_INTERVAL_US.0),
+            ScheduledEvent::Tick {
                 vm: vm.clone(),
-                life,
+                start_count,
             },
         );
-        self.list_vms(vm);
+        self.update_vm_list(vm);
     }
 
-    pub(crate) fn kill(&mut self, vm: &VmId) {
+    pub(crate) fn kill_process(&mut self, vm: &VmId) {
         let Some(node) = self.nodes.get_mut(vm) else {
             return;
         };
-        if node.core.take().is_none() {
+        if node.logic.take().is_none() {
             return;
         }
-        self.note(|| format!("{vm} dies"));
+        self.record_trace(|| format!("{vm} dies"));
         for other in self.nodes.keys().cloned().collect::<Vec<_>>() {
-            self.link_down(vm, &other);
+            self.close_link(vm, &other);
         }
-        self.cut_callers(vm);
+        self.disconnect_callers(vm);
     }
 
     /// The callers connected to an entry that is gone see their connections break.
-    pub(crate) fn cut_callers(&mut self, vm: &VmId) {
+    pub(crate) fn disconnect_callers(&mut self, vm: &VmId) {
         let cut: Vec<usize> = (0..self.callers.len())
             .filter(|&c| {
                 self.callers[c]
-                    .open
+                    .pending
                     .as_ref()
-                    .is_some_and(|open| open.entry == *vm)
+                    .is_some_and(|pending| pending.entry == *vm)
             })
             .collect();
         for caller in cut {
-            if let Some(open) = &self.callers[caller].open {
-                self.open.remove(&open.id);
+            if let Some(pending) = &self.callers[caller].pending {
+                self.callers_by_request.remove(&pending.id);
             }
             self.counts.add("connections broken");
-            let next = self.callers[caller].on_cut();
-            self.go_on(caller, next);
+            let next = self.callers[caller].on_disconnected();
+            self.schedule_next(caller, next);
         }
     }
 
-    pub(crate) fn give(&mut self, vm: &VmId, life: u64, input: Input) {
+    pub(crate) fn deliver_input(&mut self, vm: &VmId, start_count: u64, input: Input) {
         let Some(node) = self.nodes.get_mut(vm) else {
             return;
         };
-        if node.life != life || node.core.is_none() {
+        if node.start_count != start_count || node.logic.is_none() {
             return;
         }
-        if node.paused {
-            node.held.push_back(input);
+        if node.is_paused {
+            node.paused_inputs.push_back(input);
             return;
         }
         let now = self.now;
-        match (node.core.as_mut(), input) {
-            (Some(Core::Entry(entry)), Input::Entry(input)) => {
+        match (node.logic.as_mut(), input) {
+            (Some(ProcessLogic::Entry(entry)), Input::Entry(input)) => {
                 let mut out = Vec::new();
                 entry.handle(now, input, &mut out);
                 for action in out {
-                    self.do_entry(vm, life, action);
+                    self.run_entry_action(vm, start_count, action);
                 }
             }
-            (Some(Core::Sidecar(sidecar)), Input::Sidecar(input)) => {
+            (Some(ProcessLogic::Sidecar(sidecar)), Input::Sidecar(input)) => {
                 let mut out = Vec::new();
                 sidecar.handle(now, input, &mut out);
                 for action in out {
-                    self.do_sidecar(vm, life, action);
+                    self.run_sidecar_action(vm, start_count, action);
                 }
             }
             _ => {}
         }
     }
 
-    pub(crate) fn on_tick(&mut self, vm: VmId, life: u64) {
+    pub(crate) fn on_tick(&mut self, vm: VmId, start_count: u64) {
         let Some(node) = self.nodes.get(&vm) else {
             return;
         };
-        if node.life != life || node.core.is_none() {
+        if node.start_count != start_count || node.logic.is_none() {
             return;
         }
         let role = node.role;
-        if !node.paused {
+        if !node.is_paused {
             let input = match role {
                 VmRole::Entry => Input::Entry(EntryInput::Tick),
                 VmRole::Sidecar => Input::Sidecar(SidecarInput::Tick),
             };
-            self.give(&vm, life, input);
-            self.poll_backend(&vm, life);
+            self.deliver_input(&vm, start_count, input);
+            self.poll_backend(&vm, start_count);
             self.check_revisions(&vm);
         }
-        self.schedule_after(TICK_US, Due::Tick { vm, life });
+        self.schedule_after(TICK_INTERVAL_US, ScheduledEvent::Tick { vm, start_count });
     }
 
-    pub(crate) fn poll_backend(&mut self, vm: &VmId, life: u64) {
+    pub(crate) fn poll_backend(&mut self, vm: &VmId, start_count: u64) {
         let Some(backend) = self.backends.get_mut(vm) else {
             return;
         };
-        let load = backend.load(self.now);
+        let load = backend.load_report(self.now);
         let cache = backend.cache_events(self.now);
         if let Some(load) = load {
-            self.give(vm, life, Input::Sidecar(SidecarInput::Load(load)));
+            self.deliver_input(vm, start_count, Input::Sidecar(SidecarInput::Load(load)));
         }
         if let Some((first, events)) = cache {
-            self.give(
+            self.deliver_input(
                 vm,
-                life,
+                start_count,
                 Input::Sidecar(SidecarInput::Cache { first, events }),
             );
         }
     }
 
     pub(crate) fn check_revisions(&mut self, vm: &VmId) {
-        let Some(core) = self.nodes.get(vm).and_then(|node| node.core.as_ref()) else {
+        let Some(logic) = self.nodes.get(vm).and_then(|node| node.logic.as_ref()) else {
             return;
         };
-        let revisions = match core {
-            Core::Entry(entry) => entry.revisions(),
-            Core::Sidecar(sidecar) => sidecar.revisions(),
+        let revisions = match logic {
+            ProcessLogic::Entry(entry) => entry.revisions(),
+            ProcessLogic::Sidecar(sidecar) => sidecar.revisions(),
         };
         for (service, revision) in revisions {
             self.checks.on_revision(vm, &service, revision);
         }
     }
 
-    pub(crate) fn do_entry(&mut self, vm: &VmId, life: u64, action: EntryAction) {
+    pub(crate) fn run_entry_action(&mut self, vm: &VmId, start_count: u64, action: EntryAction) {
         match action {
             EntryAction::Send { to, message } => self.send(vm, to, message),
             EntryAction::Connect(vms) => {
                 let wanted = vms
                     .into_iter()
                     .filter(|other| other.role == VmRole::Sidecar || other.id > *vm);
-                self.wants
+                self.wanted_links
                     .insert(vm.clone(), wanted.map(|other| other.id).collect());
             }
-            EntryAction::Disconnect(other) => self.link_down(vm, &other),
-            EntryAction::Answer { request, part } => self.on_answer(vm, request, &part),
-            EntryAction::Log(action) => self.do_log(vm, life, action),
+            EntryAction::Disconnect(other) => self.close_link(vm, &other),
+            EntryAction::Answer { request, part } => self.on_response_part(vm, request, &part),
+            EntryAction::Log(action) => self.run_log_action(vm, start_count, action),
             EntryAction::Event(event) => self.on_event(vm, &event),
-            EntryAction::Finished => self.on_finished(vm),
+            EntryAction::Finished => self.on_shutdown_complete(vm),
         }
     }
 
     /// Lets the backend server's answer come to its sidecar after a while.
-    fn answer_sidecar(&mut self, vm: &VmId, life: u64, input: SidecarInput) {
-        let delay = self.delay();
+    fn answer_sidecar(&mut self, vm: &VmId, start_count: u64, input: SidecarInput) {
+        let delay = self.draw_link_delay();
         let (vm, input) = (vm.clone(), Box::new(input));
-        self.schedule_after(delay, Due::Answered { vm, life, input });
+        self.schedule_after(
+            delay,
+            ScheduledEvent::BackendResponse {
+                vm,
+                start_count,
+                input,
+            },
+        );
     }
 
-    pub(crate) fn do_sidecar(&mut self, vm: &VmId, life: u64, action: SidecarAction) {
+    pub(crate) fn run_sidecar_action(
+        &mut self,
+        vm: &VmId,
+        start_count: u64,
+        action: SidecarAction,
+    ) {
         match action {
             SidecarAction::Send { to, message } => self.send(vm, to, message),
             SidecarAction::Generate(body) => {
@@ -204,14 +216,14 @@
                     return;
                 };
                 let started = backend.generate(self.now, *body);
-                self.on_started(vm, started);
+                self.on_call_started(vm, started);
             }
             SidecarAction::Call { attempt, call, .. } => {
                 let Some(backend) = self.backends.get_mut(vm) else {
                     return;
                 };
                 let started = backend.call(self.now, attempt, &call);
-                self.on_started(vm, started);
+                self.on_call_started(vm, started);
             }
             SidecarAction::Cancel(attempt) => {
                 if let Some(backend) = self.backends.get_mut(vm) {
@@ -228,7 +240,7 @@
                     program,
                     freed_tokens,
                 };
-                self.answer_sidecar(vm, life, input);
+                self.answer_sidecar(vm, start_count, input);
             }
             SidecarAction::Retain { chains } => {
                 let Some(backend) = self.backends.get_mut(vm) else {
@@ -239,7 +251,7 @@
             }
             SidecarAction::Order { .. } => {}
             SidecarAction::Log(event) => self.on_event(vm, &event),
-            SidecarAction::Finished => self.on_finished(vm),
+            SidecarAction::Finished => self.on_shutdown_complete(vm),
         }
     }
 
@@ -249,7 +261,7 @@
             .iter()
             .map(|(name, value)| format!("{name}={value}"))
             .collect();
-        self.note(|| format!("{vm}: {} {}", event.kind.name(), fields.join(" ")));
+        self.record_trace(|| format!("{vm}: {} {}", event.kind.name(), fields.join(" ")));
         self.counts.add(event.kind.name());
         if event.kind == EventKind::InvariantBroken {
             self.checks
@@ -257,21 +269,21 @@
         }
     }
 
-    pub(crate) fn on_finished(&mut self, vm: &VmId) {
+    pub(crate) fn on_shutdown_complete(&mut self, vm: &VmId) {
         let Some(node) = self.nodes.get(vm) else {
             return;
         };
-        if node.core.is_none() {
+        if node.logic.is_none() {
             return;
         }
         self.counts.add("graceful shutdowns");
-        let open = self
+        let pending = self
             .callers
             .iter()
-            .filter_map(|caller| caller.open.as_ref());
-        if let Some(cut) = open
-            .filter(|open| open.entry == *vm)
-            .map(|open| open.id)
+            .filter_map(|caller| caller.pending.as_ref());
+        if let Some(cut) = pending
+            .filter(|pending| pending.entry == *vm)
+            .map(|pending| pending.id)
             .next()
         {
             self.checks.fail(
@@ -285,7 +297,10 @@
                 format!("{vm} exits while its backend runs"),
             );
         }
-        self.kill(vm);
-        self.schedule_after(SpanUs::from_s(1), Due::Start { vm: vm.clone() });
+        self.kill_process(vm);
+        self.schedule_after(
+            SpanUs::from_s(1),
+            ScheduledEvent::StartProcess { vm: vm.clone() },
+        );
     }
 }
--- a/standins/src/chaos_world.rs
+++ b/standins/src/chaos_world.rs
@@ -1,6 +1,6 @@
 //! The world of a chaos run: processes, links, callers and the platform in virtual time.
 //!
-//! Everything that will happen lies in one queue ordered by time; one random number generator,
+//! Everything that will dispatch lies in one queue ordered by time; one random number generator,
 //! seeded, draws all that is left to chance. So a seed gives the same run, byte for byte.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -25,28 +25,28 @@
 use crate::log_service::{LogError, LogService, LogSettings};
 
 /// The time between two ticks of a process.
-pub(crate) const TICK_US: SpanUs = SpanUs::from_ms(20);
+pub(crate) const TICK_INTERVAL_US: SpanUs = SpanUs::from_ms(20);
 /// One-way delay between two processes.
-pub(crate) const DELAY_US: (u64, u64) = (300, 2_500);
+pub(crate) const LINK_DELAY_RANGE_US: (u64, u64) = (300, 2_500);
 /// Delay of an answer of the log.
-pub(crate) const LOG_DELAY_US: (u64, u64) = (2_000, 12_000);
+pub(crate) const LOG_DELAY_RANGE_US: (u64, u64) = (2_000, 12_000);
 /// The time between two looks at the VM list.
-pub(crate) const VM_LIST_US: SpanUs = SpanUs::from_s(1);
+pub(crate) const VM_LIST_INTERVAL_US: SpanUs = SpanUs::from_s(1);
 /// The time between two attempts to bring up missing links.
-pub(crate) const CONNECT_US: SpanUs = SpanUs::from_ms(200);
+pub(crate) const CONNECT_INTERVAL_US: SpanUs = SpanUs::from_ms(200);
 /// How long a link lives on while one direction is cut: retransmission gives up.
-pub(crate) const CUT_LINK_US: SpanUs = SpanUs::from_s(5);
+pub(crate) const RETRANSMISSION_TIMEOUT_US: SpanUs = SpanUs::from_s(5);
 /// The most records that one read returns.
-pub(crate) const READ_MAX: usize = 500;
+pub(crate) const MAX_READ_RECORDS: usize = 500;
 /// A caller that hears nothing this long after its deadline was forgotten.
-pub(crate) const FORGOTTEN_US: SpanUs = SpanUs::from_s(30);
+pub(crate) const RESPONSE_GRACE_US: SpanUs = SpanUs::from_s(30);
 
-/// What can happen next.
+/// What can dispatch next.
 #[derive(Debug, Clone)]
-pub(crate) enum Due {
+pub(crate) enum ScheduledEvent {
     Tick {
         vm: VmId,
-        life: u64,
+        start_count: u64,
     },
     Deliver {
         from: VmId,
@@ -60,31 +60,31 @@
         generation: u64,
     },
     Connect,
-    Backend {
+    BackendWakeup {
         vm: VmId,
     },
     LogRead {
         vm: VmId,
-        life: u64,
+        start_count: u64,
         stream: StreamName,
         from: Offset,
     },
     LogAppend {
         vm: VmId,
-        life: u64,
+        start_count: u64,
         stream: StreamName,
         batch: u64,
         records: Vec<Record>,
     },
-    LogAnswer {
+    LogResponse {
         vm: VmId,
-        life: u64,
+        start_count: u64,
         input: Box<EntryInput>,
     },
     VmList,
-    Answered {
+    BackendResponse {
         vm: VmId,
-        life: u64,
+        start_count: u64,
         input: Box<SidecarInput>,
     },
     Send {
@@ -93,16 +93,16 @@
     Arrive {
         caller: usize,
         entry: VmId,
-        life: u64,
+        start_count: u64,
         request: RequestId,
     },
-    Forgotten {
+    ResponseTimeout {
         caller: usize,
         request: RequestId,
     },
     Fault(Fault),
-    Heal(Fault),
-    Start {
+    EndFault(Fault),
+    StartProcess {
         vm: VmId,
     },
     Publish,
@@ -110,7 +110,7 @@
 
 /// The decisions of a process.
 #[derive(Debug)]
-pub(crate) enum Core {
+pub(crate) enum ProcessLogic {
     Entry(Box<Entry>),
     Sidecar(Box<Sidecar>),
 }
@@ -127,19 +127,19 @@
     pub(crate) role: VmRole,
     pub(crate) zone: ZoneName,
     pub(crate) service: Option<&'static str>,
-    pub(crate) core: Option<Core>,
-    pub(crate) life: u64,
-    pub(crate) paused: bool,
+    pub(crate) logic: Option<ProcessLogic>,
+    pub(crate) start_count: u64,
+    pub(crate) is_paused: bool,
     /// What came while the process was paused.
-    pub(crate) held: VecDeque<Input>,
-    pub(crate) leaving: bool,
+    pub(crate) paused_inputs: VecDeque<Input>,
+    pub(crate) is_leaving: bool,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Link {
     pub(crate) generation: u64,
-    pub(crate) up: bool,
-    pub(crate) connecting: bool,
+    pub(crate) is_up: bool,
+    pub(crate) is_connecting: bool,
 }
 
 /// What a run counted.
@@ -165,11 +165,11 @@
     /// The count of engines, each with its sidecar.
     pub engines: usize,
     /// The count of servers of the plain service.
-    pub plains: usize,
+    pub plain_servers: usize,
     /// The count of programs.
     pub programs: usize,
     /// When the last program starts and the last fault strikes.
-    pub busy_us: SpanUs,
+    pub active_phase_us: SpanUs,
     /// The lines of the trace that are kept.
     pub trace_lines: usize,
     /// The safeguards in force.
@@ -182,9 +182,9 @@
             seed: 0,
             entries: 3,
             engines: 3,
-            plains: 2,
+            plain_servers: 2,
             programs: 40,
-            busy_us: SpanUs::from_s(60),
+            active_phase_us: SpanUs::from_s(60),
             trace_lines: 400,
             safeguards: Safeguards::default(),
         }
@@ -196,20 +196,20 @@
     pub(crate) settings: WorldSettings,
     pub(crate) now: TimeUs,
     pub(crate) rng: ChaCha12Rng,
-    pub(crate) due: BTreeMap<(TimeUs, u64), Due>,
-    pub(crate) next_due: u64,
+    pub(crate) event_queue: BTreeMap<(TimeUs, u64), ScheduledEvent>,
+    pub(crate) next_event_seq: u64,
     pub(crate) nodes: BTreeMap<VmId, Node>,
     pub(crate) backends: BTreeMap<VmId, Backend>,
     pub(crate) links: BTreeMap<(VmId, VmId), Link>,
-    pub(crate) wants: BTreeMap<VmId, BTreeSet<VmId>>,
+    pub(crate) wanted_links: BTreeMap<VmId, BTreeSet<VmId>>,
     /// When the last message of each direction is due.
-    pub(crate) last_due: BTreeMap<(VmId, VmId), TimeUs>,
+    pub(crate) last_delivery_us: BTreeMap<(VmId, VmId), TimeUs>,
     pub(crate) cuts: BTreeSet<(VmId, VmId)>,
     /// What waits in the sender's buffers while its direction is cut, with the link's generation.
     pub(crate) stalled: BTreeMap<(VmId, VmId), VecDeque<(u64, Message)>>,
     pub(crate) log: LogService,
     pub(crate) callers: Vec<Caller>,
-    pub(crate) open: BTreeMap<RequestId, usize>,
+    pub(crate) callers_by_request: BTreeMap<RequestId, usize>,
     /// What callers and backend servers have seen.
     pub checks: Checks,
     /// What happened how often.
@@ -219,7 +219,7 @@
     pub(crate) steps: u64,
     pub(crate) published: u64,
     /// The last listed state of the VMs, which lags.
-    pub(crate) listed: Vec<Vm>,
+    pub(crate) vm_list: Vec<Vm>,
 }
 
 impl World {
@@ -230,13 +230,13 @@
         let mut world = Self {
             now: TimeUs(0),
             rng,
-            due: BTreeMap::new(),
-            next_due: 0,
+            event_queue: BTreeMap::new(),
+            next_event_seq: 0,
             nodes: BTreeMap::new(),
             backends: BTreeMap::new(),
             links: BTreeMap::new(),
-            wants: BTreeMap::new(),
-            last_due: BTreeMap::new(),
+            wanted_links: BTreeMap::new(),
+            last_delivery_us: BTreeMap::new(),
             cuts: BTreeSet::new(),
             stalled: BTreeMap::new(),
             log: LogService::new(LogSettings {
@@ -244,23 +244,23 @@
                 ..LogSettings::default()
             }),
             callers: Vec::new(),
-            open: BTreeMap::new(),
+            callers_by_request: BTreeMap::new(),
             checks: Checks::default(),
             counts: Counts::default(),
             trace: VecDeque::new(),
             trace_digest: 0,
             steps: 0,
             published: 0,
-            listed: Vec::new(),
+            vm_list: Vec::new(),
             settings,
         };
         world.add_nodes();
         world.add_callers();
-        world.schedule(TimeUs(0), Due::Publish);
-        world.schedule(TimeUs(1), Due::VmList);
-        world.schedule(TimeUs(2), Due::Connect);
+        world.schedule(TimeUs(0), ScheduledEvent::Publish);
+        world.schedule(TimeUs(1), ScheduledEvent::VmList);
+        world.schedule(TimeUs(2), ScheduledEvent::Connect);
         for (at, fault) in faults {
-            world.schedule(at, Due::Fault(fault));
+            world.schedule(at, ScheduledEvent::Fault(fault));
         }
         world
     }
@@ -281,11 +281,11 @@
                 role,
                 zone: zones[at % zones.len()].clone(),
                 service,
-                core: None,
-                life: 0,
-                paused: false,
-                held: VecDeque::new(),
-                leaving: false,
+                logic: None,
+                start_count: 0,
+                is_paused: false,
+                paused_inputs: VecDeque::new(),
+                is_leaving: false,
             };
             self.nodes.insert(vm, node);
         };
@@ -300,7 +300,7 @@
                 Some(ENGINE_SERVICE),
             );
         }
-        for at in 0..self.settings.plains {
+        for at in 0..self.settings.plain_servers {
             add(
                 format!("plain-{at}"),
                 at,
@@ -309,7 +309,7 @@
             );
         }
         for vm in self.nodes.keys().cloned().collect::<Vec<_>>() {
-            self.start(&vm);
+            self.start_process(&vm);
         }
     }
 
@@ -318,29 +318,37 @@
             let caller = Caller::draw(number as u64, &mut self.rng);
             self.checks.on_budget(&caller.program, caller.budget);
             self.callers.push(caller);
-            let at = self.rng.random_range(2_000_000..self.settings.busy_us.0);
-            self.schedule(TimeUs(at), Due::Send { caller: number });
+            let at = self
+                .rng
+                .random_range(2_000_000..self.settings.active_phase_us.0);
+            self.schedule(TimeUs(at), ScheduledEvent::Send { caller: number });
         }
     }
 
-    pub(crate) fn schedule(&mut self, at: TimeUs, due: Due) {
-        self.next_due += 1;
-        self.due.insert((at, self.next_due), due);
+    pub(crate) fn schedule(&mut self, at: TimeUs, due: ScheduledEvent) {
+        self.next_event_seq += 1;
+        self.event_queue.insert((at, self.next_event_seq), due);
     }
 
-    pub(crate) fn schedule_after(&mut self, span: SpanUs, due: Due) {
+    pub(crate) fn schedule_after(&mut self, span: SpanUs, due: ScheduledEvent) {
         self.schedule(self.now.after(span), due);
     }
 
-    pub(crate) fn delay(&mut self) -> SpanUs {
-        SpanUs(self.rng.random_range(DELAY_US.0..DELAY_US.1))
+    pub(crate) fn draw_link_delay(&mut self) -> SpanUs {
+        SpanUs(
+            self.rng
+                .random_range(LINK_DELAY_RANGE_US.0..LINK_DELAY_RANGE_US.1),
+        )
     }
 
-    pub(crate) fn log_delay(&mut self) -> SpanUs {
-        SpanUs(self.rng.random_range(LOG_DELAY_US.0..LOG_DELAY_US.1))
+    pub(crate) fn draw_log_delay(&mut self) -> SpanUs {
+        SpanUs(
+            self.rng
+                .random_range(LOG_DELAY_RANGE_US.0..LOG_DELAY_RANGE_US.1),
+        )
     }
 
-    pub(crate) fn note(&mut self, line: impl FnOnce() -> String) {
+    pub(crate) fn record_trace(&mut self, line: impl FnOnce() -> String) {
         let line = format!("{:>10} {}", self.now.0, line());
         self.trace_digest = xxh3_64_with_seed(line.as_bytes(), self.trace_digest);
         if self.trace.len() >= self.settings.trace_lines {
@@ -378,27 +386,27 @@
         &self.callers
     }
 
-    /// Lets the next thing happen; false when a promise is broken or nothing is left.
+    /// Lets the next thing dispatch; false when a promise is broken or nothing is left.
     pub fn step(&mut self) -> bool {
-        let Some(((at, _), due)) = self.due.pop_first() else {
+        let Some(((at, _), due)) = self.event_queue.pop_first() else {
             return false;
         };
         self.now = at;
         self.steps += 1;
-        self.happen(due);
+        self.dispatch(due);
         self.checks.violation.is_none()
     }
 
     /// Whether every program has ended.
     #[must_use]
     pub fn all_ended(&self) -> bool {
-        self.callers.iter().all(|caller| caller.ending.is_some())
+        self.callers.iter().all(|caller| caller.outcome.is_some())
     }
 
-    fn happen(&mut self, due: Due) {
+    fn dispatch(&mut self, due: ScheduledEvent) {
         match due {
-            Due::Tick { vm, life } => self.on_tick(vm, life),
-            Due::Deliver {
+            ScheduledEvent::Tick { vm, start_count } => self.on_tick(vm, start_count),
+            ScheduledEvent::Deliver {
                 from,
                 to,
                 generation,
@@ -406,46 +414,56 @@
             } => {
                 self.on_deliver(&from, &to, generation, *message);
             }
-            Due::LinkUp { a, b, generation } => self.on_link_up(&a, &b, generation),
-            Due::Connect => self.on_connect(),
-            Due::Backend { vm } => self.on_backend(&vm),
-            Due::LogRead {
+            ScheduledEvent::LinkUp { a, b, generation } => self.on_link_up(&a, &b, generation),
+            ScheduledEvent::Connect => self.on_connect(),
+            ScheduledEvent::BackendWakeup { vm } => self.on_backend_wakeup(&vm),
+            ScheduledEvent::LogRead {
                 vm,
-                life,
+                start_count,
                 stream,
                 from,
-            } => self.on_log_read(vm, life, stream, from),
-            Due::LogAppend {
+            } => self.on_log_read(vm, start_count, stream, from),
+            ScheduledEvent::LogAppend {
                 vm,
-                life,
+                start_count,
                 stream,
                 batch,
                 records,
             } => {
-                self.on_log_append(vm, life, stream, batch, &records);
+                self.on_log_append(vm, start_count, stream, batch, &records);
             }
-            Due::LogAnswer { vm, life, input } => self.give(&vm, life, Input::Entry(*input)),
-            Due::VmList => self.on_vm_list(),
-            Due::Answered { vm, life, input } => self.give(&vm, life, Input::Sidecar(*input)),
-            Due::Send { caller } => self.on_send(caller),
-            Due::Arrive {
+            ScheduledEvent::LogResponse {
+                vm,
+                start_count,
+                input,
+            } => self.deliver_input(&vm, start_count, Input::Entry(*input)),
+            ScheduledEvent::VmList => self.on_vm_list(),
+            ScheduledEvent::BackendResponse {
+                vm,
+                start_count,
+                input,
+            } => self.deliver_input(&vm, start_count, Input::Sidecar(*input)),
+            ScheduledEvent::Send { caller } => self.on_send(caller),
+            ScheduledEvent::Arrive {
                 caller,
                 entry,
-                life,
+                start_count,
                 request,
             } => {
-                self.on_arrive(caller, &entry, life, request);
+                self.on_arrive(caller, &entry, start_count, request);
+            }
+            ScheduledEvent::ResponseTimeout { caller, request } => {
+                self.on_response_timeout(caller, request)
             }
-            Due::Forgotten { caller, request } => self.on_forgotten(caller, request),
-            Due::Fault(fault) => self.on_fault(&fault),
-            Due::Heal(fault) => self.on_heal(&fault),
-            Due::Start { vm } => self.start(&vm),
-            Due::Publish => self.on_publish(),
+            ScheduledEvent::Fault(fault) => self.inject_fault(&fault),
+            ScheduledEvent::EndFault(fault) => self.end_fault(&fault),
+            ScheduledEvent::StartProcess { vm } => self.start_process(&vm),
+            ScheduledEvent::Publish => self.on_publish(),
         }
     }
 
     /// Checks what must hold once everything is quiet: no engine memory for ended programs.
-    pub fn check_quiet(&mut self) {
+    pub fn check_memory_released(&mut self) {
         for caller in &self.callers {
             self.checks.on_ended(self.now, &caller.program);
         }
@@ -454,13 +472,13 @@
             .iter()
             .flat_map(|(vm, backend)| {
                 backend
-                    .held()
+                    .cached_tokens()
                     .into_iter()
                     .map(move |(program, held)| (vm.clone(), program, held))
             })
             .collect();
         for (vm, program, held) in held {
-            self.checks.on_held(&vm, &program, held);
+            self.checks.on_memory_held(&vm, &program, held);
         }
     }
 
@@ -470,19 +488,19 @@
     ///
     /// Never: a kind and a number make a name.
     #[must_use]
-    pub fn vms(settings: &WorldSettings) -> (Vec<VmId>, Vec<VmId>) {
+    pub fn vm_ids(settings: &WorldSettings) -> (Vec<VmId>, Vec<VmId>) {
         let named = |kind: &str, count: usize| {
             (0..count)
                 .map(move |at| format!("{kind}-{at}").parse().expect("a name"))
                 .collect::<Vec<VmId>>()
         };
         let mut sidecars = named("engine", settings.engines);
-        sidecars.extend(named("plain", settings.plains));
+        sidecars.extend(named("plain", settings.plain_servers));
         (named("entry", settings.entries), sidecars)
     }
 }
 
-pub(crate) fn outcome_of(answer: &Result<AppendResponse, LogError>) -> AppendOutcome {
+pub(crate) fn append_outcome(answer: &Result<AppendResponse, LogError>) -> AppendOutcome {
     match answer {
         Ok(answer) => AppendOutcome::Appended(answer.first_offset),
         Err(LogError::RateLimited(_) | LogError::Down) => AppendOutcome::Refused,
@@ -490,7 +508,7 @@
     }
 }
 
-pub(crate) fn pair(a: &VmId, b: &VmId) -> (VmId, VmId) {
+pub(crate) fn link_key(a: &VmId, b: &VmId) -> (VmId, VmId) {
     if a < b {
         (a.clone(), b.clone())
     } else {
@@ -499,7 +517,7 @@
 }
 
 /// The document of a service; each publication differs a little.
-pub(crate) fn document(service: &str, edition: u64) -> String {
+pub(crate) fn service_document(service: &str, edition: u64) -> String {
     let weight = 1 + edition % 5;
     match service {
         ENGINE_SERVICE => format!(
--- a/standins/src/soak.rs
+++ b/standins/src/soak.rs
@@ -19,8 +19,8 @@
 use crate::platform_caller::CallerRequest;
 use crate::platform_run::{is_ready, wait_until};
 use crate::soak_callers::Callers;
-use crate::soak_faults::{Fault, PlannedFault, plan};
-use crate::soak_history::{History, check};
+use crate::soak_faults::{Fault, PlannedFault, plan_faults};
+use crate::soak_history::{History, find_violations};
 use crate::soak_world::{GATEWAYS, SoakWorld, find_daemon};
 
 /// Callers that run programs.
@@ -57,15 +57,15 @@
 
 /// The end of one run.
 #[derive(Debug)]
-pub struct SoakEnd {
+pub struct SoakResult {
     /// The broken promises.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// How many requests callers sent.
-    pub attempts: usize,
+    pub request_count: usize,
     /// How many of them had a whole answer.
-    pub served: usize,
+    pub served_count: usize,
     /// How many faults came.
-    pub faults: usize,
+    pub fault_count: usize,
 }
 
 /// Set once this process was told to end.
@@ -149,15 +149,15 @@
             }
             println!(
                 "seed {seed}: {} faults, {} of {} requests served, {} promises broken",
-                end.faults,
-                end.served,
-                end.attempts,
-                end.broken.len()
+                end.fault_count,
+                end.served_count,
+                end.request_count,
+                end.violations.len()
             );
-            for line in &end.broken {
+            for line in &end.violations {
                 println!("  {line}");
             }
-            broken += usize::from(!end.broken.is_empty());
+            broken += usize::from(!end.violations.is_empty());
         }
         if broken > 0 {
             let detail = format!("{broken} seeds with a broken promise");
@@ -171,11 +171,11 @@
     /// # Errors
     ///
     /// A port, thread, file or process can't be had.
-    pub fn run_seed(&self, seed: u64) -> Result<SoakEnd, Failure> {
+    pub fn run_seed(&self, seed: u64) -> Result<SoakResult, Failure> {
         self.run_one(seed, &Interrupt::default())
     }
 
-    fn run_one(&self, seed: u64, interrupt: &Interrupt) -> Result<SoakEnd, Failure> {
+    fn run_one(&self, seed: u64, interrupt: &Interrupt) -> Result<SoakResult, Failure> {
         let daemon = match &self.daemon {
             Some(daemon) => daemon.clone(),
             None => find_daemon()?,
@@ -186,7 +186,7 @@
         let world = SoakWorld::start(&daemon, &directory)?;
         let end = play(&world, seed, Duration::from_secs(self.seconds), interrupt);
         drop(world);
-        if end.broken.is_empty() {
+        if end.violations.is_empty() {
             // What stays behind is only in the way.
             let _ = std::fs::remove_dir_all(&directory);
         }
@@ -194,13 +194,13 @@
     }
 }
 
-fn play(world: &SoakWorld, seed: u64, length: Duration, interrupt: &Interrupt) -> SoakEnd {
-    let planned = plan(seed, length);
+fn play(world: &SoakWorld, seed: u64, length: Duration, interrupt: &Interrupt) -> SoakResult {
+    let planned = plan_faults(seed, length);
     let callers = Callers {
         world,
         seed,
-        is_over: AtomicBool::new(false),
-        leave: AtomicBool::new(false),
+        is_finished: AtomicBool::new(false),
+        should_disconnect: AtomicBool::new(false),
         history: Mutex::default(),
     };
     let problems = Mutex::new(Vec::new());
@@ -218,14 +218,14 @@
         }
         for gateway in 0..GATEWAYS {
             let callers = &callers;
-            scope.spawn(move || callers.keep_open(gateway));
-            scope.spawn(move || callers.ask_versions(gateway));
+            scope.spawn(move || callers.use_open_connections(gateway));
+            scope.spawn(move || callers.poll_config_versions(gateway));
         }
         thread::scope(|faults| {
             for fault in &planned {
                 let (callers, note) = (&callers, &note);
                 faults.spawn(move || {
-                    interrupt.sleep_until(begun + fault.at);
+                    interrupt.sleep_until(begun + fault.offset);
                     if interrupt.is_set() {
                         return;
                     }
@@ -235,51 +235,51 @@
                 });
             }
         });
-        world.heal();
+        world.clear_faults();
         interrupt.sleep_until(Instant::now() + AFTER_FAULTS);
-        callers.is_over.store(true, Ordering::Relaxed);
+        callers.is_finished.store(true, Ordering::Relaxed);
     });
     if let Err(problem) = all_serve(world, seed, "end") {
         note(problem);
     }
     let history = callers.history.into_inner();
     let history = History {
-        ran: world.ran(),
+        executed: world.executed_requests(),
         ..history.unwrap_or_else(std::sync::PoisonError::into_inner)
     };
-    let mut broken = problems
+    let mut violations = problems
         .into_inner()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
-    broken.extend(check(&history));
-    let served = history.attempts.iter();
-    SoakEnd {
-        broken,
-        attempts: history.attempts.len(),
-        served: served.filter(|a| a.status == 200 && a.is_complete).count(),
-        faults: planned.len(),
+    violations.extend(find_violations(&history));
+    let served = history.requests.iter();
+    SoakResult {
+        violations,
+        request_count: history.requests.len(),
+        served_count: served.filter(|a| a.status == 200 && a.is_complete).count(),
+        fault_count: planned.len(),
     }
 }
 
 fn strike(callers: &Callers<'_>, fault: &PlannedFault) -> std::io::Result<()> {
-    if fault.fault == Fault::CallersLeave {
-        callers.leave.store(true, Ordering::Relaxed);
-        thread::sleep(fault.span);
-        callers.leave.store(false, Ordering::Relaxed);
+    if fault.fault == Fault::CallersDisconnect {
+        callers.should_disconnect.store(true, Ordering::Relaxed);
+        thread::sleep(fault.duration);
+        callers.should_disconnect.store(false, Ordering::Relaxed);
     }
-    callers.world.strike(fault)
+    callers.world.inject(fault)
 }
 
 /// Waits until every gateway is ready and runs a new program's turn.
 fn all_serve(world: &SoakWorld, seed: u64, when: &str) -> Result<(), String> {
     for number in 0..GATEWAYS {
-        let ready = world.ready(number);
+        let ready = world.ready_address(number);
         let failed = |what: &str| format!("gateway {number} {what} at the {when} of seed {seed}");
         wait_until(|| is_ready(ready)).map_err(|_| failed("is not ready"))?;
         let program = format!("{when}-{number}");
         let serves = || {
             let turn = CallerRequest::turn("/chat/1", &program, &program, &program);
             let turn = turn.with("Token-Budget", "400");
-            let answer = turn.send(world.gateway(number).callers);
+            let answer = turn.send(world.gateway_status(number).callers);
             answer.is_ok_and(|answer| answer.status == 200 && answer.is_complete)
         };
         wait_until(serves).map_err(|_| failed("runs no turn"))?;
--- a/standins/src/soak_callers.rs
+++ b/standins/src/soak_callers.rs
@@ -12,8 +12,8 @@
 
 use crate::http::lock;
 use crate::platform_caller::{CallerAnswer, CallerRequest, read_answer};
-use crate::soak_history::{Attempt, AttemptKind, BUDGET_TOKENS, History};
-use crate::soak_world::{GATEWAYS, GatewayNow, SoakWorld};
+use crate::soak_history::{BUDGET_TOKENS, History, RequestKind, RequestRecord};
+use crate::soak_world::{GATEWAYS, GatewayStatus, SoakWorld};
 
 /// The longest time from one try of a request to the next.
 const MAX_PAUSE: Duration = Duration::from_millis(300);
@@ -30,9 +30,9 @@
 pub(crate) struct Callers<'a> {
     pub(crate) world: &'a SoakWorld,
     pub(crate) seed: u64,
-    pub(crate) is_over: AtomicBool,
+    pub(crate) is_finished: AtomicBool,
     /// While it is set, some callers leave in the middle of answers.
-    pub(crate) leave: AtomicBool,
+    pub(crate) should_disconnect: AtomicBool,
     pub(crate) history: Mutex<History>,
 }
 
@@ -44,12 +44,12 @@
 }
 
 impl Callers<'_> {
-    fn is_over(&self) -> bool {
-        self.is_over.load(Ordering::Relaxed)
+    fn is_finished(&self) -> bool {
+        self.is_finished.load(Ordering::Relaxed)
     }
 
-    fn add(&self, attempt: Attempt) {
-        lock(&self.history).attempts.push(attempt);
+    fn add(&self, attempt: RequestRecord) {
+        lock(&self.history).requests.push(attempt);
     }
 
     fn caller(&self, name: String) -> Caller<'_> {
@@ -66,7 +66,7 @@
     pub(crate) fn run_programs(&self, number: usize) {
         let mut caller = self.caller(format!("p{number}"));
         let mut program: u32 = 0;
-        while !self.is_over() {
+        while !self.is_finished() {
             let name = format!("{}-{program}", caller.name);
             // One in four loops until it is stopped.
             let most_turns = if program % 4 == 3 {
@@ -80,21 +80,21 @@
     }
 
     /// Sends lookups on connections that stay open to one gateway, until the run is over.
-    pub(crate) fn keep_open(&self, gateway: usize) {
+    pub(crate) fn use_open_connections(&self, gateway: usize) {
         let mut caller = self.caller(format!("o{gateway}"));
-        while !self.is_over() {
+        while !self.is_finished() {
             caller.use_connection(gateway);
             sleep(OPEN_PAUSE);
         }
     }
 
     /// Asks which version of the configuration is in force, until the run is over.
-    pub(crate) fn ask_versions(&self, gateway: usize) {
+    pub(crate) fn poll_config_versions(&self, gateway: usize) {
         let mut caller = self.caller(format!("v{gateway}"));
-        while !self.is_over() {
-            let newest = self.world.version();
+        while !self.is_finished() {
+            let newest = self.world.config_version();
             for version in newest.saturating_sub(1).max(1)..=newest {
-                let kind = AttemptKind::Version(version);
+                let kind = RequestKind::Version(version);
                 caller.send(gateway, "", kind);
             }
             sleep(OPEN_PAUSE);
@@ -107,20 +107,20 @@
         let mut previous: Option<String> = None;
         for _ in 0..self.random.random_range(most_turns / 2..=most_turns) {
             let kind = if keeps_context {
-                AttemptKind::Chat {
+                RequestKind::Chat {
                     previous: previous.clone(),
                 }
             } else {
-                AttemptKind::Draft
+                RequestKind::Draft
             };
             let Some(id) = self.try_often(program, &kind) else {
                 return;
             };
             previous = Some(id);
             let tool = if self.random.random_bool(0.5) {
-                AttemptKind::Look
+                RequestKind::Lookup
             } else {
-                AttemptKind::Book
+                RequestKind::Booking
             };
             let gateway = self.random.random_range(0..GATEWAYS);
             self.send(gateway, program, tool);
@@ -128,9 +128,9 @@
     }
 
     /// Tries a turn until it has ended; none when it failed for good.
-    fn try_often(&mut self, program: &str, kind: &AttemptKind) -> Option<String> {
+    fn try_often(&mut self, program: &str, kind: &RequestKind) -> Option<String> {
         for _ in 0..TRIES {
-            if self.shared.is_over() {
+            if self.shared.is_finished() {
                 return None;
             }
             let gateway = self.random.random_range(0..GATEWAYS);
@@ -149,7 +149,7 @@
         format!("{}r{}", self.name, self.sent)
     }
 
-    fn request(&mut self, program: &str, kind: &AttemptKind) -> (String, CallerRequest) {
+    fn request(&mut self, program: &str, kind: &RequestKind) -> (String, CallerRequest) {
         let id = self.next_id();
         let budget = BUDGET_TOKENS.to_string();
         let turn = |path: &str| {
@@ -157,14 +157,14 @@
             turn.with("Token-Budget", &budget)
         };
         let request = match kind {
-            AttemptKind::Chat { previous: None } => turn("/chat/1"),
-            AttemptKind::Chat {
+            RequestKind::Chat { previous: None } => turn("/chat/1"),
+            RequestKind::Chat {
                 previous: Some(previous),
             } => turn("/chat/1").with("Previous-Turn", previous),
-            AttemptKind::Draft => turn("/draft/1"),
-            AttemptKind::Look => CallerRequest::new("GET", "/look/1", &id),
-            AttemptKind::Book => CallerRequest::new("POST", "/book/1", &id),
-            AttemptKind::Version(version) => {
+            RequestKind::Draft => turn("/draft/1"),
+            RequestKind::Lookup => CallerRequest::new("GET", "/look/1", &id),
+            RequestKind::Booking => CallerRequest::new("POST", "/book/1", &id),
+            RequestKind::Version(version) => {
                 CallerRequest::new("GET", &format!("/version-{version}/1"), &id)
             }
         };
@@ -172,11 +172,12 @@
     }
 
     /// Sends a request on a new connection; its id, its status and whether its answer is complete.
-    fn send(&mut self, gateway: usize, program: &str, kind: AttemptKind) -> (String, u16, bool) {
+    fn send(&mut self, gateway: usize, program: &str, kind: RequestKind) -> (String, u16, bool) {
         let (id, request) = self.request(program, &kind);
-        let before = self.shared.world.gateway(gateway);
+        let before = self.shared.world.gateway_status(gateway);
         let begun = Instant::now();
-        let leaves = self.shared.leave.load(Ordering::Relaxed) && self.random.random_bool(0.3);
+        let leaves =
+            self.shared.should_disconnect.load(Ordering::Relaxed) && self.random.random_bool(0.3);
         let connected = TcpStream::connect(before.callers);
         let is_connected = connected.is_ok();
         let answer = connected.and_then(|mut connection| {
@@ -187,12 +188,21 @@
             }
             read_answer(&mut connection)
         });
-        let after = self.shared.world.gateway(gateway);
-        let is_owed = is_connected && !leaves && is_well(before, after) && !after.is_ending;
+        let after = self.shared.world.gateway_status(gateway);
+        let requires_response =
+            is_connected && !leaves && is_well(before, after) && !after.is_ending;
         let answer = answer.unwrap_or_default();
         let end = (id.clone(), answer.status, answer.is_complete);
-        let whose = (gateway, before.start);
-        self.add(id, program, kind, whose, answer, is_owed, begun.elapsed());
+        let whose = (gateway, before.start_count);
+        self.add(
+            id,
+            program,
+            kind,
+            whose,
+            answer,
+            requires_response,
+            begun.elapsed(),
+        );
         end
     }
 
@@ -201,40 +211,41 @@
         &self,
         id: String,
         program: &str,
-        kind: AttemptKind,
+        kind: RequestKind,
         gateway: (usize, u32),
         answer: CallerAnswer,
-        is_owed: bool,
-        took: Duration,
+        requires_response: bool,
+        duration: Duration,
     ) {
-        self.shared.add(Attempt {
+        self.shared.add(RequestRecord {
             id,
             program: program.to_owned(),
             kind,
             gateway,
             status: answer.status,
-            says_not_run: answer.headers.contains_key("retry-after"),
+            reports_not_executed: answer.headers.contains_key("retry-after"),
             body: answer.body,
             is_complete: answer.is_complete,
-            is_owed,
-            took,
+            requires_response,
+            duration,
         });
     }
 
     /// Sends lookups on one connection until it is closed or says that it will be.
     fn use_connection(&mut self, gateway: usize) {
-        let Ok(mut connection) = TcpStream::connect(self.shared.world.gateway(gateway).callers)
+        let Ok(mut connection) =
+            TcpStream::connect(self.shared.world.gateway_status(gateway).callers)
         else {
             return;
         };
         let mut is_open = false;
-        while !self.shared.is_over() {
-            let (id, request) = self.request("", &AttemptKind::Look);
-            let before = self.shared.world.gateway(gateway);
+        while !self.shared.is_finished() {
+            let (id, request) = self.request("", &RequestKind::Lookup);
+            let before = self.shared.world.gateway_status(gateway);
             let begun = Instant::now();
             let sent = connection.write_all(&request.bytes());
             let answer = sent.and_then(|()| read_answer(&mut connection));
-            let after = self.shared.world.gateway(gateway);
+            let after = self.shared.world.gateway_status(gateway);
             let answer = answer.unwrap_or_default();
             let closes = answer
                 .headers
@@ -242,15 +253,15 @@
                 .is_some_and(|c| c == "close");
             let goes_on = answer.status != 0 && answer.is_complete && !closes;
             // A planned end cuts nothing off on a connection that it has not announced to close.
-            let is_owed = is_open && is_well(before, after);
-            let whose = (gateway, before.start);
+            let requires_response = is_open && is_well(before, after);
+            let whose = (gateway, before.start_count);
             self.add(
                 id,
                 "",
-                AttemptKind::Look,
+                RequestKind::Lookup,
                 whose,
                 answer,
-                is_owed,
+                requires_response,
                 begun.elapsed(),
             );
             if !goes_on {
@@ -262,6 +273,6 @@
     }
 }
 
-fn is_well(before: GatewayNow, after: GatewayNow) -> bool {
-    before.start == after.start && !before.has_troubles && !after.has_troubles
+fn is_well(before: GatewayStatus, after: GatewayStatus) -> bool {
+    before.start_count == after.start_count && !before.has_fault && !after.has_fault
 }
--- a/standins/src/soak_faults.rs
+++ b/standins/src/soak_faults.rs
@@ -15,29 +15,29 @@
     /// A gateway is told to end, and started again when it has.
     Terminate,
     /// A gateway stands still.
-    Freeze,
+    Suspend,
     /// The store is away for one gateway, in one of several ways.
-    StoreAwayForOne,
+    StoreUnavailableForOne,
     /// The store is away for all.
-    StoreAway,
+    StoreUnavailable,
     /// The store answers late.
     StoreSlow,
     /// Appends are done and not answered.
-    LostAppends,
+    LostAppendResponses,
     /// Appends are done later.
-    LateAppends,
+    DelayedAppends,
     /// The store forgets its history.
     ForgetHistory,
     /// The way to a server is late, cut, one-sided or silent.
     ServerLink,
     /// A server refuses, loses, cuts, doubles or mixes up answers.
-    ServerAnswers,
+    FaultyResponses,
     /// A server is entered as leaving, and later as ready again.
-    ServerDrains,
+    ServerDraining,
     /// A new version of the configuration is published.
-    Configuration,
+    ConfigUpdate,
     /// Callers leave in the middle of answers.
-    CallersLeave,
+    CallersDisconnect,
 }
 
 /// All kinds.
@@ -45,18 +45,18 @@
     Fault::Kill,
     Fault::KillAll,
     Fault::Terminate,
-    Fault::Freeze,
-    Fault::StoreAwayForOne,
-    Fault::StoreAway,
+    Fault::Suspend,
+    Fault::StoreUnavailableForOne,
+    Fault::StoreUnavailable,
     Fault::StoreSlow,
-    Fault::LostAppends,
-    Fault::LateAppends,
+    Fault::LostAppendResponses,
+    Fault::DelayedAppends,
     Fault::ForgetHistory,
     Fault::ServerLink,
-    Fault::ServerAnswers,
-    Fault::ServerDrains,
-    Fault::Configuration,
-    Fault::CallersLeave,
+    Fault::FaultyResponses,
+    Fault::ServerDraining,
+    Fault::ConfigUpdate,
+    Fault::CallersDisconnect,
 ];
 /// The mean pause between the starts of two faults: short against their spans, so that they overlap.
 const PAUSE_MS: u64 = 350;
@@ -67,30 +67,30 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlannedFault {
     /// When it begins, after the start of the run.
-    pub at: Duration,
+    pub offset: Duration,
     /// How long it lasts, where it has a span.
-    pub span: Duration,
+    pub duration: Duration,
     /// What it is.
     pub fault: Fault,
     /// Draws the one that it strikes and the way in which.
-    pub draw: u64,
+    pub random_value: u64,
 }
 
 /// The faults of a run of `length` by its seed.
 #[must_use]
-pub fn plan(seed: u64, length: Duration) -> Vec<PlannedFault> {
+pub fn plan_faults(seed: u64, length: Duration) -> Vec<PlannedFault> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut planned = Vec::new();
     // Programs are under way when the first fault comes.
-    let mut at = Duration::from_millis(PAUSE_MS);
-    while at < length {
+    let mut offset = Duration::from_millis(PAUSE_MS);
+    while offset < length {
         planned.push(PlannedFault {
-            at,
-            span: Duration::from_millis(random.random_range(100..=MAX_SPAN_MS)),
+            offset,
+            duration: Duration::from_millis(random.random_range(100..=MAX_SPAN_MS)),
             fault: KINDS[random.random_range(0..KINDS.len())],
-            draw: random.random(),
+            random_value: random.random(),
         });
-        at += Duration::from_millis(random.random_range(1..=2 * PAUSE_MS));
+        offset += Duration::from_millis(random.random_range(1..=2 * PAUSE_MS));
     }
     planned
 }
--- a/standins/src/soak_process.rs
+++ b/standins/src/soak_process.rs
@@ -38,7 +38,7 @@
     /// # Errors
     ///
     /// There are too few.
-    pub fn free(gateways: usize) -> io::Result<Vec<Self>> {
+    pub fn find_free(gateways: usize) -> io::Result<Vec<Self>> {
         let bind = || TcpListener::bind((IpAddr::V4(Ipv4Addr::LOCALHOST), 0));
         let bind_all = || Ok([bind()?, bind()?, bind()?, bind()?]);
         let held: Vec<_> = (0..gateways)
@@ -62,7 +62,7 @@
     /// Where it listens.
     pub ports: ProcessPorts,
     /// Counts its starts.
-    pub start: u32,
+    pub start_count: u32,
     daemon: PathBuf,
     settings: PathBuf,
     log: PathBuf,
@@ -101,7 +101,7 @@
         fs::write(&settings, text)?;
         let mut gateway = Self {
             ports,
-            start: 0,
+            start_count: 0,
             daemon: daemon.to_owned(),
             settings,
             log: directory.join(format!("gateway-{number}.log")),
@@ -129,7 +129,7 @@
             .stdout(log)
             .spawn()?;
         self.child = Some(child);
-        self.start += 1;
+        self.start_count += 1;
         Ok(())
     }
 
@@ -149,7 +149,7 @@
     }
 
     /// Sends a signal to the process.
-    pub fn signal(&self, signal: Signal) {
+    pub fn send_signal(&self, signal: Signal) {
         let pid = self.child.as_ref().map(Child::id);
         let pid = pid.and_then(|id| Pid::from_raw(i32::try_from(id).ok()?));
         if let Some(pid) = pid {
@@ -158,10 +158,10 @@
         }
     }
 
-    /// Tells the process to end, and gives it away for [`wait_end`].
+    /// Tells the process to end, and gives it away for [`wait_for_exit`].
     #[must_use]
     pub fn terminate(&mut self) -> Option<Child> {
-        self.signal(Signal::TERM);
+        self.send_signal(Signal::TERM);
         self.child.take()
     }
 }
@@ -171,7 +171,7 @@
 /// # Errors
 ///
 /// The process can't be waited for.
-pub fn wait_end(mut child: Child) -> io::Result<Option<ExitStatus>> {
+pub fn wait_for_exit(mut child: Child) -> io::Result<Option<ExitStatus>> {
     let end = Instant::now() + Duration::from_millis(SHUTDOWN_MS) + END_SLACK;
     while Instant::now() < end {
         if let Some(status) = child.try_wait()? {
--- a/standins/src/soak_proxy.rs
+++ b/standins/src/soak_proxy.rs
@@ -20,13 +20,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProxyMode {
     /// It passes them on.
-    Pass,
+    Forward,
     /// It passes them on this much later.
     Delay(Duration),
     /// It passes on what the caller sends and holds the answers back.
-    OneWay,
+    RequestsOnly,
     /// It holds all back; connections stay open.
-    Silence,
+    Blackhole,
     /// It breaks connections off.
     Reset,
 }
@@ -49,7 +49,7 @@
     ///
     /// No port or thread can be had.
     pub fn start(target: SocketAddr) -> io::Result<Self> {
-        let mode = Arc::new(Mutex::new(ProxyMode::Pass));
+        let mode = Arc::new(Mutex::new(ProxyMode::Forward));
         let current = Arc::clone(&mode);
         let carry_on = move |stream| carry(stream, target, Arc::clone(&current));
         let server = WireServer::start_with(carry_on)?;
@@ -106,13 +106,13 @@
     loop {
         let current = *lock(mode);
         match current {
-            ProxyMode::Pass => return true,
+            ProxyMode::Forward => return true,
             ProxyMode::Delay(span) => {
                 sleep(span).await;
                 return true;
             }
-            ProxyMode::OneWay if is_request => return true,
-            ProxyMode::OneWay | ProxyMode::Silence => sleep(LOOK).await,
+            ProxyMode::RequestsOnly if is_request => return true,
+            ProxyMode::RequestsOnly | ProxyMode::Blackhole => sleep(LOOK).await,
             ProxyMode::Reset => return false,
         }
     }
--- a/standins/src/soak_world.rs
+++ b/standins/src/soak_world.rs
@@ -14,8 +14,8 @@
 use crate::platform_run::{HOST, MODEL_SERVICE, PLAIN_SERVICE, is_ready};
 use crate::platform_store::{AppendFault, PlatformStore, StoreDoor, StoreMode};
 use crate::soak_faults::{Fault, PlannedFault};
-use crate::soak_history::{EVENT_TOKENS, EVENTS, Ran};
-use crate::soak_process::{GatewayProcess, ProcessPorts, wait_end};
+use crate::soak_history::{EVENTS_PER_STREAM, ExecutedRequest, TOKENS_PER_EVENT};
+use crate::soak_process::{GatewayProcess, ProcessPorts, wait_for_exit};
 use crate::soak_proxy::{Proxy, ProxyMode};
 
 /// How many gateways a run has.
@@ -52,13 +52,13 @@
 
 /// What callers can expect of a gateway at one moment.
 #[derive(Debug, Clone, Copy)]
-pub struct GatewayNow {
+pub struct GatewayStatus {
     /// Where it takes callers.
     pub callers: SocketAddr,
     /// Counts its starts.
-    pub start: u32,
+    pub start_count: u32,
     /// Whether its process was killed or stands still.
-    pub has_troubles: bool,
+    pub has_fault: bool,
     /// Whether it was told to end.
     pub is_ending: bool,
 }
@@ -92,7 +92,7 @@
     ]
     .join(",");
     format!(
-        r#"{{"Version":{version},"Routes":[{routes}],"Services":[{{"Name":"models","MaxConns":50,"Engine":{{"Stride":{EVENT_TOKENS}}}}},{{"Name":"plain","MaxConns":50}}],"Limits":{{"MaxHeaderBytes":4096,"MaxBodyBytes":100000,"HeaderTimeoutMs":1000,"IdleTimeoutMs":5000}}}}"#
+        r#"{{"Version":{version},"Routes":[{routes}],"Services":[{{"Name":"models","MaxConns":50,"Engine":{{"Stride":{TOKENS_PER_EVENT}}}}},{{"Name":"plain","MaxConns":50}}],"Limits":{{"MaxHeaderBytes":4096,"MaxBodyBytes":100000,"HeaderTimeoutMs":1000,"IdleTimeoutMs":5000}}}}"#
     )
 }
 
@@ -116,7 +116,7 @@
         for _ in 0..GATEWAYS {
             doors.push(store.open()?);
         }
-        let ports = ProcessPorts::free(GATEWAYS)?;
+        let ports = ProcessPorts::find_free(GATEWAYS)?;
         let seeds: Vec<_> = ports.iter().map(|ports| ports.peers).collect();
         let mut gateways = Vec::new();
         for (number, (ports, door)) in ports.iter().zip(&doors).enumerate() {
@@ -139,33 +139,33 @@
 
     /// What callers can expect of a gateway now.
     #[must_use]
-    pub fn gateway(&self, number: usize) -> GatewayNow {
+    pub fn gateway_status(&self, number: usize) -> GatewayStatus {
         let gateway = lock(&self.gateways[number]);
-        GatewayNow {
+        GatewayStatus {
             callers: gateway.process.ports.callers,
-            start: gateway.process.start,
-            has_troubles: gateway.troubles > 0,
+            start_count: gateway.process.start_count,
+            has_fault: gateway.troubles > 0,
             is_ending: gateway.is_ending,
         }
     }
 
     /// Where a gateway says whether it is ready.
     #[must_use]
-    pub fn ready(&self, number: usize) -> SocketAddr {
+    pub fn ready_address(&self, number: usize) -> SocketAddr {
         lock(&self.gateways[number]).process.ports.ready
     }
 
     /// The newest version of the configuration that was published.
     #[must_use]
-    pub fn version(&self) -> u64 {
+    pub fn config_version(&self) -> u64 {
         *lock(&self.version)
     }
 
     /// What the servers ran.
     #[must_use]
-    pub fn ran(&self) -> Vec<Ran> {
+    pub fn executed_requests(&self) -> Vec<ExecutedRequest> {
         let executions = self.servers.iter().flat_map(|s| s.backend.executions());
-        let ran = executions.map(|execution| Ran {
+        let ran = executions.map(|execution| ExecutedRequest {
             id: execution.id,
             body: String::from_utf8_lossy(&execution.request.body).into_owned(),
         });
@@ -177,47 +177,52 @@
     /// # Errors
     ///
     /// A process can't be started again, or one that was told to end did not end as it must.
-    pub fn strike(&self, planned: &PlannedFault) -> io::Result<()> {
-        let PlannedFault { span, draw, .. } = *planned;
-        let number = usize::try_from(draw % GATEWAYS as u64).unwrap_or(0);
+    pub fn inject(&self, planned: &PlannedFault) -> io::Result<()> {
+        let PlannedFault {
+            duration,
+            random_value,
+            ..
+        } = *planned;
+        let number = usize::try_from(random_value % GATEWAYS as u64).unwrap_or(0);
         match planned.fault {
-            Fault::Kill => self.kill(number, span),
+            Fault::Kill => self.kill(number, duration),
             Fault::KillAll => {
                 for number in 0..GATEWAYS {
                     self.trouble(number, |gateway| gateway.process.kill());
                 }
-                std::thread::sleep(span);
+                std::thread::sleep(duration);
                 (0..GATEWAYS).try_for_each(|number| self.restart(number))
             }
-            Fault::Terminate => self.terminate(number, span),
-            Fault::Freeze => {
-                self.trouble(number, |gateway| gateway.process.signal(Signal::STOP));
-                std::thread::sleep(span);
+            Fault::Terminate => self.terminate(number, duration),
+            Fault::Suspend => {
+                self.trouble(number, |gateway| gateway.process.send_signal(Signal::STOP));
+                std::thread::sleep(duration);
                 self.relieve(number, |gateway| {
-                    gateway.process.signal(Signal::CONT);
+                    gateway.process.send_signal(Signal::CONT);
                     Ok(())
                 })
             }
-            Fault::StoreAwayForOne => {
-                close_doors(&self.doors[number..=number], draw, span);
+            Fault::StoreUnavailableForOne => {
+                close_doors(&self.doors[number..=number], random_value, duration);
                 Ok(())
             }
-            Fault::StoreAway => {
-                close_doors(&self.doors, draw, span);
+            Fault::StoreUnavailable => {
+                close_doors(&self.doors, random_value, duration);
                 Ok(())
             }
             Fault::StoreSlow => {
-                self.store.set_delay(Duration::from_millis(20 + draw % 200));
-                std::thread::sleep(span);
+                self.store
+                    .set_delay(Duration::from_millis(20 + random_value % 200));
+                std::thread::sleep(duration);
                 self.store.set_delay(Duration::ZERO);
                 Ok(())
             }
-            Fault::LostAppends => {
-                self.spoil_appends(AppendFault::LoseAnswer, draw);
+            Fault::LostAppendResponses => {
+                self.spoil_appends(AppendFault::LoseAnswer, random_value);
                 Ok(())
             }
-            Fault::LateAppends => {
-                self.spoil_appends(AppendFault::DoLater, draw);
+            Fault::DelayedAppends => {
+                self.spoil_appends(AppendFault::DoLater, random_value);
                 Ok(())
             }
             Fault::ForgetHistory => {
@@ -225,59 +230,61 @@
                 Ok(())
             }
             Fault::ServerLink => {
-                let server = self.server(draw);
-                server.proxy.set_mode(link_mode(draw));
-                std::thread::sleep(span);
-                server.proxy.set_mode(ProxyMode::Pass);
+                let server = self.server(random_value);
+                server.proxy.set_mode(link_mode(random_value));
+                std::thread::sleep(duration);
+                server.proxy.set_mode(ProxyMode::Forward);
                 Ok(())
             }
-            Fault::ServerAnswers => {
-                let server = self.server(draw);
-                for number in 0..=draw % 4 {
-                    server.backend.spoil(answer_fault(draw / 8 + number));
+            Fault::FaultyResponses => {
+                let server = self.server(random_value);
+                for number in 0..=random_value % 4 {
+                    server
+                        .backend
+                        .spoil(answer_fault(random_value / 8 + number));
                 }
                 Ok(())
             }
-            Fault::ServerDrains => {
-                let server = self.server(draw);
+            Fault::ServerDraining => {
+                let server = self.server(random_value);
                 let enter = |state| {
                     let entry = server.entry(state);
                     self.store.put("keyed.servers", &server.id, &entry);
                 };
                 enter("draining");
-                std::thread::sleep(span);
+                std::thread::sleep(duration);
                 enter("ready");
                 Ok(())
             }
-            Fault::Configuration => {
+            Fault::ConfigUpdate => {
                 let mut version = lock(&self.version);
                 *version += 1;
                 self.store.put("keyed.op", "config", &config(*version));
                 Ok(())
             }
             // The callers look at the plan themselves.
-            Fault::CallersLeave => Ok(()),
+            Fault::CallersDisconnect => Ok(()),
         }
     }
 
     /// Ends all troubles of the store and the servers.
-    pub fn heal(&self) {
+    pub fn clear_faults(&self) {
         for door in &self.doors {
             door.set_mode(StoreMode::Serving);
         }
         self.store.set_delay(Duration::ZERO);
         for server in &self.servers {
-            server.proxy.set_mode(ProxyMode::Pass);
+            server.proxy.set_mode(ProxyMode::Forward);
         }
     }
 
-    fn server(&self, draw: u64) -> &Server {
+    fn server(&self, random_value: u64) -> &Server {
         let count = self.servers.len() as u64;
-        &self.servers[usize::try_from(draw / 7 % count).unwrap_or(0)]
+        &self.servers[usize::try_from(random_value / 7 % count).unwrap_or(0)]
     }
 
-    fn spoil_appends(&self, fault: AppendFault, draw: u64) {
-        for _ in 0..=draw % 3 {
+    fn spoil_appends(&self, fault: AppendFault, random_value: u64) {
+        for _ in 0..=random_value % 3 {
             self.store.spoil_append(fault);
         }
     }
@@ -298,9 +305,9 @@
         relieve(&mut gateway)
     }
 
-    fn kill(&self, number: usize, span: Duration) -> io::Result<()> {
+    fn kill(&self, number: usize, duration: Duration) -> io::Result<()> {
         self.trouble(number, |gateway| gateway.process.kill());
-        std::thread::sleep(span);
+        std::thread::sleep(duration);
         self.restart(number)
     }
 
@@ -318,8 +325,8 @@
     ///
     /// One that is not ready is left alone: a process that is told to end before it listens to
     /// signals ends at once, without a graceful end, and has not served anyone.
-    fn terminate(&self, number: usize, span: Duration) -> io::Result<()> {
-        if !is_ready(self.ready(number)) {
+    fn terminate(&self, number: usize, duration: Duration) -> io::Result<()> {
+        if !is_ready(self.ready_address(number)) {
             return Ok(());
         }
         let child = {
@@ -330,8 +337,8 @@
             gateway.is_ending = true;
             gateway.process.terminate()
         };
-        let status = child.map(wait_end).transpose()?.flatten();
-        std::thread::sleep(span);
+        let status = child.map(wait_for_exit).transpose()?.flatten();
+        std::thread::sleep(duration);
         lock(&self.gateways[number]).is_ending = false;
         self.trouble(number, |_| {});
         self.restart(number)?;
@@ -347,7 +354,7 @@
     let id = format!("{service}-{number}");
     let backend = PlatformBackend::start(BackendSettings {
         id: id.clone(),
-        events: EVENTS,
+        events: EVENTS_PER_STREAM,
         pause: Duration::from_millis(5),
     })?;
     let proxy = Proxy::start(backend.address)?;
@@ -362,39 +369,39 @@
 }
 
 /// Makes the store unreachable at some of its addresses for a while, in a way that is drawn.
-fn close_doors(doors: &[StoreDoor], draw: u64, span: Duration) {
+fn close_doors(doors: &[StoreDoor], random_value: u64, duration: Duration) {
     let modes = [
         StoreMode::Busy,
         StoreMode::Limited,
         StoreMode::Reset,
         StoreMode::Silent,
     ];
-    let mode = modes[usize::try_from(draw / 7 % 4).unwrap_or(0)];
+    let mode = modes[usize::try_from(random_value / 7 % 4).unwrap_or(0)];
     for door in doors {
         door.set_mode(mode);
     }
-    std::thread::sleep(span);
+    std::thread::sleep(duration);
     for door in doors {
         door.set_mode(StoreMode::Serving);
     }
 }
 
-fn link_mode(draw: u64) -> ProxyMode {
-    match draw % 4 {
-        0 => ProxyMode::Delay(Duration::from_millis(draw / 4 % 200)),
-        1 => ProxyMode::OneWay,
-        2 => ProxyMode::Silence,
+fn link_mode(random_value: u64) -> ProxyMode {
+    match random_value % 4 {
+        0 => ProxyMode::Delay(Duration::from_millis(random_value / 4 % 200)),
+        1 => ProxyMode::RequestsOnly,
+        2 => ProxyMode::Blackhole,
         _ => ProxyMode::Reset,
     }
 }
 
-fn answer_fault(draw: u64) -> BackendFault {
-    match draw % 8 {
+fn answer_fault(random_value: u64) -> BackendFault {
+    match random_value % 8 {
         0 => BackendFault::Refuse,
         1 => BackendFault::LoseAnswer,
         2 => BackendFault::Silence,
-        3 => BackendFault::CutAfter(draw / 8 % EVENTS),
-        4 => BackendFault::SilentAfter(draw / 8 % EVENTS),
+        3 => BackendFault::CutAfter(random_value / 8 % EVENTS_PER_STREAM),
+        4 => BackendFault::SilentAfter(random_value / 8 % EVENTS_PER_STREAM),
         5 => BackendFault::ExtraAnswer,
         6 => BackendFault::WrongId,
         _ => BackendFault::Unframed,
--- a/standins/tests/chaos.rs
+++ b/standins/tests/chaos.rs
@@ -2,8 +2,8 @@
 //! and for safeguards one seed that shows its absence.
 
 use clementinepick::safeguards::Safeguards;
-use standins::chaos::{RunEnd, run_seed};
-use standins::chaos_faults::NAMES;
+use standins::chaos::{RunResult, run_seed};
+use standins::chaos_faults::FAULT_NAMES;
 use standins::chaos_world::WorldSettings;
 
 /// The most steps of one run.
@@ -29,13 +29,13 @@
     ("slice_on_record", 81),
 ];
 
-fn run(seed: u64, safeguards: Safeguards) -> RunEnd {
+fn run(seed: u64, safeguards: Safeguards) -> RunResult {
     let settings = WorldSettings {
         seed,
         safeguards,
         ..WorldSettings::default()
     };
-    run_seed(settings, NAMES, MAX_STEPS)
+    run_seed(settings, FAULT_NAMES, MAX_STEPS)
 }
 
 /// Runs each of `jobs` on a thread of its own, a few at a time.
@@ -76,7 +76,7 @@
     assert!(counted("fence_answered") > 0 && counted("partition_lost") > 0);
     let finished: u64 = ends
         .iter()
-        .filter_map(|end| end.endings.get("finished"))
+        .filter_map(|end| end.outcomes.get("finished"))
         .sum();
     assert!(finished > ends.len() as u64 * 20, "{finished}");
 }
--- a/standins/tests/soak.rs
+++ b/standins/tests/soak.rs
@@ -4,19 +4,21 @@
 use std::time::Duration;
 
 use standins::soak::Soak;
-use standins::soak_faults::plan;
-use standins::soak_history::{Attempt, AttemptKind, History, Ran, check};
+use standins::soak_faults::plan_faults;
+use standins::soak_history::{
+    ExecutedRequest, History, RequestKind, RequestRecord, find_violations,
+};
 use standins::soak_process::ProcessPorts;
 
-fn attempt(id: &str, kind: AttemptKind) -> Attempt {
+fn attempt(id: &str, kind: RequestKind) -> RequestRecord {
     let body = match kind {
-        AttemptKind::Chat { .. } | AttemptKind::Draft => {
+        RequestKind::Chat { .. } | RequestKind::Draft => {
             let event = |number| format!("id: {number}\ndata: {id}-{number}\n\n");
             [1, 2, 3, 4].map(event).concat()
         }
         _ => format!("answer to {id}"),
     };
-    Attempt {
+    RequestRecord {
         id: id.to_owned(),
         program: "p".to_owned(),
         kind,
@@ -24,35 +26,35 @@
         status: 200,
         body,
         is_complete: true,
-        says_not_run: false,
-        is_owed: true,
-        took: Duration::from_millis(5),
+        reports_not_executed: false,
+        requires_response: true,
+        duration: Duration::from_millis(5),
     }
 }
 
-fn ran(id: &str, body: &str) -> Ran {
-    Ran {
+fn ran(id: &str, body: &str) -> ExecutedRequest {
+    ExecutedRequest {
         id: id.to_owned(),
         body: body.to_owned(),
     }
 }
 
-fn chat(id: &str, previous: Option<&str>) -> Attempt {
+fn chat(id: &str, previous: Option<&str>) -> RequestRecord {
     let previous = previous.map(str::to_owned);
-    attempt(id, AttemptKind::Chat { previous })
+    attempt(id, RequestKind::Chat { previous })
 }
 
 /// A history in which all went well.
 fn right() -> History {
     History {
-        attempts: vec![
+        requests: vec![
             chat("t1", None),
             chat("t2", Some("t1")),
-            attempt("b1", AttemptKind::Book),
-            attempt("v1", AttemptKind::Version(1)),
-            attempt("v2", AttemptKind::Version(2)),
+            attempt("b1", RequestKind::Booking),
+            attempt("v1", RequestKind::Version(1)),
+            attempt("v2", RequestKind::Version(2)),
         ],
-        ran: vec![
+        executed: vec![
             ran("t1", "t1"),
             ran("t2", "t1t1-1\nt1-2\nt1-3\nt1-4\nt2"),
             ran("b1", ""),
@@ -62,7 +64,7 @@
 
 #[test]
 fn a_history_without_faults_passes() {
-    assert_eq!(check(&right()), Vec::<String>::new());
+    assert_eq!(find_violations(&right()), Vec::<String>::new());
 }
 
 /// Each promise is broken once; each check sees its own, and only that.
@@ -71,61 +73,61 @@
     type Spoil = fn(&mut History);
     let cases: [(Spoil, &str); 11] = [
         (
-            |h| h.attempts[2].body = "answer to b2".to_owned(),
+            |h| h.requests[2].body = "answer to b2".to_owned(),
             "b1: the answer is",
         ),
         (
-            |h| h.attempts[0].body = "id: 2\ndata: t1-2\n\n".to_owned(),
+            |h| h.requests[0].body = "id: 2\ndata: t1-2\n\n".to_owned(),
             "t1: the answer is",
         ),
         (
             |h| {
-                h.attempts[1].is_complete = false;
-                h.attempts[1].body = "id: 1\ndata: t9".to_owned();
+                h.requests[1].is_complete = false;
+                h.requests[1].body = "id: 1\ndata: t9".to_owned();
             },
             "t2: the answer is",
         ),
-        (|h| h.ran.push(ran("b1", "")), "b1: a booking ran more"),
+        (|h| h.executed.push(ran("b1", "")), "b1: a booking ran more"),
         (
             |h| {
-                h.attempts[2].status = 503;
-                h.attempts[2].says_not_run = true;
+                h.requests[2].status = 503;
+                h.requests[2].reports_not_executed = true;
             },
             "b1: 503 says that it has not run",
         ),
         (
             |h| {
-                h.attempts[1].status = 402;
+                h.requests[1].status = 402;
             },
             "t2: 402 says that it has not run",
         ),
         (
             |h| {
                 for number in 0..12 {
-                    h.attempts
-                        .push(attempt(&format!("d{number}"), AttemptKind::Draft));
+                    h.requests
+                        .push(attempt(&format!("d{number}"), RequestKind::Draft));
                 }
             },
             "p: 560 tokens of 400",
         ),
         (
-            |h| h.ran[1].body = "t1t2".to_owned(),
+            |h| h.executed[1].body = "t1t2".to_owned(),
             "t2: the prompt is `t1t2`",
         ),
         (
             |h| {
-                h.attempts[1].status = 404;
-                h.ran.remove(1);
+                h.requests[1].status = 404;
+                h.executed.remove(1);
             },
             "t2: its turn before is denied",
         ),
-        (|h| h.attempts.swap(3, 4), "v1: version 1 after 2"),
-        (|h| h.attempts[3].status = 0, "v1: no answer after"),
+        (|h| h.requests.swap(3, 4), "v1: version 1 after 2"),
+        (|h| h.requests[3].status = 0, "v1: no answer after"),
     ];
     for (spoil, problem) in cases {
         let mut history = right();
         spoil(&mut history);
-        let found = check(&history);
+        let found = find_violations(&history);
         assert_eq!(found.len(), 1, "{problem}: {found:?}");
         assert!(found[0].starts_with(problem), "{}", found[0]);
     }
@@ -134,9 +136,9 @@
 #[test]
 fn a_plan_is_that_of_its_seed() {
     let length = Duration::from_secs(20);
-    assert_eq!(plan(7, length), plan(7, length));
-    assert_ne!(plan(7, length), plan(8, length));
-    assert!(plan(7, length).len() > 30);
+    assert_eq!(plan_faults(7, length), plan_faults(7, length));
+    assert_ne!(plan_faults(7, length), plan_faults(8, length));
+    assert!(plan_faults(7, length).len() > 30);
 }
 
 /// Two gateways are killed, others stand still or end as planned, while the store and the servers
@@ -151,9 +153,9 @@
         directory: None,
     };
     let end = soak.run_seed(1).expect("a run");
-    assert_eq!(end.broken, Vec::<String>::new());
-    assert!(end.faults >= 5, "{} faults", end.faults);
-    assert!(end.served > 200, "{} served", end.served);
+    assert_eq!(end.violations, Vec::<String>::new());
+    assert!(end.fault_count >= 5, "{} faults", end.fault_count);
+    assert!(end.served_count > 200, "{} served", end.served_count);
 }
 
 /// A gateway does not start, since another one listens at a port that was drawn for both. Each one's
@@ -161,7 +163,7 @@
 #[test]
 fn no_two_gateways_get_the_same_port() {
     let mut ports = BTreeSet::new();
-    for drawn in ProcessPorts::free(100).expect("free ports") {
+    for drawn in ProcessPorts::find_free(100).expect("free ports") {
         ports.extend([drawn.callers, drawn.ready, drawn.peers, drawn.metrics]);
     }
     assert_eq!(ports.len(), 400);
