--- a/standins/src/chaos.rs
+++ b/standins/src/chaos.rs
@@ -1,4 +1,5 @@
-//! `standins chaos`: long seeded runs of the real decisions under random faults.
+//! Implements `standins chaos`, which simulates entries and sidecars under random faults and checks
+//! what must always hold.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -14,16 +15,16 @@
 use crate::chaos_world::{Counts, World, WorldSettings};
 use crate::failure::Failure;
 
-/// After the last fault every program must have ended within this time.
-const SETTLE_US: SpanUs = SpanUs::from_s(180);
-/// After the last program has ended all engine memory must be free within this time.
-const RELEASE_US: SpanUs = SpanUs::from_s(90);
+/// The time after the last fault within which every program must end.
+const COMPLETION_TIMEOUT_US: SpanUs = SpanUs::from_s(180);
+/// The time after the end of the last program within which all engine memory must be freed.
+const RELEASE_TIMEOUT_US: SpanUs = SpanUs::from_s(90);
 
-/// Runs the real decisions of entries and sidecars in virtual time under random faults, and checks
-/// what must always hold.
+/// Runs the logic of entries and sidecars in virtual time under random faults, and checks what must
+/// always hold.
 ///
-/// The same seed gives the same run, byte for byte. Exits with 1 when a promise is broken, and
-/// prints the seed, the step and the trace that led there.
+/// The same seed gives the same run, byte for byte. Exits with 1 when a check fails, and prints the
+/// seed, the step and the trace up to there.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "chaos")]
 pub struct Chaos {
@@ -33,43 +34,43 @@
     /// seeds to run, as `A..B` (B not included)
     #[argh(option)]
     pub seeds: Option<String>,
-    /// the most steps of a run (default 20000000)
+    /// maximum steps of a run (default 20000000)
     #[argh(option, default = "20_000_000")]
     pub steps: u64,
     /// faults to draw from, separated by commas; `none` for none (default: all)
     #[argh(option)]
     pub faults: Option<String>,
-    /// a safeguard to leave out; then some seed must fail
+    /// a safeguard to disable; then some seed must fail
     #[argh(option)]
     pub without: Option<String>,
     /// programs in a run (default 40)
     #[argh(option, default = "40")]
     pub programs: usize,
-    /// threads over the seeds (default 6)
+    /// threads that run the seeds (default 6)
     #[argh(option, default = "6")]
     pub threads: usize,
     /// lines of the trace that are kept (default 400)
     #[argh(option, default = "400")]
     pub lines: usize,
-    /// print the last lines of the trace also when nothing is wrong
+    /// print the last lines of the trace even if no check fails
     #[argh(switch)]
     pub trace: bool,
 }
 
-/// The end of one run.
+/// The result of one run.
 #[derive(Debug, Clone)]
 pub struct RunResult {
-    /// The seed.
+    /// The seed of the run.
     pub seed: u64,
-    /// The steps made.
+    /// The number of simulated events.
     pub steps: u64,
-    /// The promise that was broken, if one was.
+    /// The property that was violated, if any.
     pub violation: Option<Violation>,
-    /// What was counted.
+    /// How often events of each kind occurred.
     pub counts: Counts,
-    /// Programs by how they ended.
+    /// The number of programs by outcome.
     pub outcomes: BTreeMap<&'static str, u64>,
-    /// The digest of the whole trace.
+    /// The digest of the whole trace, equal for equal runs.
     pub digest: u64,
     /// The last lines of the trace.
     pub trace: Vec<String>,
@@ -82,26 +83,31 @@
     let active_phase_us = settings.active_phase_us;
     let faults = draw_faults(&settings, fault_names);
     let mut world = World::new(settings, faults);
-    let mut quiet_at: Option<TimeUs> = None;
+    let mut release_deadline_us: Option<TimeUs> = None;
     while world.step() && world.steps() < max_steps {
-        if quiet_at.is_none() && world.all_ended() && world.now() > TimeUs(active_phase_us.0) {
-            quiet_at = Some(world.now().after(RELEASE_US));
+        if release_deadline_us.is_none()
+            && world.all_ended()
+            && world.now() > TimeUs(active_phase_us.0)
+        {
+            release_deadline_us = Some(world.now().after(RELEASE_TIMEOUT_US));
         }
-        if quiet_at.is_some_and(|at| world.now() >= at) {
+        if release_deadline_us.is_some_and(|at| world.now() >= at) {
             world.check_memory_released();
             break;
         }
-        if quiet_at.is_none() && world.now() > TimeUs(active_phase_us.0).after(SETTLE_US) {
-            let stuck = world
+        if release_deadline_us.is_none()
+            && world.now() > TimeUs(active_phase_us.0).after(COMPLETION_TIMEOUT_US)
+        {
+            let unfinished = world
                 .callers()
                 .iter()
                 .find(|caller| caller.outcome.is_none());
-            let stuck = stuck
+            let unfinished = unfinished
                 .map(|caller| caller.program.to_string())
                 .unwrap_or_default();
             world
                 .checks
-                .fail("an end in time", format!("{stuck} has not ended"));
+                .fail("an end in time", format!("{unfinished} has not ended"));
             break;
         }
     }
@@ -126,18 +132,18 @@
     }
 }
 
-/// Reads `A..B`.
+/// Parses a range of seeds, `A..B`.
 ///
 /// # Errors
 ///
-/// What would have been right.
+/// Returns a message that names the expected format.
 pub fn parse_seeds(text: &str) -> Result<std::ops::Range<u64>, String> {
-    let bad = || format!("`{text}` is no range of seeds such as `0..100`");
-    let (from, to) = text.split_once("..").ok_or_else(bad)?;
-    Ok(from.parse().map_err(|_| bad())?..to.parse().map_err(|_| bad())?)
+    let invalid = || format!("`{text}` is not a range of seeds such as `0..100`");
+    let (from, to) = text.split_once("..").ok_or_else(invalid)?;
+    Ok(from.parse().map_err(|_| invalid())?..to.parse().map_err(|_| invalid())?)
 }
 
-fn fault_names(args: &Chaos) -> Result<Vec<&'static str>, String> {
+fn parse_fault_names(args: &Chaos) -> Result<Vec<&'static str>, String> {
     let Some(list) = &args.faults else {
         return Ok(FAULT_NAMES.to_vec());
     };
@@ -146,8 +152,12 @@
     }
     let known = |name: &str| FAULT_NAMES.iter().find(|known| **known == name).copied();
     let names = list.split(',').map(|name| {
-        known(name)
-            .ok_or_else(|| format!("no fault `{name}`; there are {}", FAULT_NAMES.join(", ")))
+        known(name).ok_or_else(|| {
+            format!(
+                "unknown fault `{name}`; known faults: {}",
+                FAULT_NAMES.join(", ")
+            )
+        })
     });
     names.collect()
 }
@@ -157,29 +167,31 @@
     ///
     /// # Errors
     ///
-    /// [`Failure::Check`] when a promise was broken or an argument is wrong.
+    /// Returns [`Failure::Check`] if a check fails or an argument is invalid.
     pub fn run(&self) -> Result<(), Failure> {
-        let (template, seeds, names) = self.read().map_err(Failure::Check)?;
-        let ends = run_seeds(&template, seeds, &names, self);
-        match report(self, &ends) {
+        let (template, seeds, names) = self.parse_arguments().map_err(Failure::Check)?;
+        let results = run_seeds(&template, seeds, &names, self);
+        match print_report(self, &results) {
             0 => Ok(()),
-            broken => Err(Failure::Check(format!(
-                "{broken} seeds with a broken promise"
+            failed_seeds => Err(Failure::Check(format!(
+                "{failed_seeds} seeds with a violation"
             ))),
         }
     }
 
-    fn read(&self) -> Result<(WorldSettings, std::ops::Range<u64>, Vec<&'static str>), String> {
+    fn parse_arguments(
+        &self,
+    ) -> Result<(WorldSettings, std::ops::Range<u64>, Vec<&'static str>), String> {
         let seeds = match (&self.seeds, self.seed) {
             (Some(range), None) => parse_seeds(range)?,
             (None, Some(seed)) => seed..seed + 1,
-            _ => return Err("give one of --seed and --seeds".to_owned()),
+            _ => return Err("specify either --seed or --seeds".to_owned()),
         };
         let safeguards = match &self.without {
             None => Safeguards::default(),
             Some(name) => Safeguards::without(name).ok_or_else(|| {
                 format!(
-                    "no safeguard `{name}`; there are {}",
+                    "unknown safeguard `{name}`; known safeguards: {}",
                     Safeguards::NAMES.join(", ")
                 )
             })?,
@@ -190,11 +202,11 @@
             safeguards,
             ..WorldSettings::default()
         };
-        Ok((template, seeds, fault_names(self)?))
+        Ok((template, seeds, parse_fault_names(self)?))
     }
 }
 
-/// Runs the seeds on a few threads; the ends come back in the order of the seeds.
+/// Runs the seeds on several threads; returns the results in the order of the seeds.
 fn run_seeds(
     template: &WorldSettings,
     seeds: std::ops::Range<u64>,
@@ -202,7 +214,7 @@
     args: &Chaos,
 ) -> Vec<RunResult> {
     let next = AtomicU64::new(seeds.start);
-    let ends = Mutex::new(BTreeMap::new());
+    let results = Mutex::new(BTreeMap::new());
     std::thread::scope(|scope| {
         for _ in 0..args.threads.max(1) {
             scope.spawn(|| {
@@ -215,40 +227,44 @@
                         seed,
                         ..template.clone()
                     };
-                    let mut end = run_seed(settings, names, args.steps);
-                    if end.violation.is_none() && !args.trace {
-                        end.trace.clear();
+                    let mut result = run_seed(settings, names, args.steps);
+                    if result.violation.is_none() && !args.trace {
+                        result.trace.clear();
                     }
-                    if let Ok(mut ends) = ends.lock() {
-                        ends.insert(seed, end);
+                    if let Ok(mut results) = results.lock() {
+                        results.insert(seed, result);
                     }
                 }
             });
         }
     });
-    ends.into_inner()
-        .map(|ends| ends.into_values().collect())
+    results
+        .into_inner()
+        .map(|results| results.into_values().collect())
         .unwrap_or_default()
 }
 
-fn report(args: &Chaos, ends: &[RunResult]) -> usize {
-    let failed: Vec<&RunResult> = ends.iter().filter(|end| end.violation.is_some()).collect();
-    if let Some(end) = failed
+fn print_report(args: &Chaos, results: &[RunResult]) -> usize {
+    let failed: Vec<&RunResult> = results
+        .iter()
+        .filter(|result| result.violation.is_some())
+        .collect();
+    if let Some(result) = failed
         .first()
         .copied()
-        .or(ends.first().filter(|_| args.trace))
+        .or(results.first().filter(|_| args.trace))
     {
-        for line in &end.trace {
+        for line in &result.trace {
             println!("{line}");
         }
     }
     let mut by_name: BTreeMap<&str, u64> = BTreeMap::new();
     let mut outcomes: BTreeMap<&str, u64> = BTreeMap::new();
-    for end in ends {
-        for (name, count) in &end.counts.by_name {
+    for result in results {
+        for (name, count) in &result.counts.by_name {
             *by_name.entry(name).or_default() += count;
         }
-        for (name, count) in &end.outcomes {
+        for (name, count) in &result.outcomes {
             *outcomes.entry(name).or_default() += count;
         }
     }
@@ -258,25 +274,21 @@
     for (name, count) in &outcomes {
         println!("programs {name:<19} {count:>10}");
     }
-    let steps: u64 = ends.iter().map(|end| end.steps).sum();
-    let digest = ends
+    let steps: u64 = results.iter().map(|result| result.steps).sum();
+    let digest = results
         .iter()
-        .fold(0u64, |sum, end| sum.rotate_left(1) ^ end.digest);
+        .fold(0u64, |sum, result| sum.rotate_left(1) ^ result.digest);
     println!("{:<28} {steps:>10}", "steps");
     println!("trace digest {digest:016x}");
-    for end in &failed {
-        let Some(violation) = &end.violation else {
+    for result in &failed {
+        let Some(violation) = &result.violation else {
             continue;
         };
         println!(
-            "seed {} step {}: {} broken: {}",
-            end.seed, end.steps, violation.property, violation.detail
+            "seed {} step {}: property `{}` violated: {}",
+            result.seed, result.steps, violation.property, violation.detail
         );
     }
-    println!(
-        "{} seeds, {} with a broken promise",
-        ends.len(),
-        failed.len()
-    );
+    println!("{} seeds, {} with a violation", results.len(), failed.len());
     failed.len()
 }
--- a/standins/src/chaos_backend.rs
+++ b/standins/src/chaos_backend.rs
@@ -1,5 +1,6 @@
-//! A backend server of a chaos run: the model engine or the plain service, and what it was seen to
-//! do for whom.
+//! Simulates the backend servers of a chaos run: model engines and the plain service.
+//!
+//! Each reports the calls that it starts and executes and the tokens that it uses, for the checks.
 
 use std::collections::BTreeMap;
 
@@ -18,33 +19,33 @@
 use crate::engine::{Engine, EngineSettings};
 use crate::plain_service::{PlainRequest, PlainService};
 
-/// How long a hold takes, at random between the two.
-const HOLD_US: (u64, u64) = (1_000, 900_000);
+/// The range of a hold's duration.
+const HOLD_DURATION_RANGE_US: (u64, u64) = (1_000, 900_000);
 
-/// How often a hold is carried out and its connection breaks before the answer.
-const BREAKS_AFTER: f64 = 0.02;
+/// The probability that a hold is executed and its connection closed before the response.
+const RESPONSE_LOSS_PROBABILITY: f64 = 0.02;
 
-/// A call that a backend server has begun.
+/// A call that a backend server has started.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StartedCall {
-    /// The attempt.
+    /// The id of the attempt.
     pub attempt: AttemptId,
-    /// Its program.
+    /// The program that made the call.
     pub program: ProgramId,
-    /// Its place in the program.
+    /// Its sequence number in the program.
     pub seq: CallSeq,
-    /// Its body.
+    /// The body of the call.
     pub body: BodyId,
 }
 
-/// What has happened since the last look.
+/// What a backend server did since the last call of [`Backend::advance`].
 #[derive(Debug, Default)]
 pub struct BackendProgress {
-    /// What the sidecar hears.
+    /// Events for the sidecar.
     pub events: Vec<(AttemptId, BackendEvent)>,
-    /// Holds that were carried out.
+    /// Holds that were executed.
     pub executed: Vec<(ProgramId, BodyId)>,
-    /// Tokens that were processed.
+    /// Tokens that ended turns used.
     pub used_tokens: Vec<(ProgramId, Tokens)>,
 }
 
@@ -56,18 +57,18 @@
     Plain(Box<PlainServer>),
 }
 
-/// A model engine with its books.
+/// A model engine, with the records that the checks need.
 pub struct EngineServer {
     engine: Engine,
     next_cache_event: u64,
     running: BTreeMap<AttemptId, (ProgramId, Tokens)>,
-    /// The prefixes that were ever cached for a program alone.
+    /// The prefixes that were ever cached for a single program.
     prefixes: BTreeMap<ProgramId, BTreeMap<ChainHash, Tokens>>,
     used_tokens: Vec<(ProgramId, Tokens)>,
     slow_until_us: TimeUs,
 }
 
-/// A server of the plain service with its books.
+/// A server of the plain service, with its pending holds.
 pub struct PlainServer {
     service: PlainService,
     pending: BTreeMap<(TimeUs, AttemptId), PlainCall>,
@@ -75,7 +76,7 @@
 }
 
 impl Backend {
-    /// A backend server that has just started.
+    /// Creates a backend server that has just started.
     #[must_use]
     pub fn new(is_engine: bool, seed: u64) -> Self {
         if !is_engine {
@@ -103,11 +104,11 @@
         }))
     }
 
-    /// The VM was replaced: everything that ran or was cached is gone.
+    /// Restarts the server on a replaced VM, without its running calls and its cache.
     pub fn restart(&mut self, now: TimeUs) {
         match self {
             Self::Engine(server) => {
-                server.book_all();
+                server.record_all_usage();
                 server.engine.crash(now);
                 server.engine.restart(now);
                 server.next_cache_event = 0;
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Slows the server down.
+    /// Slows an engine down until a time.
     pub fn slow_until(&mut self, now: TimeUs, until: TimeUs) {
         if let Self::Engine(server) = self {
             server.slow_until_us = until;
@@ -127,18 +128,18 @@
         }
     }
 
-    /// Takes a turn; `None` when it was refused.
+    /// Starts a turn; returns `None` if it is refused.
     pub fn generate(&mut self, now: TimeUs, body: GenerateBody) -> Option<StartedCall> {
         let Self::Engine(server) = self else {
             return None;
         };
         let text = &body.messages.last()?.content;
-        let number: BodyId = text.strip_prefix("body ")?.parse().ok()?;
+        let body_id: BodyId = text.strip_prefix("body ")?.parse().ok()?;
         let started = StartedCall {
             attempt: body.attempt,
             program: body.program.clone(),
-            seq: body_seq(number),
-            body: number,
+            seq: body_seq(body_id),
+            body: body_id,
         };
         let prompt_tokens = body.prompt.length_tokens();
         let prefixes = server.prefixes.entry(body.program.clone()).or_default();
@@ -153,7 +154,7 @@
         Some(started)
     }
 
-    /// Takes a call of the plain service.
+    /// Starts a call of the plain service; returns `None` if it is refused.
     pub fn call(
         &mut self,
         now: TimeUs,
@@ -164,10 +165,14 @@
             return None;
         };
         let body = hold_body(&call.body)?;
-        let takes = SpanUs(server.rng.random_range(HOLD_US.0..HOLD_US.1));
+        let duration_us = SpanUs(
+            server
+                .rng
+                .random_range(HOLD_DURATION_RANGE_US.0..HOLD_DURATION_RANGE_US.1),
+        );
         server
             .pending
-            .insert((now.after(takes), attempt), call.clone());
+            .insert((now.after(duration_us), attempt), call.clone());
         let (program, seq) = (body_program(body), body_seq(body));
         Some(StartedCall {
             attempt,
@@ -177,15 +182,15 @@
         })
     }
 
-    /// Stops a turn; a hold that has begun can't be stopped.
+    /// Cancels a turn; a hold that has started can't be cancelled.
     pub fn cancel(&mut self, now: TimeUs, attempt: AttemptId) {
         if let Self::Engine(server) = self {
             server.engine.cancel(now, attempt);
-            server.book(attempt);
+            server.record_usage(attempt);
         }
     }
 
-    /// Frees prefixes.
+    /// Frees prefixes and returns the tokens freed.
     pub fn release(&mut self, now: TimeUs, chains: &[ChainHash]) -> Option<Tokens> {
         match self {
             Self::Engine(server) => Some(server.engine.release(now, chains)),
@@ -193,14 +198,14 @@
         }
     }
 
-    /// Frees all prefixes but these.
+    /// Frees all prefixes except `chains`.
     pub fn retain(&mut self, now: TimeUs, chains: &[ChainHash]) {
         if let Self::Engine(server) = self {
             server.engine.retain(now, chains);
         }
     }
 
-    /// The engine's load report.
+    /// Returns the engine's load report.
     pub fn load_report(&mut self, now: TimeUs) -> Option<LoadReport> {
         match self {
             Self::Engine(server) => {
@@ -216,7 +221,7 @@
         }
     }
 
-    /// The cache events that can be read by now, if there are any.
+    /// Returns the unread cache events and the number of the first, if there are any.
     pub fn cache_events(&mut self, now: TimeUs) -> Option<(u64, Vec<CacheEvent>)> {
         let Self::Engine(server) = self else {
             return None;
@@ -229,7 +234,7 @@
         Some((answer.first, answer.events))
     }
 
-    /// When something will happen by itself next.
+    /// Returns the time of the next event of this server.
     #[must_use]
     pub fn next_event_at(&self) -> Option<TimeUs> {
         match self {
@@ -238,7 +243,7 @@
         }
     }
 
-    /// Whether anything runs.
+    /// Returns whether any call runs.
     #[must_use]
     pub fn is_busy(&self) -> bool {
         match self {
@@ -247,7 +252,7 @@
         }
     }
 
-    /// Moves on to `now`.
+    /// Advances the server to `now` and returns what it did.
     pub fn advance(&mut self, now: TimeUs) -> BackendProgress {
         match self {
             Self::Engine(server) => server.advance(now),
@@ -255,7 +260,7 @@
         }
     }
 
-    /// The tokens that lie cached for each program alone.
+    /// Returns the tokens cached for single programs, by program.
     #[must_use]
     pub fn cached_tokens(&self) -> Vec<(ProgramId, Tokens)> {
         let Self::Engine(server) = self else {
@@ -272,7 +277,7 @@
         held.filter(|(_, tokens)| tokens.0 > 0).collect()
     }
 
-    /// The text that an engine answers to a request.
+    /// Returns the text with which an engine responds to a request.
     #[must_use]
     pub fn expected_text(request: &Request) -> String {
         let Payload::Chat(chat) = &request.payload else {
@@ -282,12 +287,11 @@
         let wanted = wanted_tokens(chain, &chat.extra);
         answer_text(
             chain,
-            chat.max_output_tokens
-                .map_or(wanted, |most| most.min(wanted)),
+            chat.max_output_tokens.map_or(wanted, |max| max.min(wanted)),
         )
     }
 
-    /// The body with which the plain service answers a hold.
+    /// Returns the body with which the plain service responds to a hold.
     #[must_use]
     pub fn expected_plain(body: BodyId) -> Vec<u8> {
         let request = plain_request(hold_json(body));
@@ -299,18 +303,18 @@
 }
 
 impl EngineServer {
-    /// Books what an attempt has processed.
-    fn book(&mut self, attempt: AttemptId) {
+    /// Records the tokens that an attempt has used.
+    fn record_usage(&mut self, attempt: AttemptId) {
         self.used_tokens.extend(self.running.remove(&attempt));
     }
 
-    fn book_all(&mut self) {
+    fn record_all_usage(&mut self) {
         self.used_tokens
             .extend(std::mem::take(&mut self.running).into_values());
     }
 
     fn advance(&mut self, now: TimeUs) -> BackendProgress {
-        let mut happened = BackendProgress::default();
+        let mut progress = BackendProgress::default();
         for (attempt, line) in self.engine.advance(now) {
             let event = match line {
                 GenerateLine::Text {
@@ -332,8 +336,11 @@
                     finish,
                     cached,
                 } => {
-                    self.note_cached(attempt, cached.last().map(|s| (s.chain, s.length_tokens)));
-                    self.book(attempt);
+                    self.record_cached_prefix(
+                        attempt,
+                        cached.last().map(|s| (s.chain, s.length_tokens)),
+                    );
+                    self.record_usage(attempt);
                     BackendEvent::Done {
                         usage,
                         finish,
@@ -341,20 +348,20 @@
                     }
                 }
                 GenerateLine::Failed { detail } => {
-                    self.book(attempt);
+                    self.record_usage(attempt);
                     BackendEvent::Failed {
                         detail,
                         not_run: false,
                     }
                 }
             };
-            happened.events.push((attempt, event));
+            progress.events.push((attempt, event));
         }
-        happened.used_tokens = std::mem::take(&mut self.used_tokens);
-        happened
+        progress.used_tokens = std::mem::take(&mut self.used_tokens);
+        progress
     }
 
-    fn note_cached(&mut self, attempt: AttemptId, last: Option<(ChainHash, Tokens)>) {
+    fn record_cached_prefix(&mut self, attempt: AttemptId, last: Option<(ChainHash, Tokens)>) {
         let (Some((program, _)), Some((chain, tokens))) = (self.running.get(&attempt), last) else {
             return;
         };
@@ -367,7 +374,7 @@
 
 impl PlainServer {
     fn advance(&mut self, now: TimeUs) -> BackendProgress {
-        let mut happened = BackendProgress::default();
+        let mut progress = BackendProgress::default();
         while let Some(entry) = self
             .pending
             .first_entry()
@@ -375,15 +382,15 @@
         {
             let ((_, attempt), call) = entry.remove_entry();
             if let Some(body) = hold_body(&call.body) {
-                happened.executed.push((body_program(body), body));
+                progress.executed.push((body_program(body), body));
             }
             let reply = self.service.handle(now, &plain_request(call.body));
-            if self.rng.random_bool(BREAKS_AFTER) {
+            if self.rng.random_bool(RESPONSE_LOSS_PROBABILITY) {
                 let event = BackendEvent::Failed {
-                    detail: "the connection broke before the answer".to_owned(),
+                    detail: "connection closed before the response".to_owned(),
                     not_run: false,
                 };
-                happened.events.push((attempt, event));
+                progress.events.push((attempt, event));
                 continue;
             }
             let answer = PlainAnswer {
@@ -391,9 +398,9 @@
                 headers: Vec::new(),
                 body: reply.body.into_bytes(),
             };
-            happened.events.push((attempt, BackendEvent::Plain(answer)));
+            progress.events.push((attempt, BackendEvent::Plain(answer)));
         }
-        happened
+        progress
     }
 }
 
@@ -406,7 +413,7 @@
     }
 }
 
-/// The JSON body of a hold.
+/// Returns the JSON body of a hold.
 #[must_use]
 pub fn hold_json(body: BodyId) -> Vec<u8> {
     serde_json::json!({ "id": body.to_string(), "slot": format!("slot-{body}") })
--- a/standins/src/chaos_backend_events.rs
+++ b/standins/src/chaos_backend_events.rs
@@ -1,4 +1,4 @@
-//! The backend servers of a chaos run at work.
+//! Handles the events of backend servers in a chaos run.
 
 use clementinepick::ids::VmId;
 use clementinepick::sidecar::SidecarInput;
@@ -40,20 +40,20 @@
             return;
         };
         if backend.next_event_at().is_none_or(|at| at > self.now) {
-            // It has slowed down since it asked to be woken.
+            // The server has slowed down since this wake-up was scheduled.
             self.wake_backend(vm);
             return;
         }
-        let happened = backend.advance(self.now);
+        let progress = backend.advance(self.now);
         let start_count = self.nodes.get(vm).map_or(0, |node| node.start_count);
-        for (program, body) in happened.executed {
-            self.record_trace(|| format!("{vm} has executed body {body} of {program}"));
+        for (program, body) in progress.executed {
+            self.record_trace(|| format!("{vm} executed body {body} of {program}"));
             self.checks.on_executed(&program, body);
         }
-        for (program, tokens) in happened.used_tokens {
+        for (program, tokens) in progress.used_tokens {
             self.checks.on_tokens_used(&program, tokens);
         }
-        for (attempt, event) in happened.events {
+        for (attempt, event) in progress.events {
             self.deliver_input(
                 vm,
                 start_count,
--- a/standins/src/chaos_caller_events.rs
+++ b/standins/src/chaos_caller_events.rs
@@ -1,4 +1,4 @@
-//! The callers of a chaos run at work.
+//! Handles the requests, responses and ends of programs of the callers in a chaos run.
 
 use clementinepick::call::AnswerPart;
 use clementinepick::entry::EntryInput;
@@ -23,7 +23,7 @@
         };
         let id = RequestId::draw(&mut self.rng);
         let state = &mut self.callers[caller];
-        let (program, at, turn) = (state.program.clone(), state.call_index, state.call_kind());
+        let (program, at, kind) = (state.program.clone(), state.call_index, state.call_kind());
         state.pending = Some(PendingRequest {
             id,
             entry: entry.clone(),
@@ -33,7 +33,7 @@
         });
         self.callers_by_request.insert(id, caller);
         self.record_trace(|| {
-            format!("caller of {program} sends call {at} ({turn:?}) to {entry}, {id}")
+            format!("caller of {program} sends call {at} ({kind:?}) to {entry}, {id}")
         });
         self.counts.add("requests");
         let start_count = self.nodes[&entry].start_count;
@@ -47,9 +47,9 @@
                 request: id,
             },
         );
-        let patience = DEADLINE_US + RESPONSE_GRACE_US;
+        let timeout = DEADLINE_US + RESPONSE_GRACE_US;
         self.schedule_after(
-            patience,
+            timeout,
             ScheduledEvent::ResponseTimeout {
                 caller,
                 request: id,
@@ -57,7 +57,7 @@
         );
     }
 
-    /// The platform's balancer: a ready entry, else any that lives.
+    /// Chooses a random ready entry, as the platform's load balancer does.
     pub(crate) fn choose_entry(&mut self) -> Option<VmId> {
         let ready = |node: &Node| match &node.logic {
             Some(ProcessLogic::Entry(entry)) => entry.is_ready(),
@@ -99,14 +99,14 @@
     }
 
     pub(crate) fn on_response_part(&mut self, vm: &VmId, id: RequestId, part: &AnswerPart) {
-        self.record_trace(|| format!("{vm} answers {id}: {}", brief(part)));
+        self.record_trace(|| format!("{vm} responds to {id}: {}", summarize_part(part)));
         let Some(caller) = self.callers_by_request.get(&id).copied() else {
             return;
         };
         let state = &mut self.callers[caller];
         let Some(pending) = state.pending.as_mut().filter(|pending| pending.id == id) else {
             self.checks
-                .fail("own answer", format!("a part after the end of {id}"));
+                .fail("own answer", format!("response part after the end of {id}"));
             return;
         };
         if let Some(wrong) = apply_part(pending, part) {
@@ -148,8 +148,11 @@
             CallKind::Hold => {
                 let expected = Backend::expected_plain(state.body());
                 let executed = self.checks.was_executed(state.body());
-                (pending.plain.as_ref() != Some(&expected) || !executed)
-                    .then(|| format!("{program}/{at}: the answer to a hold is wrong or untrue"))
+                (pending.plain.as_ref() != Some(&expected) || !executed).then(|| {
+                    format!(
+                        "{program}/{at}: wrong response to a hold, or the hold was not executed"
+                    )
+                })
             }
         };
         if let Some(wrong) = wrong {
@@ -163,13 +166,13 @@
         id: RequestId,
         error: &CallError,
     ) -> NextAction {
-        let answer = error.kind.response();
-        self.counts.add(answer.code);
-        let patient = self.rng.random_bool(0.9);
+        let response = error.kind.response();
+        self.counts.add(response.code);
+        let persistent = self.rng.random_bool(0.9);
         let program = self.callers[caller].program.clone();
-        self.record_trace(|| format!("caller of {program} is refused, {id}: {error}"));
-        let next = self.callers[caller].on_failed(error, patient);
-        if next == NextAction::End && answer.not_run == NotRun::Yes {
+        self.record_trace(|| format!("call of {program} failed, {id}: {error}"));
+        let next = self.callers[caller].on_failed(error, persistent);
+        if next == NextAction::End && response.not_run == NotRun::Yes {
             let first_try = self.callers[caller].was_sent_once();
             let body = self.callers[caller].body();
             if first_try {
@@ -194,13 +197,15 @@
                 return;
             }
             let (program, at) = (state.program.clone(), state.call_index);
-            let detail = format!("{program}/{at}: no answer from {entry} long after the deadline");
+            let detail = format!(
+                "{program}/{at}: no complete response from {entry} long after the deadline"
+            );
             self.trace_program_calls(&program);
             self.checks.fail("an answer in time", detail);
         }
     }
 
-    /// Puts what the entries know of a program's calls into the trace.
+    /// Writes the state of a program's calls in all entries into the trace.
     fn trace_program_calls(&mut self, program: &ProgramId) {
         let mut lines = Vec::new();
         for (vm, node) in &self.nodes {
@@ -210,7 +215,7 @@
             let dump = entry.dump(self.now);
             let calls = dump["calls"].as_array().into_iter().flatten();
             let own = calls.filter(|call| call["program"] == program.as_str());
-            lines.extend(own.map(|call| format!("{vm} has {call}")));
+            lines.extend(own.map(|call| format!("{vm}: call {call}")));
         }
         for line in lines {
             self.record_trace(|| line);
@@ -230,7 +235,7 @@
     pub(crate) fn end_program(&mut self, caller: usize) {
         let program = self.callers[caller].program.clone();
         let outcome = self.callers[caller].outcome;
-        self.record_trace(|| format!("caller of {program} ends it: {outcome:?}"));
+        self.record_trace(|| format!("caller of {program} ends the program: {outcome:?}"));
         self.counts.add("programs ended");
         let Some(entry) = self.choose_entry() else {
             return;
@@ -244,8 +249,8 @@
     }
 }
 
-/// A part of an answer in a few words.
-fn brief(part: &AnswerPart) -> String {
+/// Describes a part of a response in a few words.
+fn summarize_part(part: &AnswerPart) -> String {
     match part {
         AnswerPart::Text { position, text } => format!("text at {position}, {} bytes", text.len()),
         AnswerPart::Plain(answer) => format!("plain {}", answer.status),
--- a/standins/src/chaos_callers.rs
+++ b/standins/src/chaos_callers.rs
@@ -1,5 +1,7 @@
-//! The callers of a chaos run: programs whose turns depend on one another, and seat holds that may
-//! not run twice.
+//! Simulates the callers of a chaos run.
+//!
+//! Each runs a program of turns, which depend on one another, and of seat holds, which must not be
+//! executed twice.
 
 use clementinepick::call::{AnswerPart, ChatCall, ChatMessage, Payload, PlainCall, Request};
 use clementinepick::error::{CallError, NotRun};
@@ -11,98 +13,98 @@
 
 use crate::chaos_checks::BodyId;
 
-/// The service of model engines in a run.
+/// The name of the engine service.
 pub const ENGINE_SERVICE: &str = "agent-llm";
-/// The plain service in a run.
+/// The name of the plain service.
 pub const PLAIN_SERVICE: &str = "book-app";
-/// The model in a run.
+/// The name of the model.
 pub const MODEL: &str = "booking";
-/// The deadline that callers set.
+/// The deadline of each call.
 pub const DEADLINE_US: SpanUs = SpanUs::from_s(20);
-/// The wait before a caller repeats a call whose answer names no time.
-const REPEAT_AFTER_US: SpanUs = SpanUs::from_ms(300);
-/// Repeats of one call after which its caller gives up.
-const MAX_REPEATS: u32 = 40;
-/// The most tokens that a turn asks for.
-const MAX_OUTPUT_TOKENS: u64 = 24;
+/// The least time before a caller retries a call.
+const MIN_RETRY_DELAY_US: SpanUs = SpanUs::from_ms(300);
+/// The failed tries of one call after which its caller gives up.
+const MAX_TRIES: u32 = 40;
+/// The number of different output limits that turns ask for.
+const OUTPUT_LIMIT_COUNT: u64 = 24;
 
-/// One call of a program's script.
+/// The kind of a call in a program's script.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallKind {
-    /// A turn of the engine.
+    /// A turn of the engine service.
     Chat,
-    /// A seat hold: non-idempotent.
+    /// A seat hold, which is non-idempotent.
     Hold,
 }
 
-/// A request that waits for its answer.
+/// A request that awaits its response.
 #[derive(Debug, Clone)]
 pub struct PendingRequest {
-    /// The request.
+    /// The request id.
     pub id: RequestId,
-    /// The entry it was sent to.
+    /// The entry that it was sent to.
     pub entry: VmId,
-    /// The text that has come.
+    /// The text received so far.
     pub text: String,
-    /// Whether a plain answer has come.
+    /// The body of the plain response, once received.
     pub plain: Option<Vec<u8>>,
-    /// When it was sent.
+    /// The time at which it was sent.
     pub sent_us: TimeUs,
 }
 
-/// What a caller does after an answer.
+/// What a caller does next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextAction {
-    /// Nothing yet.
+    /// Waits for more.
     Wait,
-    /// Sends its next call, or the same again, after a pause.
+    /// Sends the current call after a delay.
     SendAfter(SpanUs),
-    /// Ends its program.
+    /// Ends the program.
     End,
 }
 
-/// How a program ended, as its caller saw it.
+/// The outcome of a program, as its caller observed it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProgramOutcome {
-    /// Every call was answered.
+    /// Every call completed.
     Finished,
-    /// A call was refused, and the caller believed it.
+    /// A call was refused or failed, and its outcome is known.
     Refused,
-    /// The outcome of a call is unknown, and the caller was told so.
+    /// It is unknown whether a call has run.
     Unknown,
 }
 
 /// A program and the caller that drives it.
 #[derive(Debug, Clone)]
 pub struct Caller {
-    /// The program.
+    /// The id of the program.
     pub program: ProgramId,
-    /// Its token budget.
+    /// The program's token budget.
     pub budget: Tokens,
     script: Vec<CallKind>,
-    /// The call at which it is.
+    /// The index of the current call in the script.
     pub call_index: usize,
-    /// The transcript so far.
+    /// The messages of all completed turns.
     pub transcript: Vec<ChatMessage>,
-    /// The request that is open.
+    /// The request in progress, if any.
     pub pending: Option<PendingRequest>,
-    repeats: u32,
-    /// How it ended.
+    failed_tries: u32,
+    /// The outcome, once the program has ended.
     pub outcome: Option<ProgramOutcome>,
-    /// The last refusal.
+    /// The last error of a call.
     pub last_error: Option<CallError>,
-    body_base: BodyId,
+    first_body: BodyId,
 }
 
-/// Bodies of one program start at a multiple of this.
+/// The range of body ids that each program has for its calls.
 const BODIES_PER_PROGRAM: BodyId = 1_000;
 
 impl Caller {
-    /// A program with a script drawn at random.
+    /// Draws a program with a random script and budget.
     ///
     /// # Panics
     ///
-    /// Never: a number makes a name.
+    /// Never panics, as any number makes a valid name.
     #[must_use]
     pub fn draw(number: u64, rng: &mut ChaCha12Rng) -> Self {
         let turns = rng.random_range(1..=7);
@@ -115,10 +117,10 @@
                 }
             })
             .collect();
-        let tight = rng.random_bool(0.1);
+        let has_small_budget = rng.random_bool(0.1);
         Self {
-            program: format!("p{number}").parse().expect("a name"),
-            budget: Tokens(if tight {
+            program: format!("p{number}").parse().expect("a valid name"),
+            budget: Tokens(if has_small_budget {
                 rng.random_range(40..400)
             } else {
                 100_000
@@ -127,30 +129,32 @@
             call_index: 0,
             transcript: vec![ChatMessage::new("system", "You plan night-sky visits.")],
             pending: None,
-            repeats: 0,
+            failed_tries: 0,
             outcome: None,
             last_error: None,
-            body_base: number * BODIES_PER_PROGRAM,
+            first_body: number * BODIES_PER_PROGRAM,
         }
     }
 
-    /// The turn at which it is.
+    /// Returns the kind of the current call.
     #[must_use]
     pub fn call_kind(&self) -> CallKind {
         self.script[self.call_index]
     }
 
-    /// The body of the call at which it is; repeats carry the same.
+    /// Returns the body id of the current call, which its retries share.
     #[must_use]
     pub fn body(&self) -> BodyId {
-        self.body_base + self.call_index as BodyId
+        self.first_body + self.call_index as BodyId
     }
 
     fn key(&self) -> IdempotencyKey {
-        format!("key-{}", self.body()).parse().expect("a name")
+        format!("key-{}", self.body())
+            .parse()
+            .expect("a valid name")
     }
 
-    /// The request for the call at which it is.
+    /// Returns a request for the current call.
     #[must_use]
     pub fn request(&self, id: RequestId) -> Request {
         let (service, payload, non_idempotent) = match self.call_kind() {
@@ -177,7 +181,7 @@
         }
     }
 
-    /// The transcript that the call at which it is sends.
+    /// Returns the messages that the current call sends.
     #[must_use]
     pub fn messages(&self) -> Vec<ChatMessage> {
         let mut messages = self.transcript.clone();
@@ -188,10 +192,10 @@
     fn chat(&self) -> Payload {
         let messages = self.messages();
         Payload::Chat(ChatCall {
-            model: MODEL.parse().expect("a name"),
+            model: MODEL.parse().expect("a valid name"),
             prompt: Prompt::of_messages(&messages),
             messages,
-            max_output_tokens: Some(Tokens(4 + self.body() % MAX_OUTPUT_TOKENS)),
+            max_output_tokens: Some(Tokens(4 + self.body() % OUTPUT_LIMIT_COUNT)),
             stream: true,
             extra: std::collections::BTreeMap::new(),
         })
@@ -206,7 +210,7 @@
         })
     }
 
-    /// Takes the end of the answer to a chat turn or a hold.
+    /// Handles the end of a complete response.
     pub fn on_completed(&mut self, think_us: SpanUs) -> NextAction {
         let Some(pending) = self.pending.take() else {
             return NextAction::Wait;
@@ -216,7 +220,7 @@
             self.transcript
                 .push(ChatMessage::new("assistant", &pending.text));
         }
-        self.repeats = 0;
+        self.failed_tries = 0;
         self.call_index += 1;
         if self.call_index < self.script.len() {
             return NextAction::SendAfter(think_us);
@@ -225,25 +229,25 @@
         NextAction::End
     }
 
-    /// Whether the call at which it is was sent only once.
+    /// Returns whether the current call, which has just failed, was sent only once.
     #[must_use]
     pub const fn was_sent_once(&self) -> bool {
-        self.repeats <= 1
+        self.failed_tries <= 1
     }
 
-    /// Takes a refusal; `patient` callers come back when they may.
-    pub fn on_failed(&mut self, error: &CallError, patient: bool) -> NextAction {
+    /// Handles an error of the current call; only a `persistent` caller retries it.
+    pub fn on_failed(&mut self, error: &CallError, persistent: bool) -> NextAction {
         self.pending = None;
         self.last_error = Some(error.clone());
-        let answer = error.kind.response();
-        self.repeats += 1;
-        let after = error.retry_after_us.unwrap_or(REPEAT_AFTER_US);
-        let worth_it = answer.repeat_safe && answer.retry_after_s.is_some();
-        if worth_it && patient && self.repeats < MAX_REPEATS {
-            return NextAction::SendAfter(after.max(REPEAT_AFTER_US));
+        let response = error.kind.response();
+        self.failed_tries += 1;
+        let after = error.retry_after_us.unwrap_or(MIN_RETRY_DELAY_US);
+        let may_retry = response.repeat_safe && response.retry_after_s.is_some();
+        if may_retry && persistent && self.failed_tries < MAX_TRIES {
+            return NextAction::SendAfter(after.max(MIN_RETRY_DELAY_US));
         }
-        let unknown = answer.not_run == NotRun::Unknown;
-        self.outcome = Some(if unknown {
+        let is_unknown = response.not_run == NotRun::Unknown;
+        self.outcome = Some(if is_unknown {
             ProgramOutcome::Unknown
         } else {
             ProgramOutcome::Refused
@@ -251,61 +255,62 @@
         NextAction::End
     }
 
-    /// The connection to the entry broke: sends the same call again, under its key and place.
+    /// Handles the loss of the connection to the entry by retrying the call with the same
+    /// idempotency key and sequence number.
     pub fn on_disconnected(&mut self) -> NextAction {
         self.pending = None;
-        self.repeats += 1;
-        if self.repeats < MAX_REPEATS {
-            return NextAction::SendAfter(REPEAT_AFTER_US);
+        self.failed_tries += 1;
+        if self.failed_tries < MAX_TRIES {
+            return NextAction::SendAfter(MIN_RETRY_DELAY_US);
         }
         self.outcome = Some(ProgramOutcome::Unknown);
         NextAction::End
     }
 }
 
-/// The program that a body belongs to.
+/// Returns the program that a body belongs to.
 ///
 /// # Panics
 ///
-/// Never: a number makes a name.
+/// Never panics, as any number makes a valid name.
 #[must_use]
 pub fn body_program(body: BodyId) -> ProgramId {
     format!("p{}", body / BODIES_PER_PROGRAM)
         .parse()
-        .expect("a name")
+        .expect("a valid name")
 }
 
-/// The place of the call that a body belongs to.
+/// Returns the sequence number of the call that a body belongs to.
 #[must_use]
 pub const fn body_seq(body: BodyId) -> CallSeq {
     CallSeq(body % BODIES_PER_PROGRAM)
 }
 
-/// The name of a service that the run knows.
+/// Parses the name of a service.
 ///
 /// # Panics
 ///
-/// When `name` is no name.
+/// Panics if `name` is not a valid name.
 #[must_use]
 pub fn service_name(name: &str) -> ServiceName {
-    name.parse().expect("a name")
+    name.parse().expect("a valid name")
 }
 
-/// Adds one part of an answer; says what is wrong with it, if anything is.
+/// Adds one part of a response; returns a description of what is wrong with it, if anything is.
 pub fn apply_part(pending: &mut PendingRequest, part: &AnswerPart) -> Option<String> {
     match part {
         AnswerPart::Text { position, text } => {
             let known = pending.text.chars().count() as u64;
             if *position != known {
                 return Some(format!(
-                    "text at {position}, but {known} characters have come"
+                    "text at position {position}, but {known} characters were received"
                 ));
             }
             pending.text.push_str(text);
         }
         AnswerPart::Plain(answer) => {
             if pending.plain.is_some() {
-                return Some("a second plain answer".to_owned());
+                return Some("second plain response".to_owned());
             }
             pending.plain = Some(answer.body.clone());
         }
--- a/standins/src/chaos_checks.rs
+++ b/standins/src/chaos_checks.rs
@@ -1,61 +1,61 @@
-//! What a chaos run asserts: one check for each line of "what must always hold".
+//! Checks the properties that must always hold in a chaos run.
 //!
-//! The checks see what callers and backend servers see, and never the state of the processes under
-//! test, so that no fault of theirs can hide itself.
+//! The checks use what callers and backend servers observe rather than the state of the processes
+//! under test, so that a fault in these processes can't hide itself.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use clementinepick::ids::{AttemptId, CallSeq, ProgramId, Revision, ServiceName, VmId};
 use clementinepick::units::{SpanUs, TimeUs, Tokens};
 
-/// How long after it was known to leave a backend server may still start calls.
+/// The time for which a backend server may still start calls after it began to leave.
 pub const LEAVING_GRACE_US: SpanUs = SpanUs::from_s(4);
 
-/// A broken promise.
+/// A violation of a property.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
-    /// Which promise.
+    /// The name of the property.
     pub property: &'static str,
-    /// What was seen.
+    /// What was observed.
     pub detail: String,
 }
 
-/// One call's body, which callers make unique.
+/// Identifies the body of a call; unique per call of a run.
 pub type BodyId = u64;
 
-/// What backend servers and callers have seen so far.
+/// What backend servers and callers have observed so far.
 #[derive(Debug, Default)]
 pub struct Checks {
-    /// The highest place of a call that a backend server has started, by program.
-    started: BTreeMap<ProgramId, CallSeq>,
+    /// The highest sequence number of a call that a backend server has started, by program.
+    highest_started: BTreeMap<ProgramId, CallSeq>,
     /// How often each non-idempotent body was executed.
     executed: BTreeMap<BodyId, u32>,
-    /// Bodies whose last answer said "not run" and which were not sent again.
+    /// Bodies that were reported as not run and that their callers don't send again.
     abandoned: BTreeSet<BodyId>,
     /// Bodies that any backend server has started.
-    ran: BTreeSet<BodyId>,
+    started_bodies: BTreeSet<BodyId>,
     /// Tokens that engines have processed, by program.
     used_tokens: BTreeMap<ProgramId, Tokens>,
     budgets: BTreeMap<ProgramId, Tokens>,
     leaving: BTreeMap<VmId, TimeUs>,
     revisions: BTreeMap<(VmId, ServiceName), Revision>,
     ended: BTreeMap<ProgramId, TimeUs>,
-    /// The first promise that was broken.
+    /// The first violation.
     pub violation: Option<Violation>,
 }
 
 impl Checks {
-    /// Notes a broken promise; the first one counts.
+    /// Records a violation, unless there is one already.
     pub fn fail(&mut self, property: &'static str, detail: String) {
         self.violation.get_or_insert(Violation { property, detail });
     }
 
-    /// A program may spend this much.
+    /// Records the token budget of a program.
     pub fn on_budget(&mut self, program: &ProgramId, budget: Tokens) {
         self.budgets.insert(program.clone(), budget);
     }
 
-    /// A backend server starts a call.
+    /// Records that a backend server starts a call.
     pub fn on_start(
         &mut self,
         now: TimeUs,
@@ -65,18 +65,18 @@
         body: BodyId,
         attempt: AttemptId,
     ) {
-        let highest = self.started.entry(program.clone()).or_insert(seq);
+        let highest = self.highest_started.entry(program.clone()).or_insert(seq);
         if seq < *highest {
             let detail = format!("{program}: call {seq} started after call {highest} ({attempt})");
             self.fail("order", detail);
         } else {
             *highest = seq;
         }
-        self.ran.insert(body);
+        self.started_bodies.insert(body);
         if self.abandoned.contains(&body) {
             self.fail(
                 "not run",
-                format!("{program}/{seq} was refused as not run, and now runs"),
+                format!("{program}/{seq} runs after it was reported as not run"),
             );
         }
         if let Some(since) = self.leaving.get(vm)
@@ -85,12 +85,12 @@
             let late = now.since(*since);
             self.fail(
                 "leaving",
-                format!("{vm} got {program}/{seq} {late} after it began to leave"),
+                format!("{vm} started {program}/{seq} {late} after it began to leave"),
             );
         }
     }
 
-    /// A backend server has carried out a non-idempotent call.
+    /// Records that a backend server has executed a non-idempotent call.
     pub fn on_executed(&mut self, program: &ProgramId, body: BodyId) {
         let count = self.executed.entry(body).or_default();
         *count += 1;
@@ -100,43 +100,46 @@
         }
     }
 
-    /// An engine has processed tokens for a program.
+    /// Records the tokens that an engine has used for a program.
     pub fn on_tokens_used(&mut self, program: &ProgramId, tokens: Tokens) {
-        let spent = self.used_tokens.entry(program.clone()).or_default();
-        *spent += tokens;
-        let (spent, budget) = (*spent, self.budgets.get(program).copied());
-        if let Some(budget) = budget.filter(|budget| spent > *budget) {
-            self.fail("budget", format!("{program} has spent {spent} of {budget}"));
+        let used = self.used_tokens.entry(program.clone()).or_default();
+        *used += tokens;
+        let (used, budget) = (*used, self.budgets.get(program).copied());
+        if let Some(budget) = budget.filter(|budget| used > *budget) {
+            self.fail(
+                "budget",
+                format!("{program} has used {used} tokens of {budget}"),
+            );
         }
     }
 
-    /// A caller was told that a call did not run, and leaves it at that.
+    /// Records that a caller gives up a call that was reported as not run.
     pub fn on_abandoned(&mut self, program: &ProgramId, body: BodyId) {
         self.abandoned.insert(body);
-        if self.ran.contains(&body) {
-            let detail = format!("{program}: body {body} ran, yet was refused as not run");
+        if self.started_bodies.contains(&body) {
+            let detail = format!("{program}: body {body} was reported as not run, but ran");
             self.fail("not run", detail);
         }
     }
 
-    /// Whether a body was executed.
+    /// Returns whether a body was executed.
     #[must_use]
     pub fn was_executed(&self, body: BodyId) -> bool {
         self.executed.contains_key(&body)
     }
 
-    /// A backend server has been told to leave.
+    /// Records that a backend server was told to leave.
     pub fn on_leaving(&mut self, now: TimeUs, vm: &VmId) {
         self.leaving.entry(vm.clone()).or_insert(now);
     }
 
-    /// A backend server has been replaced.
+    /// Records that the process of a VM starts anew.
     pub fn on_replaced(&mut self, vm: &VmId) {
         self.leaving.remove(vm);
         self.revisions.retain(|(known, _), _| known != vm);
     }
 
-    /// A process serves by a revision.
+    /// Records the configuration revision that a process uses.
     pub fn on_revision(&mut self, vm: &VmId, service: &ServiceName, revision: Revision) {
         let key = (vm.clone(), service.clone());
         let known = self.revisions.entry(key).or_insert(revision);
@@ -148,12 +151,12 @@
         }
     }
 
-    /// The caller knows that its program has ended.
+    /// Records that a program has ended.
     pub fn on_ended(&mut self, now: TimeUs, program: &ProgramId) {
         self.ended.entry(program.clone()).or_insert(now);
     }
 
-    /// An engine holds memory for a program at the end of a run, when all should be free.
+    /// Records that an engine still holds memory for a program when all must be freed.
     pub fn on_memory_held(&mut self, vm: &VmId, program: &ProgramId, held: Tokens) {
         if self.ended.contains_key(program) {
             self.fail(
--- a/standins/src/chaos_fault_injection.rs
+++ b/standins/src/chaos_fault_injection.rs
@@ -1,4 +1,4 @@
-//! The faults of a chaos run at work.
+//! Injects the faults of a chaos run and ends them.
 
 use clementinepick::entry::EntryInput;
 use clementinepick::ids::{VmId, ZoneName};
@@ -16,16 +16,22 @@
         self.record_trace(|| format!("fault: {fault:?}"));
         self.counts.add(fault.name());
         match fault {
-            Fault::Kill { vm, back_us } => {
+            Fault::Kill { vm, downtime_us } => {
                 self.kill_process(vm);
-                self.schedule_after(*back_us, ScheduledEvent::StartProcess { vm: vm.clone() });
+                self.schedule_after(
+                    *downtime_us,
+                    ScheduledEvent::StartProcess { vm: vm.clone() },
+                );
             }
-            Fault::KillVm { vm, back_us } => {
+            Fault::KillVm { vm, downtime_us } => {
                 self.kill_process(vm);
                 if let Some(backend) = self.backends.get_mut(vm) {
                     backend.restart(self.now);
                 }
-                self.schedule_after(*back_us, ScheduledEvent::StartProcess { vm: vm.clone() });
+                self.schedule_after(
+                    *downtime_us,
+                    ScheduledEvent::StartProcess { vm: vm.clone() },
+                );
             }
             Fault::Pause { vm, span_us } => {
                 if let Some(node) = self.nodes.get_mut(vm).filter(|node| node.logic.is_some()) {
@@ -49,7 +55,7 @@
                 }
                 self.schedule_after(*span_us, ScheduledEvent::EndFault(fault.clone()));
                 if *span_us >= RETRANSMISSION_TIMEOUT_US {
-                    // Retransmissions give up before the cut heals.
+                    // TCP gives up retransmitting and closes the link before the cut ends.
                     self.schedule_after(
                         RETRANSMISSION_TIMEOUT_US,
                         ScheduledEvent::EndFault(Fault::LinkReset {
@@ -99,7 +105,7 @@
         for vm in lost {
             self.inject_fault(&Fault::KillVm {
                 vm,
-                back_us: span_us,
+                downtime_us: span_us,
             });
         }
     }
@@ -155,7 +161,7 @@
         }
         let start_count = node.start_count;
         let held: Vec<Input> = node.paused_inputs.drain(..).collect();
-        self.record_trace(|| format!("{vm} goes on"));
+        self.record_trace(|| format!("{vm} resumes"));
         for input in held {
             self.deliver_input(vm, start_count, input);
         }
--- a/standins/src/chaos_faults.rs
+++ b/standins/src/chaos_faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a chaos run, drawn at random from a seed.
+//! Draws the faults of a chaos run from its seed.
 
 use clementinepick::ids::{VmId, ZoneName};
 use clementinepick::units::{SpanUs, TimeUs};
@@ -7,90 +7,90 @@
 
 use crate::chaos_world::{World, WorldSettings};
 
-/// Faults strike from here on, once the processes have found one another.
-const FIRST_US: u64 = 3_000_000;
-/// Sets the faults' random numbers apart from the world's.
-const FAULT_SEED: u64 = 0x5fau64 << 40;
+/// The time of the earliest fault, by which all links are up.
+const FIRST_FAULT_US: u64 = 3_000_000;
+/// Makes the random numbers for the faults differ from those of the simulation.
+const FAULT_SEED_MASK: u64 = 0x5fau64 << 40;
 
-/// One fault.
+/// A fault and its target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Fault {
-    /// A process dies and is started again; its backend server lives on.
+    /// A process is killed and restarted; its backend server keeps running.
     Kill {
         /// The VM.
         vm: VmId,
-        /// How long until it is started again.
-        back_us: SpanUs,
+        /// The time until it is restarted.
+        downtime_us: SpanUs,
     },
-    /// A VM dies with all it runs, and is replaced.
+    /// A VM fails with all its processes and is replaced.
     KillVm {
         /// The VM.
         vm: VmId,
-        /// How long until it is replaced.
-        back_us: SpanUs,
+        /// The time until it is replaced.
+        downtime_us: SpanUs,
     },
-    /// A process stands still, unaware.
+    /// A process is paused without noticing it.
     Pause {
         /// The VM.
         vm: VmId,
-        /// For how long.
+        /// The duration.
         span_us: SpanUs,
     },
-    /// The log answers nothing and takes nothing.
+    /// The log service is down.
     LogDown {
-        /// For how long.
+        /// The duration.
         span_us: SpanUs,
     },
-    /// The log takes appends, and some answers get lost.
+    /// Some appends to the log are lost, written late, or written without a response.
     LogLosesAnswers {
-        /// How many of the next appends it may strike.
+        /// How many of the next appends may be affected.
         appends: u32,
     },
-    /// Nothing passes from one VM to another.
+    /// Messages from one VM to another stall.
     Cut {
         /// The sender.
         from: VmId,
         /// The receiver.
         to: VmId,
-        /// Whether nothing passes the other way either.
+        /// Whether the other direction is cut too.
         both: bool,
-        /// For how long.
+        /// The duration.
         span_us: SpanUs,
     },
-    /// A link that was cut for too long is closed.
+    /// A link that was cut for too long is closed; follows a long cut.
     LinkReset {
         /// One end.
         from: VmId,
         /// The other end.
         to: VmId,
     },
-    /// An availability zone is lost with all its VMs.
+    /// An availability zone fails with all its VMs.
     ZoneLost {
         /// The zone.
         zone: ZoneName,
-        /// How long until they are replaced.
+        /// The time until they are replaced.
         span_us: SpanUs,
     },
-    /// A process is shut down gracefully and replaced.
+    /// A process is shut down gracefully and restarted.
     Shutdown {
         /// The VM.
         vm: VmId,
     },
-    /// An operator publishes a new version.
+    /// An operator publishes a new configuration.
     Publish,
-    /// Two operators publish at once.
+    /// Two operators publish a configuration at once.
     PublishRace,
     /// A backend server slows down.
     BackendSlow {
         /// The VM.
         vm: VmId,
-        /// For how long.
+        /// The duration.
         span_us: SpanUs,
     },
 }
 
 impl Fault {
-    /// The fault's name in counts and in `--faults`.
+    /// Returns the name of the fault in counts and in `--faults`.
     #[must_use]
     pub const fn name(&self) -> &'static str {
         match self {
@@ -111,7 +111,7 @@
     }
 }
 
-/// The faults that can be asked for.
+/// The names of the faults that `--faults` accepts.
 pub const FAULT_NAMES: &[&str] = &[
     "kill",
     "kill-vm",
@@ -130,7 +130,7 @@
 /// Draws the faults of a run, of the kinds in `names`.
 #[must_use]
 pub fn draw_faults(settings: &WorldSettings, names: &[&str]) -> Vec<(TimeUs, Fault)> {
-    let mut rng = ChaCha12Rng::seed_from_u64(settings.seed ^ FAULT_SEED);
+    let mut rng = ChaCha12Rng::seed_from_u64(settings.seed ^ FAULT_SEED_MASK);
     let (entries, sidecars) = World::vm_ids(settings);
     if names.is_empty() {
         return Vec::new();
@@ -138,16 +138,16 @@
     let count = rng.random_range(2..=12);
     let mut faults: Vec<(TimeUs, Fault)> = (0..count)
         .map(|_| {
-            let at = TimeUs(rng.random_range(FIRST_US..settings.active_phase_us.0));
+            let at = TimeUs(rng.random_range(FIRST_FAULT_US..settings.active_phase_us.0));
             let name = names[rng.random_range(0..names.len())];
-            (at, draw_one(name, &entries, &sidecars, &mut rng))
+            (at, draw_fault(name, &entries, &sidecars, &mut rng))
         })
         .collect();
     faults.sort_by_key(|(at, _)| *at);
     faults
 }
 
-fn draw_one(name: &str, entries: &[VmId], sidecars: &[VmId], rng: &mut ChaCha12Rng) -> Fault {
+fn draw_fault(name: &str, entries: &[VmId], sidecars: &[VmId], rng: &mut ChaCha12Rng) -> Fault {
     let entry = entries[rng.random_range(0..entries.len())].clone();
     let sidecar = sidecars[rng.random_range(0..sidecars.len())].clone();
     let vm = if rng.random_bool(0.6) {
@@ -159,11 +159,11 @@
     match name {
         "kill" => Fault::Kill {
             vm,
-            back_us: short_us,
+            downtime_us: short_us,
         },
         "kill-vm" => Fault::KillVm {
             vm,
-            back_us: short_us,
+            downtime_us: short_us,
         },
         "pause" => Fault::Pause {
             vm,
@@ -200,7 +200,7 @@
         "zone" => {
             let zone = ["zone-a", "zone-b", "zone-c"][rng.random_range(0..3)];
             Fault::ZoneLost {
-                zone: zone.parse().expect("a name"),
+                zone: zone.parse().expect("a valid name"),
                 span_us: short_us,
             }
         }
--- a/standins/src/chaos_links.rs
+++ b/standins/src/chaos_links.rs
@@ -1,4 +1,7 @@
-//! The links of a chaos run: in order, closed by death, stalled by cuts.
+//! Simulates the links of a chaos run.
+//!
+//! A link delivers messages in order, is closed when a process at either end stops, and stalls
+//! while it is cut.
 
 use clementinepick::entry::EntryInput;
 use clementinepick::ids::VmId;
@@ -23,20 +26,20 @@
         let delay = self.draw_link_delay();
         let generation = link.generation;
         let to_key = to.clone();
-        let due = ScheduledEvent::Deliver {
+        let event = ScheduledEvent::Deliver {
             from: from.clone(),
             to,
             generation,
             message: Box::new(message),
         };
-        // One link keeps its order: what is sent later is never due earlier.
+        // Keeps messages in order: none is delivered before one that was sent earlier.
         let last = self
             .last_delivery_us
             .entry((from.clone(), to_key))
             .or_default();
         let at = self.now.after(delay).max(*last);
         *last = at;
-        self.schedule(at, due);
+        self.schedule(at, event);
     }
 
     pub(crate) fn on_deliver(&mut self, from: &VmId, to: &VmId, generation: u64, message: Message) {
--- a/standins/src/chaos_platform.rs
+++ b/standins/src/chaos_platform.rs
@@ -1,4 +1,4 @@
-//! The log, the operators and the VM list of a chaos run.
+//! Simulates the log, the operators and the VM list of a chaos run.
 
 use clementinepick::entry::EntryInput;
 use clementinepick::ids::{Incarnation, Offset, OperationId, RecordId, Revision, VmId};
@@ -16,7 +16,7 @@
 impl World {
     pub(crate) fn run_log_action(&mut self, vm: &VmId, start_count: u64, action: JournalAction) {
         let delay = self.draw_log_delay();
-        let due = match action {
+        let event = match action {
             JournalAction::Append {
                 stream,
                 batch,
@@ -35,7 +35,7 @@
                 from,
             },
         };
-        self.schedule_after(delay, due);
+        self.schedule_after(delay, event);
     }
 
     pub(crate) fn on_log_read(
@@ -69,7 +69,7 @@
     ) {
         let texts = records
             .iter()
-            .map(|r| serde_json::to_string(r).expect("serializable"));
+            .map(|r| serde_json::to_string(r).expect("a serializable record"));
         let outcome = append_outcome(&self.log.append(self.now, stream, texts.collect()));
         self.counts.add("appends");
         if outcome == AppendOutcome::Unknown {
@@ -92,10 +92,10 @@
     }
 
     pub(crate) fn on_publish(&mut self) {
-        self.published += 1;
-        let author: VmId = format!("operator-{}", self.published % 3)
+        self.publication_count += 1;
+        let author: VmId = format!("operator-{}", self.publication_count % 3)
             .parse()
-            .expect("a name");
+            .expect("a valid name");
         for service in [ENGINE_SERVICE, PLAIN_SERVICE] {
             let base = self.latest_revision(service);
             let record = Record {
@@ -106,17 +106,19 @@
                     operation: OperationId(u128::from(self.rng.random_range(1..u64::MAX))),
                     service: service_name(service),
                     base,
-                    document: service_document(service, self.published),
+                    document: service_document(service, self.publication_count),
                 },
             };
-            let text = serde_json::to_string(&record).expect("serializable");
+            let text = serde_json::to_string(&record).expect("a serializable record");
             let outcome =
                 append_outcome(&self.log.append(self.now, StreamName::Config, vec![text]));
-            self.record_trace(|| format!("{author} publishes {service} over {base}: {outcome:?}"));
+            self.record_trace(|| {
+                format!("{author} publishes {service} based on revision {base}: {outcome:?}")
+            });
         }
     }
 
-    /// The highest revision that any process serves by.
+    /// Returns the highest revision that any entry uses.
     pub(crate) fn latest_revision(&self, service: &str) -> Revision {
         let service = service_name(service);
         let revisions = self
@@ -129,7 +131,7 @@
         revisions.max().unwrap_or_default()
     }
 
-    /// Enters a VM's present state into the list, which tells it with the next look.
+    /// Updates a VM in the VM list, which entries get at the next poll.
     pub(crate) fn update_vm_list(&mut self, vm: &VmId) {
         let Some(node) = self.nodes.get(vm) else {
             return;
--- a/standins/src/chaos_process.rs
+++ b/standins/src/chaos_process.rs
@@ -1,4 +1,4 @@
-//! The processes of a chaos run: start, death, inputs and actions.
+//! Starts and kills the processes of a chaos run, delivers their inputs and runs their actions.
 
 use clementinepick::entry::{Entry, EntryAction, EntryInput, EntrySettings};
 use clementinepick::event::{Event, EventKind};
@@ -44,7 +44,7 @@
         });
         let start_count = node.start_count;
         self.checks.on_replaced(vm);
-        self.record_trace(|| format!("{vm} starts, life {start_count}"));
+        self.record_trace(|| format!("{vm} starts, start count {start_count}"));
         self.schedule_after(
             SpanUs(seed % TICK_INTERVAL_US.0),
             ScheduledEvent::Tick {
@@ -62,16 +62,16 @@
         if node.logic.take().is_none() {
             return;
         }
-        self.record_trace(|| format!("{vm} dies"));
+        self.record_trace(|| format!("process of {vm} stops"));
         for other in self.nodes.keys().cloned().collect::<Vec<_>>() {
             self.close_link(vm, &other);
         }
         self.disconnect_callers(vm);
     }
 
-    /// The callers connected to an entry that is gone see their connections break.
+    /// Closes the connections of the callers of an entry that has stopped.
     pub(crate) fn disconnect_callers(&mut self, vm: &VmId) {
-        let cut: Vec<usize> = (0..self.callers.len())
+        let disconnected: Vec<usize> = (0..self.callers.len())
             .filter(|&c| {
                 self.callers[c]
                     .pending
@@ -79,7 +79,7 @@
                     .is_some_and(|pending| pending.entry == *vm)
             })
             .collect();
-        for caller in cut {
+        for caller in disconnected {
             if let Some(pending) = &self.callers[caller].pending {
                 self.callers_by_request.remove(&pending.id);
             }
@@ -103,16 +103,16 @@
         let now = self.now;
         match (node.logic.as_mut(), input) {
             (Some(ProcessLogic::Entry(entry)), Input::Entry(input)) => {
-                let mut out = Vec::new();
-                entry.handle(now, input, &mut out);
-                for action in out {
+                let mut actions = Vec::new();
+                entry.handle(now, input, &mut actions);
+                for action in actions {
                     self.run_entry_action(vm, start_count, action);
                 }
             }
             (Some(ProcessLogic::Sidecar(sidecar)), Input::Sidecar(input)) => {
-                let mut out = Vec::new();
-                sidecar.handle(now, input, &mut out);
-                for action in out {
+                let mut actions = Vec::new();
+                sidecar.handle(now, input, &mut actions);
+                for action in actions {
                     self.run_sidecar_action(vm, start_count, action);
                 }
             }
@@ -189,8 +189,8 @@
         }
     }
 
-    /// Lets the backend server's answer come to its sidecar after a while.
-    fn answer_sidecar(&mut self, vm: &VmId, start_count: u64, input: SidecarInput) {
+    /// Schedules the delivery of a backend server's response to its sidecar.
+    fn schedule_backend_response(&mut self, vm: &VmId, start_count: u64, input: SidecarInput) {
         let delay = self.draw_link_delay();
         let (vm, input) = (vm.clone(), Box::new(input));
         self.schedule_after(
@@ -240,7 +240,7 @@
                     program,
                     freed_tokens,
                 };
-                self.answer_sidecar(vm, start_count, input);
+                self.schedule_backend_response(vm, start_count, input);
             }
             SidecarAction::Retain { chains } => {
                 let Some(backend) = self.backends.get_mut(vm) else {
@@ -281,20 +281,20 @@
             .callers
             .iter()
             .filter_map(|caller| caller.pending.as_ref());
-        if let Some(cut) = pending
+        if let Some(unanswered) = pending
             .filter(|pending| pending.entry == *vm)
             .map(|pending| pending.id)
             .next()
         {
             self.checks.fail(
                 "graceful shutdown",
-                format!("{vm} exits and cuts off {cut}"),
+                format!("{vm} exits before it has responded to {unanswered}"),
             );
         }
         if self.backends.get(vm).is_some_and(Backend::is_busy) {
             self.checks.fail(
                 "graceful shutdown",
-                format!("{vm} exits while its backend runs"),
+                format!("{vm} exits while its backend server runs calls"),
             );
         }
         self.kill_process(vm);
--- a/standins/src/chaos_world.rs
+++ b/standins/src/chaos_world.rs
@@ -1,7 +1,7 @@
-//! The world of a chaos run: processes, links, callers and the platform in virtual time.
+//! Simulates processes, links, callers and the platform of a chaos run in virtual time.
 //!
-//! Everything that will dispatch lies in one queue ordered by time; one random number generator,
-//! seeded, draws all that is left to chance. So a seed gives the same run, byte for byte.
+//! All events are in one queue ordered by time, and all random values come from seeded generators,
+//! so that a seed always gives the same run, byte for byte.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -24,24 +24,22 @@
 use crate::chaos_faults::Fault;
 use crate::log_service::{LogError, LogService, LogSettings};
 
-/// The time between two ticks of a process.
 pub(crate) const TICK_INTERVAL_US: SpanUs = SpanUs::from_ms(20);
-/// One-way delay between two processes.
+/// The range of the one-way delay between two processes.
 pub(crate) const LINK_DELAY_RANGE_US: (u64, u64) = (300, 2_500);
-/// Delay of an answer of the log.
+/// The range of the delay of a request to the log and of its response.
 pub(crate) const LOG_DELAY_RANGE_US: (u64, u64) = (2_000, 12_000);
-/// The time between two looks at the VM list.
+/// The interval at which entries poll the VM list.
 pub(crate) const VM_LIST_INTERVAL_US: SpanUs = SpanUs::from_s(1);
-/// The time between two attempts to bring up missing links.
+/// The interval at which missing links are connected.
 pub(crate) const CONNECT_INTERVAL_US: SpanUs = SpanUs::from_ms(200);
-/// How long a link lives on while one direction is cut: retransmission gives up.
+/// How long a link stays open while it is cut, until retransmission gives up.
 pub(crate) const RETRANSMISSION_TIMEOUT_US: SpanUs = SpanUs::from_s(5);
-/// The most records that one read returns.
 pub(crate) const MAX_READ_RECORDS: usize = 500;
-/// A caller that hears nothing this long after its deadline was forgotten.
+/// The time after its deadline by which a call must have its complete response.
 pub(crate) const RESPONSE_GRACE_US: SpanUs = SpanUs::from_s(30);
 
-/// What can dispatch next.
+/// An event in the queue of the simulation.
 #[derive(Debug, Clone)]
 pub(crate) enum ScheduledEvent {
     Tick {
@@ -108,7 +106,7 @@
     Publish,
 }
 
-/// The decisions of a process.
+/// The logic of a process, which is the code under test.
 #[derive(Debug)]
 pub(crate) enum ProcessLogic {
     Entry(Box<Entry>),
@@ -121,7 +119,7 @@
     Sidecar(SidecarInput),
 }
 
-/// One VM with its process.
+/// A VM with its process.
 #[derive(Debug)]
 pub(crate) struct Node {
     pub(crate) role: VmRole,
@@ -130,7 +128,7 @@
     pub(crate) logic: Option<ProcessLogic>,
     pub(crate) start_count: u64,
     pub(crate) is_paused: bool,
-    /// What came while the process was paused.
+    /// Inputs that arrived while the process was paused.
     pub(crate) paused_inputs: VecDeque<Input>,
     pub(crate) is_leaving: bool,
 }
@@ -142,10 +140,10 @@
     pub(crate) is_connecting: bool,
 }
 
-/// What a run counted.
+/// How often each kind of event occurred in a run.
 #[derive(Debug, Clone, Default)]
 pub struct Counts {
-    /// By name.
+    /// The counts by name.
     pub by_name: BTreeMap<&'static str, u64>,
 }
 
@@ -155,24 +153,24 @@
     }
 }
 
-/// How a world is set up.
+/// The settings of a simulation.
 #[derive(Debug, Clone)]
 pub struct WorldSettings {
-    /// Seeds everything.
+    /// The seed of the run.
     pub seed: u64,
-    /// The count of entries.
+    /// The number of entries.
     pub entries: usize,
-    /// The count of engines, each with its sidecar.
+    /// The number of engines, each with its sidecar.
     pub engines: usize,
-    /// The count of servers of the plain service.
+    /// The number of servers of the plain service.
     pub plain_servers: usize,
-    /// The count of programs.
+    /// The number of programs.
     pub programs: usize,
-    /// When the last program starts and the last fault strikes.
+    /// The time from the start within which all programs start and all faults begin.
     pub active_phase_us: SpanUs,
-    /// The lines of the trace that are kept.
+    /// The number of trace lines to keep.
     pub trace_lines: usize,
-    /// The safeguards in force.
+    /// The safeguards that are enabled.
     pub safeguards: Safeguards,
 }
 
@@ -191,7 +189,7 @@
     }
 }
 
-/// The world.
+/// The state of a simulation.
 pub struct World {
     pub(crate) settings: WorldSettings,
     pub(crate) now: TimeUs,
@@ -202,28 +200,28 @@
     pub(crate) backends: BTreeMap<VmId, Backend>,
     pub(crate) links: BTreeMap<(VmId, VmId), Link>,
     pub(crate) wanted_links: BTreeMap<VmId, BTreeSet<VmId>>,
-    /// When the last message of each direction is due.
+    /// The delivery time of the last message in each direction.
     pub(crate) last_delivery_us: BTreeMap<(VmId, VmId), TimeUs>,
     pub(crate) cuts: BTreeSet<(VmId, VmId)>,
-    /// What waits in the sender's buffers while its direction is cut, with the link's generation.
+    /// Messages that wait while their direction is cut, with the generation of their link.
     pub(crate) stalled: BTreeMap<(VmId, VmId), VecDeque<(u64, Message)>>,
     pub(crate) log: LogService,
     pub(crate) callers: Vec<Caller>,
     pub(crate) callers_by_request: BTreeMap<RequestId, usize>,
-    /// What callers and backend servers have seen.
+    /// The checks of the run.
     pub checks: Checks,
-    /// What happened how often.
+    /// How often each kind of event occurred.
     pub counts: Counts,
     pub(crate) trace: VecDeque<String>,
     pub(crate) trace_digest: u64,
     pub(crate) steps: u64,
-    pub(crate) published: u64,
-    /// The last listed state of the VMs, which lags.
+    pub(crate) publication_count: u64,
+    /// The VM list, which entries see with a delay.
     pub(crate) vm_list: Vec<Vm>,
 }
 
 impl World {
-    /// A world at time zero, with its callers and `faults` drawn.
+    /// Creates a simulation at time zero that will inject `faults`.
     #[must_use]
     pub fn new(settings: WorldSettings, faults: Vec<(TimeUs, Fault)>) -> Self {
         let rng = ChaCha12Rng::seed_from_u64(settings.seed);
@@ -250,7 +248,7 @@
             trace: VecDeque::new(),
             trace_digest: 0,
             steps: 0,
-            published: 0,
+            publication_count: 0,
             vm_list: Vec::new(),
             settings,
         };
@@ -268,10 +266,10 @@
     fn add_nodes(&mut self) {
         let zones: Vec<ZoneName> = ["zone-a", "zone-b", "zone-c"]
             .iter()
-            .map(|z| z.parse().expect("a name"))
+            .map(|z| z.parse().expect("a valid name"))
             .collect();
         let mut add = |name: String, at: usize, role, service: Option<&'static str>| {
-            let vm: VmId = name.parse().expect("a name");
+            let vm: VmId = name.parse().expect("a valid name");
             if let Some(service) = service {
                 let backend =
                     Backend::new(service == ENGINE_SERVICE, self.settings.seed ^ at as u64);
@@ -325,13 +323,13 @@
         }
     }
 
-    pub(crate) fn schedule(&mut self, at: TimeUs, due: ScheduledEvent) {
+    pub(crate) fn schedule(&mut self, at: TimeUs, event: ScheduledEvent) {
         self.next_event_seq += 1;
-        self.event_queue.insert((at, self.next_event_seq), due);
+        self.event_queue.insert((at, self.next_event_seq), event);
     }
 
-    pub(crate) fn schedule_after(&mut self, span: SpanUs, due: ScheduledEvent) {
-        self.schedule(self.now.after(span), due);
+    pub(crate) fn schedule_after(&mut self, span: SpanUs, event: ScheduledEvent) {
+        self.schedule(self.now.after(span), event);
     }
 
     pub(crate) fn draw_link_delay(&mut self) -> SpanUs {
@@ -357,54 +355,54 @@
         self.trace.push_back(line);
     }
 
-    /// The last lines of the trace.
+    /// Returns the last lines of the trace.
     pub fn trace(&self) -> impl Iterator<Item = &String> {
         self.trace.iter()
     }
 
-    /// The digest of the whole trace.
+    /// Returns the digest of the whole trace.
     #[must_use]
     pub const fn trace_digest(&self) -> u64 {
         self.trace_digest
     }
 
-    /// The count of things that have happened.
+    /// Returns the number of events handled.
     #[must_use]
     pub const fn steps(&self) -> u64 {
         self.steps
     }
 
-    /// The time reached.
+    /// Returns the current virtual time.
     #[must_use]
     pub const fn now(&self) -> TimeUs {
         self.now
     }
 
-    /// The callers.
+    /// Returns the callers.
     #[must_use]
     pub fn callers(&self) -> &[Caller] {
         &self.callers
     }
 
-    /// Lets the next thing dispatch; false when a promise is broken or nothing is left.
+    /// Handles the next event; returns false if a property is violated or no event is left.
     pub fn step(&mut self) -> bool {
-        let Some(((at, _), due)) = self.event_queue.pop_first() else {
+        let Some(((at, _), event)) = self.event_queue.pop_first() else {
             return false;
         };
         self.now = at;
         self.steps += 1;
-        self.dispatch(due);
+        self.dispatch(event);
         self.checks.violation.is_none()
     }
 
-    /// Whether every program has ended.
+    /// Returns whether every program has ended.
     #[must_use]
     pub fn all_ended(&self) -> bool {
         self.callers.iter().all(|caller| caller.outcome.is_some())
     }
 
-    fn dispatch(&mut self, due: ScheduledEvent) {
-        match due {
+    fn dispatch(&mut self, event: ScheduledEvent) {
+        match event {
             ScheduledEvent::Tick { vm, start_count } => self.on_tick(vm, start_count),
             ScheduledEvent::Deliver {
                 from,
@@ -462,7 +460,7 @@
         }
     }
 
-    /// Checks what must hold once everything is quiet: no engine memory for ended programs.
+    /// Checks that no engine holds memory for a program; all of them must have ended.
     pub fn check_memory_released(&mut self) {
         for caller in &self.callers {
             self.checks.on_ended(self.now, &caller.program);
@@ -482,16 +480,16 @@
         }
     }
 
-    /// The VMs that faults may strike.
+    /// Returns the ids of the entries and of the sidecars that faults may affect.
     ///
     /// # Panics
     ///
-    /// Never: a kind and a number make a name.
+    /// Never panics, as a kind and a number make a valid name.
     #[must_use]
     pub fn vm_ids(settings: &WorldSettings) -> (Vec<VmId>, Vec<VmId>) {
         let named = |kind: &str, count: usize| {
             (0..count)
-                .map(move |at| format!("{kind}-{at}").parse().expect("a name"))
+                .map(move |at| format!("{kind}-{at}").parse().expect("a valid name"))
                 .collect::<Vec<VmId>>()
         };
         let mut sidecars = named("engine", settings.engines);
@@ -516,9 +514,9 @@
     }
 }
 
-/// The document of a service; each publication differs a little.
-pub(crate) fn service_document(service: &str, edition: u64) -> String {
-    let weight = 1 + edition % 5;
+/// Returns the configuration document of a service; its weight depends on the publication.
+pub(crate) fn service_document(service: &str, publication: u64) -> String {
+    let weight = 1 + publication % 5;
     match service {
         ENGINE_SERVICE => format!(
             "[service]\nname = {service}\nkind = engine\nmax_running_per_backend = 4\n\
--- a/standins/src/soak.rs
+++ b/standins/src/soak.rs
@@ -1,5 +1,5 @@
-//! Implements `soak`, which runs gateways as processes under injected faults and checks what callers
-//! and backend servers observe.
+//! Implements `soak`, which runs gateways as processes under injected faults and checks what
+//! callers and backend servers observe.
 //!
 //! The seed determines the faults and the callers' requests, but not the timing of processes and
 //! threads, so that reproducing a failure may take several runs of its seed.
--- a/standins/src/soak_world.rs
+++ b/standins/src/soak_world.rs
@@ -323,8 +323,8 @@
 
     /// Shuts a gateway down gracefully and restarts it, unless its process has a fault already.
     ///
-    /// One that is not ready is skipped: a process that gets SIGTERM before it handles signals exits
-    /// at once and not gracefully, but has not served anyone either.
+    /// One that is not ready is skipped: a process that gets SIGTERM before it handles signals
+    /// exits at once and not gracefully, but has not served anyone either.
     fn terminate(&self, number: usize, duration: Duration) -> io::Result<()> {
         if !is_ready(self.ready_address(number)) {
             return Ok(());
--- a/standins/tests/chaos.rs
+++ b/standins/tests/chaos.rs
@@ -1,5 +1,5 @@
-//! Runs of the real decisions under random faults, on fixed seeds: those that once showed a fault,
-//! and for safeguards one seed that shows its absence.
+//! Tests entries and sidecars under random faults on fixed seeds: those that once had a violation,
+//! and for safeguards a seed that has one without them.
 
 use clementinepick::safeguards::Safeguards;
 use standins::chaos::{RunResult, run_seed};
@@ -9,13 +9,13 @@
 /// The most steps of one run.
 const MAX_STEPS: u64 = 20_000_000;
 
-/// Seeds that broke a promise once; see the commits that mended them.
-const ONCE_BROKEN: &[u64] = &[
+/// Seeds that once had a violation, which was fixed.
+const REGRESSION_SEEDS: &[u64] = &[
     7, 9, 19, 38, 58, 67, 79, 99, 177, 236, 286, 299, 399, 473, 689, 761, 1_213, 1_790,
 ];
 
-/// Safeguards that the random runs miss, with a seed that shows it.
-const MISSED: &[(&str, u64)] = &[
+/// Safeguards, each with a seed that has a violation without it.
+const VIOLATION_SEEDS: &[(&str, u64)] = &[
     ("call_started_record", 3),
     ("dedup", 8),
     ("epoch_check", 90),
@@ -38,7 +38,7 @@
     run_seed(settings, FAULT_NAMES, MAX_STEPS)
 }
 
-/// Runs each of `jobs` on a thread of its own, a few at a time.
+/// Runs `jobs` on a few threads and returns their results in order.
 fn in_parallel<T: Sync, R: Send>(jobs: &[T], work: impl Fn(&T) -> R + Sync) -> Vec<R> {
     const THREADS: usize = 6;
     let per_thread = jobs.len().div_ceil(THREADS).max(1);
@@ -55,17 +55,18 @@
 }
 
 #[test]
-fn no_promise_is_broken_on_seeds_that_broke_one_once() {
-    let ends = in_parallel(ONCE_BROKEN, |seed| run(*seed, Safeguards::default()));
-    assert_eq!(ends.len(), ONCE_BROKEN.len());
-    for end in &ends {
-        assert_eq!(end.violation, None, "seed {}", end.seed);
-        assert!(end.steps < MAX_STEPS, "seed {}", end.seed);
+fn no_property_is_violated_on_regression_seeds() {
+    let results = in_parallel(REGRESSION_SEEDS, |seed| run(*seed, Safeguards::default()));
+    assert_eq!(results.len(), REGRESSION_SEEDS.len());
+    for result in &results {
+        assert_eq!(result.violation, None, "seed {}", result.seed);
+        assert!(result.steps < MAX_STEPS, "seed {}", result.seed);
     }
-    // The faults really struck, and programs really ran.
+    // Makes sure that the faults were injected and that programs ran.
     let counted = |name: &str| -> u64 {
-        ends.iter()
-            .filter_map(|end| end.counts.by_name.get(name))
+        results
+            .iter()
+            .filter_map(|result| result.counts.by_name.get(name))
             .sum()
     };
     for name in [
@@ -74,11 +75,11 @@
         assert!(counted(name) > 0, "{name}");
     }
     assert!(counted("fence_answered") > 0 && counted("partition_lost") > 0);
-    let finished: u64 = ends
+    let finished: u64 = results
         .iter()
-        .filter_map(|end| end.outcomes.get("finished"))
+        .filter_map(|result| result.outcomes.get("finished"))
         .sum();
-    assert!(finished > ends.len() as u64 * 20, "{finished}");
+    assert!(finished > results.len() as u64 * 20, "{finished}");
 }
 
 #[test]
@@ -88,12 +89,12 @@
 }
 
 #[test]
-fn without_a_safeguard_a_promise_is_broken() {
-    let ends = in_parallel(MISSED, |(name, seed)| {
-        let safeguards = Safeguards::without(name).expect("a safeguard");
+fn without_a_safeguard_a_property_is_violated() {
+    let results = in_parallel(VIOLATION_SEEDS, |(name, seed)| {
+        let safeguards = Safeguards::without(name).expect("a known safeguard");
         run(*seed, safeguards)
     });
-    for ((name, seed), end) in MISSED.iter().zip(&ends) {
-        assert!(end.violation.is_some(), "without {name}, seed {seed}");
+    for ((name, seed), result) in VIOLATION_SEEDS.iter().zip(&results) {
+        assert!(result.violation.is_some(), "without {name}, seed {seed}");
     }
 }
--- a/standins/tests/soak.rs
+++ b/standins/tests/soak.rs
@@ -153,7 +153,7 @@
         daemon: None,
         directory: None,
     };
-    let end = soak.run_seed(1).expect("a run");
+    let end = soak.run_seed(1).expect("the run starts");
     assert_eq!(end.violations, Vec::<String>::new());
     assert!(end.fault_count >= 5, "{} faults", end.fault_count);
     assert!(end.served_count > 200, "{} served", end.served_count);
