--- a/standins/src/chaos_callers.rs
+++ b/standins/src/chaos_callers.rs
@@ -1,5 +1,7 @@
-//! The callers of a chaos run: programs whose turns depend on one another, and seat holds that may
-//! not run twice.
+//! Simulates the callers of a chaos run.
+//!
+//! Each runs a program of turns, which depend on one another, and of seat holds, which must not be
+//! executed twice.
 
 use clementinepick::call::{AnswerPart, ChatCall, ChatMessage, Payload, PlainCall, Request};
 use clementinepick::error::{CallError, NotRun};
@@ -11,158 +13,160 @@
 
 use crate::chaos_checks::BodyId;
 
-/// The service of model engines in a run.
+/// The name of the engine service.
 pub const ENGINE_SERVICE: &str = "agent-llm";
-/// The plain service in a run.
+/// The name of the plain service.
 pub const PLAIN_SERVICE: &str = "book-app";
-/// The model in a run.
+/// The name of the model.
 pub const MODEL: &str = "booking";
-/// The deadline that callers set.
+/// The deadline of each call.
 pub const DEADLINE_US: SpanUs = SpanUs::from_s(20);
-/// The wait before a caller repeats a call whose answer names no time.
-const REPEAT_AFTER_US: SpanUs = SpanUs::from_ms(300);
-/// Repeats of one call after which its caller gives up.
-const MAX_REPEATS: u32 = 40;
-/// The most tokens that a turn asks for.
-const MAX_OUTPUT_TOKENS: u64 = 24;
+/// The least time before a caller retries a call.
+const MIN_RETRY_DELAY_US: SpanUs = SpanUs::from_ms(300);
+/// The failed tries of one call after which its caller gives up.
+const MAX_TRIES: u32 = 40;
+/// The number of different output limits that turns ask for.
+const OUTPUT_LIMIT_COUNT: u64 = 24;
 
-/// One call of a program's script.
+/// The kind of a call in a program's script.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Turn {
-    /// A turn of the engine.
+pub enum CallKind {
+    /// A turn of the engine service.
     Chat,
-    /// A seat hold: non-idempotent.
+    /// A seat hold, which is non-idempotent.
     Hold,
 }
 
-/// A request that waits for its answer.
+/// A request that awaits its response.
 #[derive(Debug, Clone)]
-pub struct Open {
-    /// The request.
+pub struct PendingRequest {
+    /// The request id.
     pub id: RequestId,
-    /// The entry it was sent to.
+    /// The entry that it was sent to.
     pub entry: VmId,
-    /// The text that has come.
+    /// The text received so far.
     pub text: String,
-    /// Whether a plain answer has come.
+    /// The body of the plain response, once received.
     pub plain: Option<Vec<u8>>,
-    /// When it was sent.
+    /// The time at which it was sent.
     pub sent_us: TimeUs,
 }
 
-/// What a caller does after an answer.
+/// What a caller does next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
-    /// Nothing yet.
+pub enum NextAction {
+    /// Waits for more.
     Wait,
-    /// Sends its next call, or the same again, after a pause.
+    /// Sends the current call after a delay.
     SendAfter(SpanUs),
-    /// Ends its program.
+    /// Ends the program.
     End,
 }
 
-/// How a program ended, as its caller saw it.
+/// The outcome of a program, as its caller observed it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ending {
-    /// Every call was answered.
+pub enum ProgramOutcome {
+    /// Every call completed.
     Finished,
-    /// A call was refused, and the caller believed it.
+    /// A call was refused or failed, and its outcome is known.
     Refused,
-    /// The outcome of a call is unknown, and the caller was told so.
+    /// It is unknown whether a call has run.
     Unknown,
 }
 
 /// A program and the caller that drives it.
 #[derive(Debug, Clone)]
 pub struct Caller {
-    /// The program.
+    /// The id of the program.
     pub program: ProgramId,
-    /// Its token budget.
+    /// The program's token budget.
     pub budget: Tokens,
-    script: Vec<Turn>,
-    /// The call at which it is.
-    pub at: usize,
-    /// The transcript so far.
+    script: Vec<CallKind>,
+    /// The index of the current call in the script.
+    pub call_index: usize,
+    /// The messages of all completed turns.
     pub transcript: Vec<ChatMessage>,
-    /// The request that is open.
-    pub open: Option<Open>,
-    repeats: u32,
-    /// How it ended.
-    pub ending: Option<Ending>,
-    /// The last refusal.
+    /// The request in progress, if any.
+    pub pending: Option<PendingRequest>,
+    failed_tries: u32,
+    /// The outcome, once the program has ended.
+    pub outcome: Option<ProgramOutcome>,
+    /// The last error of a call.
     pub last_error: Option<CallError>,
-    body_base: BodyId,
+    first_body: BodyId,
 }
 
-/// Bodies of one program start at a multiple of this.
+/// The range of body ids that each program has for its calls.
 const BODIES_PER_PROGRAM: BodyId = 1_000;
 
 impl Caller {
-    /// A program with a script drawn at random.
+    /// Draws a program with a random script and budget.
     ///
     /// # Panics
     ///
-    /// Never: a number makes a name.
+    /// Never panics, as any number makes a valid name.
     #[must_use]
     pub fn draw(number: u64, rng: &mut ChaCha12Rng) -> Self {
         let turns = rng.random_range(1..=7);
         let script = (0..turns)
             .map(|_| {
                 if rng.random_bool(0.4) {
-                    Turn::Hold
+                    CallKind::Hold
                 } else {
-                    Turn::Chat
+                    CallKind::Chat
                 }
             })
             .collect();
-        let tight = rng.random_bool(0.1);
+        let has_small_budget = rng.random_bool(0.1);
         Self {
-            program: format!("p{number}").parse().expect("a name"),
-            budget: Tokens(if tight {
+            program: format!("p{number}").parse().expect("a valid name"),
+            budget: Tokens(if has_small_budget {
                 rng.random_range(40..400)
             } else {
                 100_000
             }),
             script,
-            at: 0,
+            call_index: 0,
             transcript: vec![ChatMessage::new("system", "You plan night-sky visits.")],
-            open: None,
-            repeats: 0,
-            ending: None,
+            pending: None,
+            failed_tries: 0,
+            outcome: None,
             last_error: None,
-            body_base: number * BODIES_PER_PROGRAM,
+            first_body: number * BODIES_PER_PROGRAM,
         }
     }
 
-    /// The turn at which it is.
+    /// Returns the kind of the current call.
     #[must_use]
-    pub fn turn(&self) -> Turn {
-        self.script[self.at]
+    pub fn call_kind(&self) -> CallKind {
+        self.script[self.call_index]
     }
 
-    /// The body of the call at which it is; repeats carry the same.
+    /// Returns the body id of the current call, which its retries share.
     #[must_use]
     pub fn body(&self) -> BodyId {
-        self.body_base + self.at as BodyId
+        self.first_body + self.call_index as BodyId
     }
 
     fn key(&self) -> IdempotencyKey {
-        format!("key-{}", self.body()).parse().expect("a name")
+        format!("key-{}", self.body())
+            .parse()
+            .expect("a valid name")
     }
 
-    /// The request for the call at which it is.
+    /// Returns a request for the current call.
     #[must_use]
     pub fn request(&self, id: RequestId) -> Request {
-        let (service, payload, non_idempotent) = match self.turn() {
-            Turn::Chat => (ENGINE_SERVICE, self.chat(), false),
-            Turn::Hold => (PLAIN_SERVICE, self.hold(), true),
+        let (service, payload, non_idempotent) = match self.call_kind() {
+            CallKind::Chat => (ENGINE_SERVICE, self.chat(), false),
+            CallKind::Hold => (PLAIN_SERVICE, self.hold(), true),
         };
         Request {
             id,
             service: service_name(service),
             program: self.program.clone(),
             single_call: false,
-            seq: Some(CallSeq(self.at as u64)),
+            seq: Some(CallSeq(self.call_index as u64)),
             parent: None,
             root: None,
             append: false,
@@ -177,7 +181,7 @@
         }
     }
 
-    /// The transcript that the call at which it is sends.
+    /// Returns the messages that the current call sends.
     #[must_use]
     pub fn messages(&self) -> Vec<ChatMessage> {
         let mut messages = self.transcript.clone();
@@ -188,10 +192,10 @@
     fn chat(&self) -> Payload {
         let messages = self.messages();
         Payload::Chat(ChatCall {
-            model: MODEL.parse().expect("a name"),
+            model: MODEL.parse().expect("a valid name"),
             prompt: Prompt::of_messages(&messages),
             messages,
-            max_output_tokens: Some(Tokens(4 + self.body() % MAX_OUTPUT_TOKENS)),
+            max_output_tokens: Some(Tokens(4 + self.body() % OUTPUT_LIMIT_COUNT)),
             stream: true,
             extra: std::collections::BTreeMap::new(),
         })
@@ -206,108 +210,109 @@
         })
     }
 
-    /// Takes the end of the answer to a chat turn or a hold.
-    pub fn on_done(&mut self, think_us: SpanUs) -> Next {
-        let Some(open) = self.open.take() else {
-            return Next::Wait;
+    /// Handles the end of a complete response.
+    pub fn on_completed(&mut self, think_us: SpanUs) -> NextAction {
+        let Some(pending) = self.pending.take() else {
+            return NextAction::Wait;
         };
-        if self.turn() == Turn::Chat {
+        if self.call_kind() == CallKind::Chat {
             self.transcript = self.messages();
             self.transcript
-                .push(ChatMessage::new("assistant", &open.text));
+                .push(ChatMessage::new("assistant", &pending.text));
         }
-        self.repeats = 0;
-        self.at += 1;
-        if self.at < self.script.len() {
-            return Next::SendAfter(think_us);
+        self.failed_tries = 0;
+        self.call_index += 1;
+        if self.call_index < self.script.len() {
+            return NextAction::SendAfter(think_us);
         }
-        self.ending = Some(Ending::Finished);
-        Next::End
+        self.outcome = Some(ProgramOutcome::Finished);
+        NextAction::End
     }
 
-    /// Whether the call at which it is was sent only once.
+    /// Returns whether the current call, which has just failed, was sent only once.
     #[must_use]
     pub const fn was_sent_once(&self) -> bool {
-        self.repeats <= 1
+        self.failed_tries <= 1
     }
 
-    /// Takes a refusal; `patient` callers come back when they may.
-    pub fn on_failed(&mut self, error: &CallError, patient: bool) -> Next {
-        self.open = None;
+    /// Handles an error of the current call; only a `persistent` caller retries it.
+    pub fn on_failed(&mut self, error: &CallError, persistent: bool) -> NextAction {
+        self.pending = None;
         self.last_error = Some(error.clone());
-        let answer = error.kind.response();
-        self.repeats += 1;
-        let after = error.retry_after_us.unwrap_or(REPEAT_AFTER_US);
-        let worth_it = answer.repeat_safe && answer.retry_after_s.is_some();
-        if worth_it && patient && self.repeats < MAX_REPEATS {
-            return Next::SendAfter(after.max(REPEAT_AFTER_US));
+        let response = error.kind.response();
+        self.failed_tries += 1;
+        let after = error.retry_after_us.unwrap_or(MIN_RETRY_DELAY_US);
+        let may_retry = response.repeat_safe && response.retry_after_s.is_some();
+        if may_retry && persistent && self.failed_tries < MAX_TRIES {
+            return NextAction::SendAfter(after.max(MIN_RETRY_DELAY_US));
         }
-        let unknown = answer.not_run == NotRun::Unknown;
-        self.ending = Some(if unknown {
-            Ending::Unknown
+        let is_unknown = response.not_run == NotRun::Unknown;
+        self.outcome = Some(if is_unknown {
+            ProgramOutcome::Unknown
         } else {
-            Ending::Refused
+            ProgramOutcome::Refused
         });
-        Next::End
+        NextAction::End
     }
 
-    /// The connection to the entry broke: sends the same call again, under its key and place.
-    pub fn on_cut(&mut self) -> Next {
-        self.open = None;
-        self.repeats += 1;
-        if self.repeats < MAX_REPEATS {
-            return Next::SendAfter(REPEAT_AFTER_US);
+    /// Handles the loss of the connection to the entry by retrying the call with the same
+    /// idempotency key and sequence number.
+    pub fn on_disconnected(&mut self) -> NextAction {
+        self.pending = None;
+        self.failed_tries += 1;
+        if self.failed_tries < MAX_TRIES {
+            return NextAction::SendAfter(MIN_RETRY_DELAY_US);
         }
-        self.ending = Some(Ending::Unknown);
-        Next::End
+        self.outcome = Some(ProgramOutcome::Unknown);
+        NextAction::End
     }
 }
 
-/// The program that a body belongs to.
+/// Returns the program that a body belongs to.
 ///
 /// # Panics
 ///
-/// Never: a number makes a name.
+/// Never panics, as any number makes a valid name.
 #[must_use]
 pub fn body_program(body: BodyId) -> ProgramId {
     format!("p{}", body / BODIES_PER_PROGRAM)
         .parse()
-        .expect("a name")
+        .expect("a valid name")
 }
 
-/// The place of the call that a body belongs to.
+/// Returns the sequence number of the call that a body belongs to.
 #[must_use]
 pub const fn body_seq(body: BodyId) -> CallSeq {
     CallSeq(body % BODIES_PER_PROGRAM)
 }
 
-/// The name of a service that the run knows.
+/// Parses the name of a service.
 ///
 /// # Panics
 ///
-/// When `name` is no name.
+/// Panics if `name` is not a valid name.
 #[must_use]
 pub fn service_name(name: &str) -> ServiceName {
-    name.parse().expect("a name")
+    name.parse().expect("a valid name")
 }
 
-/// Adds one part of an answer; says what is wrong with it, if anything is.
-pub fn take_part(open: &mut Open, part: &AnswerPart) -> Option<String> {
+/// Adds one part of a response; returns a description of what is wrong with it, if anything is.
+pub fn apply_part(pending: &mut PendingRequest, part: &AnswerPart) -> Option<String> {
     match part {
         AnswerPart::Text { position, text } => {
-            let known = open.text.chars().count() as u64;
+            let known = pending.text.chars().count() as u64;
             if *position != known {
                 return Some(format!(
-                    "text at {position}, but {known} characters have come"
+                    "text at position {position}, but {known} characters were received"
                 ));
             }
-            open.text.push_str(text);
+            pending.text.push_str(text);
         }
         AnswerPart::Plain(answer) => {
-            if open.plain.is_some() {
-                return Some("a second plain answer".to_owned());
+            if pending.plain.is_some() {
+                return Some("second plain response".to_owned());
             }
-            open.plain = Some(answer.body.clone());
+            pending.plain = Some(answer.body.clone());
         }
         AnswerPart::Done(_) | AnswerPart::Failed(_) => {}
     }
--- a/standins/src/soak_faults.rs
+++ b/standins/src/soak_faults.rs
@@ -1,96 +1,94 @@
-//! Which faults a soak has, and when: a plan drawn from its seed.
+//! Plans the faults of a soak and their times from its seed.
 
 use std::time::Duration;
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// One kind of fault; those with a span end after it.
+/// A kind of fault; some end after the planned duration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// A gateway is ended with no warning and started again.
+    /// A gateway is killed and restarted.
     Kill,
-    /// All gateways are ended at once and started again.
+    /// All gateways are killed at once and restarted.
     KillAll,
-    /// A gateway is told to end, and started again when it has.
+    /// A gateway is shut down gracefully and restarted.
     Terminate,
-    /// A gateway stands still.
-    Freeze,
-    /// The store is away for one gateway, in one of several ways.
-    StoreAwayForOne,
-    /// The store is away for all.
-    StoreAway,
-    /// The store answers late.
+    /// A gateway's process is suspended.
+    Suspend,
+    /// The store is unavailable for one gateway, in one of several ways.
+    StoreUnavailableForOne,
+    /// The store is unavailable for all gateways.
+    StoreUnavailable,
+    /// The store responds late.
     StoreSlow,
-    /// Appends are done and not answered.
-    LostAppends,
-    /// Appends are done later.
-    LateAppends,
-    /// The store forgets its history.
+    /// Appends are executed, but their responses are lost.
+    LostAppendResponses,
+    /// Appends are executed late.
+    DelayedAppends,
+    /// The store discards its history.
     ForgetHistory,
-    /// The way to a server is late, cut, one-sided or silent.
+    /// The link to a server is slow, reset, one-way or silent.
     ServerLink,
-    /// A server refuses, loses, cuts, doubles or mixes up answers.
-    ServerAnswers,
-    /// A server is entered as leaving, and later as ready again.
-    ServerDrains,
+    /// A server refuses requests, or its responses are lost, truncated, duplicated or mixed up.
+    FaultyResponses,
+    /// A server's state in the store is set to draining, and later back to ready.
+    ServerDraining,
     /// A new version of the configuration is published.
-    Configuration,
-    /// Callers leave in the middle of answers.
-    CallersLeave,
+    ConfigUpdate,
+    /// Callers disconnect before their responses.
+    CallersDisconnect,
 }
 
-/// All kinds.
-const KINDS: [Fault; 15] = [
+const FAULT_KINDS: [Fault; 15] = [
     Fault::Kill,
     Fault::KillAll,
     Fault::Terminate,
-    Fault::Freeze,
-    Fault::StoreAwayForOne,
-    Fault::StoreAway,
+    Fault::Suspend,
+    Fault::StoreUnavailableForOne,
+    Fault::StoreUnavailable,
     Fault::StoreSlow,
-    Fault::LostAppends,
-    Fault::LateAppends,
+    Fault::LostAppendResponses,
+    Fault::DelayedAppends,
     Fault::ForgetHistory,
     Fault::ServerLink,
-    Fault::ServerAnswers,
-    Fault::ServerDrains,
-    Fault::Configuration,
-    Fault::CallersLeave,
+    Fault::FaultyResponses,
+    Fault::ServerDraining,
+    Fault::ConfigUpdate,
+    Fault::CallersDisconnect,
 ];
-/// The mean pause between the starts of two faults: short against their spans, so that they overlap.
-const PAUSE_MS: u64 = 350;
-/// The longest span of a fault.
-const MAX_SPAN_MS: u64 = 1_500;
+/// The mean time between the starts of two faults, short enough that faults overlap.
+const MEAN_INTERVAL_MS: u64 = 350;
+const MAX_DURATION_MS: u64 = 1_500;
 
 /// A fault of a plan.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlannedFault {
-    /// When it begins, after the start of the run.
-    pub at: Duration,
-    /// How long it lasts, where it has a span.
-    pub span: Duration,
-    /// What it is.
+    /// When it begins, from the start of the run.
+    pub offset: Duration,
+    /// How long it lasts, if it is of a kind that ends.
+    pub duration: Duration,
+    /// The kind of fault.
     pub fault: Fault,
-    /// Draws the one that it strikes and the way in which.
-    pub draw: u64,
+    /// Determines its target and variant.
+    pub random_value: u64,
 }
 
-/// The faults of a run of `length` by its seed.
+/// Returns the faults for `seed` in a run of `length`.
 #[must_use]
-pub fn plan(seed: u64, length: Duration) -> Vec<PlannedFault> {
+pub fn plan_faults(seed: u64, length: Duration) -> Vec<PlannedFault> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut planned = Vec::new();
-    // Programs are under way when the first fault comes.
-    let mut at = Duration::from_millis(PAUSE_MS);
-    while at < length {
+    // The first fault comes once programs are running.
+    let mut offset = Duration::from_millis(MEAN_INTERVAL_MS);
+    while offset < length {
         planned.push(PlannedFault {
-            at,
-            span: Duration::from_millis(random.random_range(100..=MAX_SPAN_MS)),
-            fault: KINDS[random.random_range(0..KINDS.len())],
-            draw: random.random(),
+            offset,
+            duration: Duration::from_millis(random.random_range(100..=MAX_DURATION_MS)),
+            fault: FAULT_KINDS[random.random_range(0..FAULT_KINDS.len())],
+            random_value: random.random(),
         });
-        at += Duration::from_millis(random.random_range(1..=2 * PAUSE_MS));
+        offset += Duration::from_millis(random.random_range(1..=2 * MEAN_INTERVAL_MS));
     }
     planned
 }
