--- a/clementinepickd/src/gateway_shared.rs
+++ b/clementinepickd/src/gateway_shared.rs
@@ -27,8 +27,8 @@
 use crate::ledger_homes::Homes;
 use crate::ledger_turns::Turns;
 use crate::logging::write_event;
+use crate::monotonic_clock::MonotonicClock;
 use crate::outbound_pool::ConnectionPool;
-use crate::steady_clock::SteadyClock;
 use crate::store::StoreClient;
 
 /// The maximum age of the configuration and the server list of a ready process. With older ones, it
@@ -60,7 +60,7 @@
     directory: watch::Receiver<Directory>,
     logger: Logger,
     log_every: u64,
-    clock: SteadyClock,
+    clock: MonotonicClock,
     request_count: Cell<usize>,
     /// The number of open connections to this process.
     connection_count: Cell<usize>,
@@ -138,7 +138,7 @@
             directory,
             logger,
             log_every: settings.log_every,
-            clock: SteadyClock::starting_at(Instant::now()),
+            clock: MonotonicClock::starting_at(Instant::now()),
             request_count: Cell::new(0),
             connection_count: Cell::new(0),
             is_draining: Cell::new(false),
--- a/clementinepickd/src/gateway_stream.rs
+++ b/clementinepickd/src/gateway_stream.rs
@@ -23,11 +23,11 @@
 use crate::gateway_reply::{CallerDisconnected, Reply, ReplyState};
 use crate::gateway_shared::Shared;
 use crate::gateway_trace::Trace;
-use crate::leave_out::Safeguard;
 use crate::ledger::LedgerError;
 use crate::ledger_budgets::BudgetRequest;
 use crate::ledger_holds::BudgetHold;
 use crate::link::duration;
+use crate::safeguard::Safeguard;
 use crate::unix_time::unix_ms;
 
 /// The maximum of a turn that names none; it counts as a large turn.
@@ -98,7 +98,7 @@
     }
     trace.record_generated(Instant::now());
     if reply.state() == ReplyState::Started {
-        if Safeguard::RecordBeforeEnd.is_left_out() {
+        if Safeguard::RecordBeforeEnd.is_disabled() {
             reply.finish().await?;
             // The result is ignored, because the caller already has the end.
             let _ = stream.record().await;
@@ -163,7 +163,7 @@
             .as_deref()
             .filter(|_| keeps_context),
         keeps_context,
-        turn_chains: routed.info.parts.get(1..).unwrap_or_default(),
+        turn_chains: routed.info.prompt_parts.get(1..).unwrap_or_default(),
     };
     match gateway_budget::reserve(shared, trace, &request, deadline).await {
         Ok(reserved) => Ok(Some(reserved)),
@@ -179,7 +179,10 @@
 
 /// Returns the maximum number of tokens that the turn generates.
 fn max_turn_tokens(routed: &RoutedRequest<'_>) -> Tokens {
-    routed.info.most_tokens.map_or(DEFAULT_TURN_TOKENS, Tokens)
+    routed
+        .info
+        .max_output_tokens
+        .map_or(DEFAULT_TURN_TOKENS, Tokens)
 }
 
 /// Returns the deadline of store calls, after which the request is refused. Waiting for longer than
@@ -253,7 +256,7 @@
     fn record_placement(&mut self, server: &str) {
         self.server = Some(server.to_owned());
         let info = self.routed.info;
-        let turn_chain = info.parts.get(1..).and_then(<[PromptPart]>::last);
+        let turn_chain = info.prompt_parts.get(1..).and_then(<[PromptPart]>::last);
         if let (Some(hold), Some(program), Some(turn_chain)) =
             (&mut self.hold, &info.program, turn_chain)
         {
@@ -282,7 +285,7 @@
             return self.deliver_error_response(response, reply).await;
         }
         if reply.state() == ReplyState::Open {
-            let headers = platform::answer::forwarded(&response.head.headers);
+            let headers = platform::response::forwarded_headers(&response.head.headers);
             reply.send_head(StatusCode::OK, headers).await?;
             self.trace.status.set(StatusCode::OK.as_u16());
         }
@@ -301,7 +304,7 @@
         let Ok(body) = response.connection.body(MAX_ERROR_BODY_BYTES).await else {
             return Ok(Err(AttemptError::ResponseLost));
         };
-        let headers = platform::answer::forwarded(&response.head.headers);
+        let headers = platform::response::forwarded_headers(&response.head.headers);
         let status = response.head.status;
         response.release_connection(self.shared);
         reply.send_full(status, headers, body).await?;
--- a/clementinepickd/src/http.rs
+++ b/clementinepickd/src/http.rs
@@ -17,9 +17,9 @@
 use sha2::{Digest, Sha256};
 use tokio::sync::{Semaphore, oneshot};
 
-use crate::control::{Outputs, Wishes};
+use crate::control::{Outputs, ShutdownRequests};
 use crate::control_messages::{ControlInput, ControlSender};
-use crate::daemon::Ended;
+use crate::daemon::ShutdownKind;
 use crate::http_calls::{handle_chat, handle_plain, handle_program};
 use crate::http_reply::{RequestError, error_response, json_response, reject_path, shutting_down};
 use crate::link::duration;
@@ -42,7 +42,7 @@
     pub(crate) limits: Limits,
     pub(crate) control: ControlSender,
     pub(crate) ready: Arc<AtomicBool>,
-    pub(crate) wishes: Arc<Wishes>,
+    pub(crate) shutdown: Arc<ShutdownRequests>,
     pub(crate) streams: Arc<Semaphore>,
     pub(crate) metrics: PrometheusHandle,
     pub(crate) admin_key: Option<LinkKey>,
@@ -68,7 +68,7 @@
             limits: settings.limits.clone(),
             control,
             ready: Arc::clone(&outputs.ready),
-            wishes: Arc::clone(&outputs.wishes),
+            shutdown: Arc::clone(&outputs.shutdown),
             streams: Arc::clone(&outputs.streams),
             metrics,
             admin_key: settings.admin_key.clone(),
@@ -94,7 +94,7 @@
             let context = context.clone();
             HttpService::build()
                 .keep_alive(KeepAlive::Timeout(duration(limits.keep_alive_us)))
-                .client_request_timeout(duration(limits.receive_us))
+                .client_request_timeout(duration(limits.receive_timeout_us))
                 // Treats a half-closed connection as a disconnect, which cancels the call.
                 .h1_allow_half_closed(false)
                 .finish(move |request| handle(context.clone(), request))
@@ -105,8 +105,8 @@
 }
 
 /// Stops the server: at once, or gracefully within [`SHUTDOWN_TIMEOUT_S`].
-pub(crate) async fn stop(server: &ServerHandle, ended: Ended) {
-    server.stop(ended == Ended::Gracefully).await;
+pub(crate) async fn stop(server: &ServerHandle, ended: ShutdownKind) {
+    server.stop(ended == ShutdownKind::Graceful).await;
 }
 
 async fn handle(
@@ -140,7 +140,7 @@
         Err(RequestError::Control(error)) => error_response(&error),
     };
     // A connection that is kept alive would be closed by the shutdown during the next request.
-    if context.wishes.leave.load(Ordering::Relaxed) {
+    if context.shutdown.graceful.load(Ordering::Relaxed) {
         let head = response.head_mut();
         head.set_connection_type(ConnectionType::Close);
     }
@@ -172,7 +172,7 @@
         let refused = json!({"leaving": false, "detail": "wrong admin key"});
         return Ok(json_response(StatusCode::FORBIDDEN, &refused));
     }
-    context.wishes.leave.store(true, Ordering::Relaxed);
+    context.shutdown.graceful.store(true, Ordering::Relaxed);
     Ok(json_response(StatusCode::OK, &json!({"leaving": true})))
 }
 
--- a/clementinepickd/src/http_receive.rs
+++ b/clementinepickd/src/http_receive.rs
@@ -23,12 +23,15 @@
     let path = path.map_or_else(|| request.path().to_owned(), ToString::to_string);
     let method = request.method().as_str().to_owned();
     let body = timeout(
-        duration(context.limits.receive_us),
+        duration(context.limits.receive_timeout_us),
         read_body(context, request),
     )
     .await
     .map_err(|_| {
-        let detail = format!("did not arrive within {}", context.limits.receive_us);
+        let detail = format!(
+            "did not arrive within {}",
+            context.limits.receive_timeout_us
+        );
         CallError::in_field(ErrorKind::BadBody, "body", detail)
     })??;
     Ok(HttpRequest {
--- a/clementinepickd/src/ini_source.rs
+++ b/clementinepickd/src/ini_reader.rs
@@ -1,4 +1,4 @@
-//! Reads keys of an INI file and says precisely what is wrong with one.
+//! Reads typed values from an INI file; errors name the file, the section and the key.
 
 use std::collections::BTreeSet;
 use std::str::FromStr;
@@ -8,58 +8,58 @@
 
 use crate::settings::LinkKey;
 
-/// A settings file that can't be used.
+/// An error that makes a settings file unusable.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// The file can't be read.
-    #[error("{file}: {error}")]
+    /// The file could not be read.
+    #[error("{file}: cannot read settings file: {error}")]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         file: String,
-        /// Why.
+        /// The cause.
         error: std::io::Error,
     },
-    /// The file is no INI.
-    #[error("{file}: {detail}")]
+    /// The file is not valid INI.
+    #[error("{file}: invalid INI syntax: {detail}")]
     Syntax {
-        /// The file.
+        /// The path of the file.
         file: String,
-        /// Where and why.
+        /// The position and the cause.
         detail: String,
     },
-    /// A key is missing, unknown, given twice or has a value that can't be read.
+    /// A key is missing, unknown or given twice, or its value is invalid.
     #[error("{file}: [{section}] {key}: {detail}")]
     Key {
-        /// The file.
+        /// The path of the file.
         file: String,
-        /// The section.
+        /// The section of the key.
         section: String,
-        /// The key.
+        /// The name of the key.
         key: String,
-        /// What is wrong.
+        /// The cause.
         detail: String,
     },
 }
 
-/// An INI file that is being read, with the keys that were asked for.
-pub(crate) struct Source<'a> {
+/// Reads the keys of an INI file and records which ones were requested.
+pub(crate) struct IniReader<'a> {
     file: &'a str,
     ini: &'a Ini,
-    used: BTreeSet<(&'static str, &'static str)>,
+    requested: BTreeSet<(&'static str, &'static str)>,
 }
 
-impl<'a> Source<'a> {
-    /// A source; `file` stands in errors.
+impl<'a> IniReader<'a> {
+    /// Creates a reader; `file` is the path that errors name.
     pub(crate) fn new(file: &'a str, ini: &'a Ini) -> Self {
         Self {
             file,
             ini,
-            used: BTreeSet::new(),
+            requested: BTreeSet::new(),
         }
     }
 
-    /// An error at a key.
-    pub(crate) fn wrong(
+    /// Returns an error about a key.
+    pub(crate) fn key_error(
         &self,
         section: &str,
         key: &str,
@@ -73,12 +73,12 @@
         }
     }
 
-    fn text(
+    fn read_text(
         &mut self,
         section: &'static str,
         key: &'static str,
     ) -> Result<Option<&str>, SettingsError> {
-        self.used.insert((section, key));
+        self.requested.insert((section, key));
         let values: Vec<&str> = self
             .ini
             .section_all(Some(section))
@@ -87,11 +87,11 @@
         match values[..] {
             [] => Ok(None),
             [value] => Ok(Some(value.trim())),
-            _ => Err(self.wrong(section, key, "is given twice")),
+            _ => Err(self.key_error(section, key, "is given twice")),
         }
     }
 
-    /// The value of a key, if it is given.
+    /// Reads the value of an optional key.
     pub(crate) fn read<T>(
         &mut self,
         section: &'static str,
@@ -101,18 +101,18 @@
         T: FromStr,
         T::Err: ToString,
     {
-        let Some(text) = self.text(section, key)? else {
+        let Some(text) = self.read_text(section, key)? else {
             return Ok(None);
         };
         let (value, text) = (text.parse::<T>(), text.to_owned());
         value.map(Some).map_err(|err| {
             let detail = format!("`{text}`: {}", err.to_string());
-            self.wrong(section, key, detail)
+            self.key_error(section, key, detail)
         })
     }
 
-    /// Sets a field to the value of a key, if it is given.
-    pub(crate) fn set<T>(
+    /// Reads an optional key into `field`, which keeps its value when the key is absent.
+    pub(crate) fn read_into<T>(
         &mut self,
         section: &'static str,
         key: &'static str,
@@ -128,8 +128,8 @@
         Ok(())
     }
 
-    /// The value of a key that must be given.
-    pub(crate) fn need<T>(
+    /// Reads the value of a required key.
+    pub(crate) fn require<T>(
         &mut self,
         section: &'static str,
         key: &'static str,
@@ -139,49 +139,53 @@
         T::Err: ToString,
     {
         let value = self.read(section, key)?;
-        value.ok_or_else(|| self.wrong(section, key, "is missing"))
+        value.ok_or_else(|| self.key_error(section, key, "is missing"))
     }
 
-    /// A secret.
-    pub(crate) fn key(
+    /// Reads an optional secret; errors do not contain its text.
+    pub(crate) fn read_secret(
         &mut self,
         section: &'static str,
         key: &'static str,
     ) -> Result<Option<LinkKey>, SettingsError> {
-        let Some(text) = self.text(section, key)? else {
+        let Some(text) = self.read_text(section, key)? else {
             return Ok(None);
         };
         let read = LinkKey::new(text);
-        let short = || self.wrong(section, key, "must have 16 characters or more");
-        read.ok_or_else(short).map(Some)
+        let too_short = || self.key_error(section, key, "must have 16 characters or more");
+        read.ok_or_else(too_short).map(Some)
     }
 
-    /// Fails if the file has a key that nobody asked for.
-    pub(crate) fn check_unused(&self) -> Result<(), SettingsError> {
+    /// Returns an error if the file has a key that was not requested.
+    pub(crate) fn check_unknown_keys(&self) -> Result<(), SettingsError> {
         for (section, properties) in self.ini {
             let section = section.unwrap_or_default();
             for (key, _) in properties {
-                if !self.used.iter().any(|(s, k)| *s == section && *k == key) {
-                    let detail = self.unknown(section);
-                    return Err(self.wrong(section, key, detail));
+                if !self
+                    .requested
+                    .iter()
+                    .any(|(s, k)| *s == section && *k == key)
+                {
+                    let detail = self.describe_known_keys(section);
+                    return Err(self.key_error(section, key, detail));
                 }
             }
         }
         Ok(())
     }
 
-    /// Says which keys a section has in this role.
-    fn unknown(&self, section: &str) -> String {
-        let in_section = self.used.iter().filter(|(s, _)| *s == section);
-        let known: Vec<&str> = in_section.map(|(_, key)| *key).collect();
-        if known.is_empty() {
-            let sections: BTreeSet<&str> = self.used.iter().map(|(s, _)| *s).collect();
+    /// Describes the keys that a section has in this role.
+    fn describe_known_keys(&self, section: &str) -> String {
+        let in_section = self.requested.iter().filter(|(s, _)| *s == section);
+        let known_keys: Vec<&str> = in_section.map(|(_, key)| *key).collect();
+        if known_keys.is_empty() {
+            let sections: BTreeSet<&str> = self.requested.iter().map(|(s, _)| *s).collect();
             let sections: Vec<&str> = sections.into_iter().collect();
             return format!(
                 "this role has no such section; it has {}",
                 sections.join(", ")
             );
         }
-        format!("unknown key; the section has {}", known.join(", "))
+        format!("unknown key; the section has {}", known_keys.join(", "))
     }
 }
--- a/clementinepickd/src/ledger_homes.rs
+++ b/clementinepickd/src/ledger_homes.rs
@@ -21,7 +21,7 @@
 use crate::ledger::{LedgerError, Partition, to_cbor};
 use crate::ledger_budgets::{Budgets, UsedStanding};
 use crate::ledger_partitions::{HeldHome, PartitionState};
-use crate::steady_clock::SteadyClock;
+use crate::monotonic_clock::MonotonicClock;
 use crate::unix_time::unix_ms;
 
 /// How long the store calls for one partition may take.
@@ -86,7 +86,7 @@
     /// Homes named by peers or by records in the store.
     by_partition: RefCell<BTreeMap<Partition, SocketAddr>>,
     liveness: RefCell<PeerLiveness>,
-    clock: SteadyClock,
+    clock: MonotonicClock,
     /// The gateways that ran the turns that this home lent for, by turn.
     pub(crate) runners: RefCell<FifoCache<SocketAddr>>,
     /// The servers that ran the last turns, by turn chain.
@@ -105,7 +105,7 @@
             pending: RefCell::default(),
             by_partition: RefCell::default(),
             liveness: RefCell::default(),
-            clock: SteadyClock::starting_at(Instant::now()),
+            clock: MonotonicClock::starting_at(Instant::now()),
             runners: RefCell::default(),
             chain_servers: RefCell::default(),
             retain_ms: Cell::new(MIN_RETAIN_MS),
--- a/clementinepickd/src/lib.rs
+++ b/clementinepickd/src/lib.rs
@@ -1,8 +1,9 @@
-//! The daemon of clementinepick: sockets, threads and clocks around the decisions of the crate
-//! [`clementinepick`], in the roles entry and sidecar.
+//! Runs the state machines of the crate [`clementinepick`] as a process with sockets, threads and
+//! clocks, in the role of an entry, a sidecar or a gateway.
 //!
-//! One thread owns the control state ([`Daemon::start`] spawns it); others carry links, callers'
-//! connections and requests to the platform. They speak by typed messages.
+//! In the roles entry and sidecar, one control thread, spawned by [`Daemon::start`], owns the
+//! state. Other threads serve links, callers' connections and requests to the platform, and
+//! exchange typed messages with it. A [`gateway`] starts threads of its own.
 
 mod answer;
 mod answer_queue;
@@ -40,8 +41,7 @@
 mod http_calls;
 mod http_receive;
 mod http_reply;
-mod ini_source;
-mod leave_out;
+mod ini_reader;
 mod ledger;
 mod ledger_budgets;
 mod ledger_holds;
@@ -51,21 +51,22 @@
 mod ledger_turns;
 mod line_splitter;
 mod link;
+mod link_manager;
 mod link_queue;
-mod links;
 mod log_client;
 mod logging;
+mod monotonic_clock;
 mod outbound;
 mod outbound_pool;
 mod partition_reader;
 mod plain_client;
 mod process_registry;
 mod response_body;
-mod role;
+mod role_logic;
+mod safeguard;
 mod server_follower;
 pub mod settings;
 pub mod settings_file;
-mod steady_clock;
 mod store;
 mod tasks;
 mod telemetry;
@@ -73,5 +74,5 @@
 mod unix_time;
 mod vm_list_client;
 
-pub use daemon::{Daemon, Ended, StartError};
+pub use daemon::{Daemon, ShutdownKind, StartError};
 pub use ledger::LedgerSettings;
