--- a/standins/tests/cut_path/mod.rs
+++ b/standins/tests/cut_path/mod.rs
@@ -1,4 +1,4 @@
-//! A path between an entry and a sidecar that can be cut in one direction.
+//! Provides a TCP proxy between entries and a sidecar that can drop the traffic of one direction.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -6,67 +6,66 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// Which way nothing arrives any more.
+/// The direction in which bytes are dropped.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Direction {
     ToSidecar,
     ToEntry,
 }
 
-/// The two directions of one connection; true once it is cut.
+/// For each direction of one connection, whether its bytes are dropped.
 #[derive(Clone, Default)]
-struct Cuts {
+struct CutFlags {
     to_sidecar: Arc<AtomicBool>,
     to_entry: Arc<AtomicBool>,
 }
 
-/// A path that takes connections and passes their bytes on.
-///
-/// Its threads end with the connections; the one that listens ends with the test's process.
+/// A TCP proxy that forwards the bytes of its connections. Its forwarding threads end with their
+/// connections, the listening thread with the process of the test.
 pub struct CutPath {
     address: SocketAddr,
     connections: Arc<AtomicUsize>,
-    cuts: Arc<Mutex<Vec<Cuts>>>,
+    cut_flags: Arc<Mutex<Vec<CutFlags>>>,
 }
 
 impl CutPath {
-    /// A path to `target`.
+    /// Starts a proxy to `target` on a free port.
     pub fn to(target: SocketAddr) -> Self {
         let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a free port");
         let path = Self {
             address: listener.local_addr().expect("an address"),
             connections: Arc::default(),
-            cuts: Arc::default(),
+            cut_flags: Arc::default(),
         };
-        let (connections, cuts) = (Arc::clone(&path.connections), Arc::clone(&path.cuts));
+        let (connections, cut_flags) = (Arc::clone(&path.connections), Arc::clone(&path.cut_flags));
         thread::spawn(move || {
             for entry in listener.incoming().flatten() {
                 let Ok(sidecar) = TcpStream::connect(target) else {
                     continue;
                 };
-                let cut = Cuts::default();
-                cuts.lock().expect("no panic").push(cut.clone());
+                let cut = CutFlags::default();
+                cut_flags.lock().expect("no panic").push(cut.clone());
                 connections.fetch_add(1, Ordering::Relaxed);
-                join(&entry, &sidecar, cut.to_sidecar);
-                join(&sidecar, &entry, cut.to_entry);
+                forward(&entry, &sidecar, cut.to_sidecar);
+                forward(&sidecar, &entry, cut.to_entry);
             }
         });
         path
     }
 
-    /// Where it takes connections.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// How many it has taken.
+    /// Returns how many connections it has accepted.
     pub fn connections(&self) -> usize {
         self.connections.load(Ordering::Relaxed)
     }
 
-    /// Cuts the connections of now; later ones are whole.
+    /// Drops the bytes of one direction on all connections accepted so far; later ones are not
+    /// affected.
     pub fn cut(&self, direction: Direction) {
-        for cut in self.cuts.lock().expect("no panic").iter() {
+        for cut in self.cut_flags.lock().expect("no panic").iter() {
             let cut = match direction {
                 Direction::ToSidecar => &cut.to_sidecar,
                 Direction::ToEntry => &cut.to_entry,
@@ -76,11 +75,11 @@
     }
 }
 
-/// Passes bytes on until an end closes, or swallows them once the direction is cut.
-fn join(from: &TcpStream, to: &TcpStream, cut: Arc<AtomicBool>) {
+/// Forwards bytes until either end closes; drops them once the direction is cut.
+fn forward(from: &TcpStream, to: &TcpStream, cut: Arc<AtomicBool>) {
     let (mut from, mut to) = (
-        from.try_clone().expect("a copy"),
-        to.try_clone().expect("a copy"),
+        from.try_clone().expect("a cloned socket"),
+        to.try_clone().expect("a cloned socket"),
     );
     thread::spawn(move || {
         let mut bytes = [0; 16_384];
--- a/standins/tests/daemons.rs
+++ b/standins/tests/daemons.rs
@@ -1,5 +1,5 @@
-//! Daemons as callers meet them: whole and streamed answers, callers that leave or do not read, and
-//! processes that leave while calls are under way.
+//! Tests daemons from the side of callers: complete and streamed responses, callers that
+//! disconnect or do not read, and processes that shut down while calls are running.
 
 mod cut_path;
 mod deployment;
@@ -11,33 +11,40 @@
 use clementinepickd::ShutdownKind;
 use clementinepickd::settings::{Limits, ShutdownSettings};
 use cut_path::{CutPath, Direction};
-use deployment::{Answer, Call, Deployment, Shape, read, state, streamed_text, wait_for};
+use deployment::{
+    Call, Deployment, DeploymentOptions, Response, read_response, state, streamed_text, wait_for,
+};
 use serde_json::Value;
 use standins::engine::EngineSettings;
 use standins::plain_service::PlainSettings;
 
-/// The characters that the stand-in engine generates for a token.
+/// Number of characters that the stand-in engine generates per token.
 const CHARS_PER_TOKEN: u64 = standins::answer::CHARS_PER_TOKEN;
 
-fn json(answer: &Answer) -> Value {
-    serde_json::from_str(&answer.body).unwrap_or_else(|_| panic!("JSON: {answer:?}"))
+fn json(response: &Response) -> Value {
+    serde_json::from_str(&response.body).unwrap_or_else(|_| panic!("JSON: {response:?}"))
 }
 
-fn whole_text(answer: &Answer) -> String {
-    assert_eq!(answer.status, 200, "{answer:?}");
-    let text = &json(answer)["choices"][0]["message"]["content"];
+fn whole_text(response: &Response) -> String {
+    assert_eq!(response.status, 200, "{response:?}");
+    let text = &json(response)["choices"][0]["message"]["content"];
     text.as_str().expect("a text").to_owned()
 }
 
-/// Checks a streamed answer of `tokens` tokens from its first event to its end line.
-fn assert_streamed(answer: &Answer, tokens: u64) {
-    let (text, ended) = streamed_text(answer);
-    let last = answer.body.trim_end().rsplit("\n\n").next();
-    assert!(ended, "the stream broke off: {} {last:?}", answer.status);
+/// Asserts that a streamed response is complete and has `tokens` tokens.
+fn assert_streamed(response: &Response, tokens: u64) {
+    let (text, ended) = streamed_text(response);
+    let last = response.body.trim_end().rsplit("\n\n").next();
+    assert!(
+        ended,
+        "the stream is incomplete: {} {last:?}",
+        response.status
+    );
     assert_eq!(text.len() as u64, tokens * CHARS_PER_TOKEN);
 }
 
-fn running(deployment: &Deployment) -> u32 {
+/// Returns the number of sequences that run at all engines.
+fn running_sequences(deployment: &Deployment) -> u32 {
     let engines = deployment.servers.engines.iter();
     engines
         .map(|engine| engine.inspect(|engine| engine.load_now().running))
@@ -45,14 +52,14 @@
 }
 
 #[test]
-fn the_streamed_answer_is_the_whole_one_through_either_entry() {
-    let deployment = Deployment::start(&Shape::default());
+fn streamed_and_unstreamed_responses_have_the_same_text_at_both_entries() {
+    let deployment = Deployment::start(&DeploymentOptions::default());
     for entry in &deployment.entries {
         let address = entry.http_address();
         for program in ["plan-1", "plan-2", "plan-3"] {
             let name = format!("{program}-{}", address.port());
             let whole = Call::chat(&name, 40, false).send(address);
-            // The text depends on the transcript alone.
+            // The generated text depends on the transcript alone.
             let prompt = format!("plan a night for {name}");
             let stream = Call::single(&prompt, 40, true).send(address);
             assert_eq!(streamed_text(&stream), (whole_text(&whole), true));
@@ -62,31 +69,31 @@
             assert_eq!(json(&whole)["clementinepick"]["turn"], "committed");
         }
     }
-    deployment.end();
+    deployment.shut_down();
 }
 
-// The caller closes its connection in the middle of a turn that belongs to no program. Nobody can
-// ask for the rest, so the engine is told to stop and its memory is free for others.
+/// When the caller of a turn without a program disconnects, nobody can fetch the rest: the engine
+/// must stop the turn and free its memory.
 #[test]
-fn a_caller_that_leaves_stops_its_call() {
-    let deployment = Deployment::start(&Shape::default());
+fn a_disconnected_caller_cancels_its_call() {
+    let deployment = Deployment::start(&DeploymentOptions::default());
     let entry = &deployment.entries[0];
     let streamed = Call::single("a plan", 20_000, true).open(entry.http_address());
-    wait_for(|| running(&deployment) == 1);
+    wait_for(|| running_sequences(&deployment) == 1);
     drop(streamed);
-    wait_for(|| running(&deployment) == 0);
+    wait_for(|| running_sequences(&deployment) == 0);
     let waiting = Call::single("another", 20_000, false).open(entry.http_address());
-    wait_for(|| running(&deployment) == 1);
+    wait_for(|| running_sequences(&deployment) == 1);
     drop(waiting);
-    wait_for(|| running(&deployment) == 0);
-    deployment.end();
+    wait_for(|| running_sequences(&deployment) == 0);
+    deployment.shut_down();
 }
 
-// A caller opens a long stream and does not read. What waits for it is bounded; beyond the bound it
-// is cut off and its turn stopped, while another caller of the same entry gets its whole answer.
+/// Buffered output of a caller that does not read is bounded: beyond the limit its connection is
+/// closed and its turn is stopped, while other callers of the entry get complete responses.
 #[test]
-fn a_caller_that_does_not_read_is_cut_off_and_stops_nobody() {
-    let shape = Shape {
+fn a_caller_that_does_not_read_is_disconnected_and_blocks_no_other() {
+    let options = DeploymentOptions {
         engine: EngineSettings {
             step_base_us: SpanUs(1),
             step_per_sequence_us: SpanUs(0),
@@ -98,37 +105,36 @@
             answer_stall_us: SpanUs::from_ms(300),
             ..Limits::default()
         },
-        ..Shape::default()
+        ..DeploymentOptions::default()
     };
-    let deployment = Deployment::start(&shape);
+    let deployment = Deployment::start(&options);
     let address = deployment.entries[0].http_address();
     let slow = Call::single("a long plan", 10_000_000, true).open(address);
-    wait_for(|| running(&deployment) == 1);
+    wait_for(|| running_sequences(&deployment) == 1);
     assert_streamed(&Call::chat("other", 40, true).send(address), 40);
-    wait_for(|| running(&deployment) == 0);
-    let (_, ended) = streamed_text(&read(slow));
-    assert!(!ended, "a part of an answer looks like a whole one");
+    wait_for(|| running_sequences(&deployment) == 0);
+    let (_, ended) = streamed_text(&read_response(slow));
+    assert!(!ended, "an incomplete stream must not have an end line");
     let metrics = Call::new("GET", "/metrics").send(address).body;
     assert!(metrics.contains("outcome=\"caller_slow\"} 1"), "{metrics}");
-    deployment.end();
+    deployment.shut_down();
 }
 
-// An entry is told to leave while a stream is open, a second call of the same program waits for the
-// first, and a hold that may not run twice is with its service. All come to their end; new calls
-// are refused as not run; then the process ends by itself.
+/// On shutdown an entry completes an open stream, a queued call of the same program and a hold that
+/// must not run twice, refuses new calls as not run, and exits.
 #[test]
-fn an_entry_leaves_after_its_last_answer() {
-    let shape = Shape {
+fn an_entry_exits_after_its_last_response() {
+    let options = DeploymentOptions {
         plain: PlainSettings {
             answer_us: SpanUs::from_s(1),
         },
-        ..Shape::default()
+        ..DeploymentOptions::default()
     };
-    let mut deployment = Deployment::start(&shape);
+    let mut deployment = Deployment::start(&options);
     let entry = deployment.entries.remove(0);
     let address = entry.http_address();
     let streamed = Call::chat("plan-1", 400, true).open(address);
-    wait_for(|| running(&deployment) == 1);
+    wait_for(|| running_sequences(&deployment) == 1);
     let queued = Call::chat("plan-1", 40, true).open(address);
     let hold = Call::hold("hold-1").open(address);
     wait_for(|| state(&deployment.plain_sidecar)["running"] == 1);
@@ -138,26 +144,26 @@
     let refused = json(&Call::chat("plan-2", 40, false).send(address));
     assert_eq!(refused["error"]["code"], "shutting_down");
     assert_eq!(refused["error"]["not_run"], true);
-    assert_streamed(&read(streamed), 400);
-    let queued = read(queued);
-    // The second call carries no transcript of the first, and is told so rather than cut off.
-    assert!(queued.whole, "{queued:?}");
-    let hold = read(hold);
-    assert_eq!((hold.status, hold.whole), (201, true));
+    assert_streamed(&read_response(streamed), 400);
+    let queued = read_response(queued);
+    // The second call lacks the transcript of the first: it gets a complete error response.
+    assert!(queued.is_complete, "{queued:?}");
+    let hold = read_response(hold);
+    assert_eq!((hold.status, hold.is_complete), (201, true));
     assert_eq!(entry.join(), ShutdownKind::Graceful);
     assert_eq!(deployment.servers.plains[0].executions()["hold-1"], 1);
     assert_streamed(
         &Call::chat("plan-3", 40, true).send(deployment.entries[0].http_address()),
         40,
     );
-    deployment.end();
+    deployment.shut_down();
 }
 
-// A caller reads slowly while its entry leaves: the engine is done, but most of the answer still
-// waits at the entry. The entry stays until the caller has it all.
+/// On shutdown an entry stays until a slow caller has read its complete response, even when the
+/// engine has finished the turn long before.
 #[test]
-fn an_entry_leaves_after_a_slow_caller_has_read_its_answer() {
-    let shape = Shape {
+fn an_entry_exits_after_a_slow_caller_has_read_its_response() {
+    let options = DeploymentOptions {
         engine: EngineSettings {
             step_base_us: SpanUs(1),
             step_per_sequence_us: SpanUs(0),
@@ -169,62 +175,60 @@
             answer_bytes: Bytes(100_000_000),
             ..Limits::default()
         },
-        ..Shape::default()
+        ..DeploymentOptions::default()
     };
-    let mut deployment = Deployment::start(&shape);
+    let mut deployment = Deployment::start(&options);
     let entry = deployment.entries.remove(0);
     let tokens = 2_500_000;
     let slow = Call::single("a long plan", tokens, true).open(entry.http_address());
-    wait_for(|| running(&deployment) == 1);
-    wait_for(|| running(&deployment) == 0);
+    wait_for(|| running_sequences(&deployment) == 1);
+    wait_for(|| running_sequences(&deployment) == 0);
     entry.shutdown();
     wait_for(|| state(&entry)["leaving"] == true);
     assert!(!entry.is_finished());
-    assert_streamed(&read(slow), tokens);
+    assert_streamed(&read_response(slow), tokens);
     assert_eq!(entry.join(), ShutdownKind::Graceful);
-    deployment.end();
+    deployment.shut_down();
 }
 
-// An entry has as many calls as it takes. The next one is refused before it ran, and is taken once
-// there is room.
+/// A call over the limit of streams is refused before it runs, and accepted once a stream ends.
 #[test]
 fn a_call_over_the_limit_of_streams_is_refused_as_not_run() {
-    let shape = Shape {
+    let options = DeploymentOptions {
         limits: Limits {
             streams: 1,
             ..Limits::default()
         },
-        ..Shape::default()
+        ..DeploymentOptions::default()
     };
-    let deployment = Deployment::start(&shape);
+    let deployment = Deployment::start(&options);
     let address = deployment.entries[0].http_address();
     let first = Call::chat("plan-1", 200, true).open(address);
-    wait_for(|| running(&deployment) == 1);
+    wait_for(|| running_sequences(&deployment) == 1);
     let refused = Call::chat("plan-2", 8, true).send(address);
     assert_eq!(refused.status, 503);
     assert_eq!(json(&refused)["error"]["code"], "overloaded");
     assert_eq!(json(&refused)["error"]["not_run"], true);
-    assert_streamed(&read(first), 200);
+    assert_streamed(&read_response(first), 200);
     wait_for(|| Call::chat("plan-2", 8, true).send(address).status == 200);
-    deployment.end();
+    deployment.shut_down();
 }
 
-// The sidecars of one engine and of the plain service are told to leave with calls under way. Those
-// end where they run; new turns go to the other engine.
+/// On shutdown the sidecars complete their running calls, while new turns go to the other engine.
 #[test]
-fn a_sidecar_leaves_after_its_last_call() {
-    let shape = Shape {
+fn a_sidecar_exits_after_its_last_call() {
+    let options = DeploymentOptions {
         plain: PlainSettings {
             answer_us: SpanUs::from_s(1),
         },
-        ..Shape::default()
+        ..DeploymentOptions::default()
     };
-    let mut deployment = Deployment::start(&shape);
+    let mut deployment = Deployment::start(&options);
     let address = deployment.entries[0].http_address();
     let streams: Vec<_> = (0..4)
         .map(|n| Call::chat(&format!("plan-{n}"), 400, true).open(address))
         .collect();
-    wait_for(|| running(&deployment) == 4);
+    wait_for(|| running_sequences(&deployment) == 4);
     let hold = Call::hold("hold-1").open(address);
     wait_for(|| state(&deployment.plain_sidecar)["running"] == 1);
     let leaving = deployment.engine_sidecars.remove(0);
@@ -234,41 +238,47 @@
         assert_streamed(&Call::chat(&format!("plan-{n}"), 8, true).send(address), 8);
     }
     for stream in streams {
-        assert_streamed(&read(stream), 400);
+        assert_streamed(&read_response(stream), 400);
     }
-    assert_eq!(read(hold).status, 201);
+    assert_eq!(read_response(hold).status, 201);
     assert_eq!(leaving.join(), ShutdownKind::Graceful);
     wait_for(|| deployment.plain_sidecar.is_finished());
     assert_eq!(deployment.servers.plains[0].executions()["hold-1"], 1);
-    deployment.end();
+    deployment.shut_down();
 }
 
-// The shutdown limit passes while a turn and a hold run. Each caller is told what is true: the turn
-// ran in part and may be sent again; nobody here will learn what became of the hold.
+/// When the shutdown limit passes, each unfinished call gets a truthful error: a turn may be
+/// repeated; the outcome of a hold is unknown.
 #[test]
-fn a_forced_end_answers_what_is_unfinished_truthfully() {
-    let shape = Shape {
+fn a_forced_shutdown_reports_unfinished_calls_truthfully() {
+    let options = DeploymentOptions {
         plain: PlainSettings {
             answer_us: SpanUs::from_s(20),
         },
         shutdown: ShutdownSettings {
             limit_us: SpanUs::from_ms(500),
-            ..Shape::default().shutdown
+            ..DeploymentOptions::default().shutdown
         },
-        ..Shape::default()
+        ..DeploymentOptions::default()
     };
-    let mut deployment = Deployment::start(&shape);
+    let mut deployment = Deployment::start(&options);
     let entry = deployment.entries.remove(0);
     let address = entry.http_address();
     let turn = Call::chat("plan-1", 20_000, false).open(address);
     let stream = Call::chat("plan-2", 20_000, true).open(address);
     let hold = Call::hold("hold-1").open(address);
-    wait_for(|| running(&deployment) == 2);
+    wait_for(|| running_sequences(&deployment) == 2);
     wait_for(|| state(&deployment.plain_sidecar)["running"] == 1);
-    let answers = thread::spawn(move || (read(turn), read(stream), read(hold)));
+    let responses = thread::spawn(move || {
+        (
+            read_response(turn),
+            read_response(stream),
+            read_response(hold),
+        )
+    });
     entry.shutdown();
     assert_eq!(entry.join(), ShutdownKind::Forced);
-    let (turn, stream, hold) = answers.join().expect("answers");
+    let (turn, stream, hold) = responses.join().expect("responses");
     let (turn, hold) = (json(&turn), json(&hold));
     assert_eq!(turn["error"]["repeat_safe"], true, "{turn}");
     assert_eq!(turn["error"]["not_run"], false, "{turn}");
@@ -280,15 +290,15 @@
         serde_json::from_str(&last.unwrap_or_default()["data: ".len()..]).expect("JSON");
     assert!(!ended);
     assert_eq!(error["error"]["code"], "backend_failed", "{error}");
-    deployment.end();
+    deployment.shut_down();
 }
 
-// The paths from the entries to one sidecar, and from another sidecar to the entries, are cut in
-// one direction: what is sent still seems to arrive. Each end closes a link on which it hears
-// nothing, so the other learns of it; both connect anew and calls go through again.
+/// When the bytes of one direction are lost, sends still seem to succeed. Each end closes a link on
+/// which it receives nothing, so that the other end notices; both reconnect and calls succeed
+/// again.
 #[test]
-fn a_link_cut_in_one_direction_is_closed_and_opened_anew() {
-    let deployment = Deployment::start(&Shape::default());
+fn a_link_cut_in_one_direction_is_reconnected() {
+    let deployment = Deployment::start(&DeploymentOptions::default());
     let directions = [Direction::ToSidecar, Direction::ToEntry];
     let paths: Vec<CutPath> = deployment
         .engine_sidecars
@@ -296,7 +306,7 @@
         .map(|sidecar| CutPath::to(sidecar.link_address()))
         .collect();
     for (n, path) in paths.iter().enumerate() {
-        deployment.reach_sidecar_by(n, path.address());
+        deployment.set_sidecar_address(n, path.address());
     }
     wait_for(|| paths.iter().all(|path| path.connections() >= 2));
     deployment.wait_for_links();
@@ -309,14 +319,14 @@
     for n in 0..8 {
         assert_streamed(&Call::chat(&format!("plan-{n}"), 8, true).send(address), 8);
     }
-    deployment.end();
+    deployment.shut_down();
 }
 
-// A caller lost its connection after the answer came, or wants only the rest. It asks for the call
-// by its place in the program, through the other entry, and gets the same text.
+/// A caller that lost its connection fetches a call by its number in the program from any entry,
+/// from the start or from a position, and gets the same text.
 #[test]
-fn an_earlier_answer_is_fetched_whole_in_part_or_as_a_stream() {
-    let deployment = Deployment::start(&Shape::default());
+fn an_earlier_response_is_fetched_completely_in_part_or_as_a_stream() {
+    let deployment = Deployment::start(&DeploymentOptions::default());
     let [first, other] = [0, 1].map(|n| deployment.entries[n].http_address());
     let text = whole_text(&Call::chat("plan-1", 40, false).send(first));
     let path = "/v1/programs/plan-1/calls/0";
@@ -327,20 +337,20 @@
     assert_eq!(streamed_text(&stream.send(other)), (text, true));
     let missing = json(&Call::new("GET", "/v1/programs/plan-1/calls/9").send(other));
     assert_eq!(missing["error"]["code"], "unknown_call");
-    deployment.end();
+    deployment.shut_down();
 }
 
-// A caller's connection breaks while its hold runs. The hold can't be undone, so it goes on, once;
-// the caller comes back and learns how it ended.
+/// A hold cannot be undone, so it completes, once, after its caller has disconnected; the caller
+/// can fetch the outcome later.
 #[test]
-fn the_outcome_of_a_hold_whose_caller_left_is_fetched_later() {
-    let shape = Shape {
+fn the_outcome_of_a_hold_is_fetched_after_a_disconnect() {
+    let options = DeploymentOptions {
         plain: PlainSettings {
             answer_us: SpanUs::from_ms(300),
         },
-        ..Shape::default()
+        ..DeploymentOptions::default()
     };
-    let deployment = Deployment::start(&shape);
+    let deployment = Deployment::start(&options);
     let address = deployment.entries[0].http_address();
     let hold = Call::hold("hold-1").open(address);
     wait_for(|| state(&deployment.plain_sidecar)["running"] == 1);
@@ -349,11 +359,11 @@
     wait_for(|| fetch.send(address).status == 201);
     assert_eq!(json(&fetch.send(address))["hold"], "hold-1");
     assert_eq!(deployment.servers.plains[0].executions()["hold-1"], 1);
-    deployment.end();
+    deployment.shut_down();
 }
 
-/// The parts of the state that a process counts.
-fn counted(address: std::net::SocketAddr) -> BTreeSet<String> {
+/// Returns the labels of the state gauges that a process exports.
+fn state_gauges(address: std::net::SocketAddr) -> BTreeSet<String> {
     let metrics = Call::new("GET", "/metrics").send(address).body;
     let gauges = metrics.lines();
     let labels = gauges.filter_map(|line| {
@@ -365,7 +375,7 @@
 }
 
 #[test]
-fn every_part_of_the_state_stands_on_the_page_of_metrics_and_the_reverse() {
+fn the_state_gauges_match_the_metrics_documentation() {
     let page = include_str!("../../docs/METRICS.md");
     let documented = |role: &str| -> BTreeSet<String> {
         let rows = page.lines().filter_map(|line| line.strip_prefix("| `"));
@@ -373,10 +383,10 @@
         let in_role = rows.filter(|(_, rest)| rest.starts_with(role) || rest.starts_with("both"));
         in_role.map(|(name, _)| name.to_owned()).collect()
     };
-    let deployment = Deployment::start(&Shape::default());
-    let entry = counted(deployment.entries[0].http_address());
-    let sidecar = counted(deployment.engine_sidecars[0].http_address());
-    deployment.end();
+    let deployment = Deployment::start(&DeploymentOptions::default());
+    let entry = state_gauges(deployment.entries[0].http_address());
+    let sidecar = state_gauges(deployment.engine_sidecars[0].http_address());
+    deployment.shut_down();
     assert_eq!(entry, documented("entry"));
     assert_eq!(sidecar, documented("sidecar"));
 }
--- a/standins/tests/demo.rs
+++ b/standins/tests/demo.rs
@@ -1,4 +1,4 @@
-//! A small demo, end to end: real daemons, real sockets, each answer checked.
+//! Tests small demos end to end: real daemons and sockets, with each response checked.
 
 use clementinepick::units::Tokens;
 use standins::demo::Demo;
@@ -6,7 +6,7 @@
 use standins::script::{Mix, ProgramKind, Script};
 
 #[test]
-fn a_small_demo_finishes_whole() {
+fn a_small_demo_completes_all_programs() {
     let demo = Demo {
         programs: 20,
         concurrency: 10,
@@ -15,7 +15,7 @@
         release_s: 45,
         roll: false,
     };
-    let result = demo.measure().expect("a clean start and end");
+    let result = demo.measure().expect("a clean start and shutdown");
     let report = &result.report;
     assert_eq!(report.faults, Vec::<String>::new());
     assert_eq!((report.finished, report.programs), (20, 20));
@@ -26,11 +26,11 @@
     assert!(result.is_right());
 }
 
-/// Every process is replaced while programs run. Callers see whole answers only: an entry that
-/// leaves finishes what it has and hands its programs over, and a sidecar finishes what runs at its
-/// backend server before the next one starts.
+/// Callers get complete responses only while every process is replaced: a leaving entry finishes
+/// its calls and hands its programs over, and a sidecar finishes its running calls before its
+/// successor starts.
 #[test]
-fn replacing_every_process_cuts_nothing_off() {
+fn replacing_every_process_interrupts_no_call() {
     let demo = Demo {
         programs: 20,
         concurrency: 8,
@@ -39,7 +39,7 @@
         release_s: 0,
         roll: true,
     };
-    let result = demo.measure().expect("a clean start and end");
+    let result = demo.measure().expect("a clean start and shutdown");
     let report = &result.report;
     assert_eq!(report.faults, Vec::<String>::new());
     assert_eq!(result.replaced, 5);
@@ -47,18 +47,18 @@
     assert_eq!(result.once.1, []);
 }
 
-/// A seat hold that never ran, and a cancellation that ran twice, are both found out by the count
-/// at the plain service, whatever the callers were told.
+/// The counts of the plain service reveal a hold that never ran and a cancellation that ran twice,
+/// whatever the callers were told.
 #[test]
-fn what_did_not_run_exactly_once_is_found() {
+fn operations_not_run_exactly_once_are_detected() {
     let mut mix = Mix::new("check", 1);
     let scripts: Vec<Script> = (0..20).map(|_| mix.draw()).collect();
     let ids: Vec<String> = scripts.iter().flat_map(Script::once_ids).collect();
-    let mut ran = ids.iter().map(|id| (id.clone(), 1)).collect();
-    assert_eq!(not_once(&scripts, &[ran]), []);
-    ran = ids.iter().skip(1).map(|id| (id.clone(), 1)).collect();
-    ran.insert(ids[1].clone(), 2);
-    let wrong = not_once(&scripts, &[ran]);
+    let mut executions = ids.iter().map(|id| (id.clone(), 1)).collect();
+    assert_eq!(not_once(&scripts, &[executions]), []);
+    executions = ids.iter().skip(1).map(|id| (id.clone(), 1)).collect();
+    executions.insert(ids[1].clone(), 2);
+    let wrong = not_once(&scripts, &[executions]);
     assert_eq!(wrong, [(ids[0].clone(), 0), (ids[1].clone(), 2)]);
 }
 
--- a/standins/tests/deployment/mod.rs
+++ b/standins/tests/deployment/mod.rs
@@ -1,4 +1,5 @@
-//! A small deployment for tests: stand-ins and real daemons, on loopback ports, in one process.
+//! Starts a small deployment for tests: stand-ins and real daemons on loopback ports, in one
+//! process.
 
 use std::io::{Read, Write};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpStream};
@@ -20,9 +21,9 @@
 use standins::servers::{ServerSettings, Servers};
 use standins::weight_store::WeightSettings;
 
-/// Guards against hanging; no test waits for it to pass.
-pub const PATIENCE: Duration = Duration::from_secs(30);
-/// Lets the system choose the port.
+/// Guards against hanging; no test relies on it to expire.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Lets the operating system choose the port.
 const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
 const ENGINE_DOCUMENT: &str = "\
@@ -51,7 +52,7 @@
 deadline = 60 s
 ";
 
-/// Stand-ins, two entries, a sidecar for each of two engines and one for a plain service.
+/// Stand-ins, two entries, one sidecar for each of two engines and one for a plain service.
 pub struct Deployment {
     pub servers: Servers,
     pub entries: Vec<Daemon>,
@@ -59,16 +60,16 @@
     pub plain_sidecar: Daemon,
 }
 
-/// What tests set.
+/// The settings of a deployment that tests vary.
 #[derive(Clone)]
-pub struct Shape {
+pub struct DeploymentOptions {
     pub engine: EngineSettings,
     pub plain: PlainSettings,
     pub limits: Limits,
     pub shutdown: ShutdownSettings,
 }
 
-impl Default for Shape {
+impl Default for DeploymentOptions {
     fn default() -> Self {
         Self {
             engine: EngineSettings {
@@ -88,14 +89,14 @@
 
 impl Deployment {
     /// Starts everything and waits until both entries can serve both services.
-    pub fn start(shape: &Shape) -> Self {
+    pub fn start(options: &DeploymentOptions) -> Self {
         let servers = Servers::start(&ServerSettings {
             log: (ANY_PORT, LogSettings::default()),
             vms: (ANY_PORT, SpanUs(0)),
             weights: (ANY_PORT, WeightSettings::default()),
             tools: ANY_PORT,
-            engines: vec![(ANY_PORT, shape.engine.clone()); 2],
-            plains: vec![(ANY_PORT, shape.plain.clone())],
+            engines: vec![(ANY_PORT, options.engine.clone()); 2],
+            plains: vec![(ANY_PORT, options.plain.clone())],
             workers: 1,
             takes_signals: false,
         })
@@ -110,7 +111,7 @@
                 backend_address: backend,
                 ..SidecarRole::default()
             });
-            start(&servers, shape, vm, role)
+            start(&servers, options, vm, role)
         };
         let engine_sidecars = (0..2)
             .map(|n| {
@@ -133,7 +134,7 @@
                     vms_poll_us: SpanUs::from_ms(50),
                     ..EntryRole::default()
                 });
-                start(&servers, shape, vm, role)
+                start(&servers, options, vm, role)
             })
             .into();
         let deployment = Self {
@@ -146,7 +147,7 @@
         deployment
     }
 
-    /// Waits until each entry has links to all others and every process is ready.
+    /// Waits until each entry is linked to all peers and every process is ready.
     pub fn wait_for_links(&self) {
         for entry in &self.entries {
             wait_for(|| {
@@ -161,8 +162,8 @@
         }
     }
 
-    /// Lists another address for the sidecar of an engine.
-    pub fn reach_sidecar_by(&self, number: usize, address: SocketAddr) {
+    /// Changes the listed link address of the sidecar of an engine.
+    pub fn set_sidecar_address(&self, number: usize, address: SocketAddr) {
         self.servers.vms.set(Vm {
             id: name(&format!("sidecar-{number}")),
             role: VmRole::Sidecar,
@@ -173,8 +174,8 @@
         });
     }
 
-    /// Ends everything that was not ended before, and joins it.
-    pub fn end(self) {
+    /// Forces the shutdown of all remaining daemons, joins them and stops the stand-ins.
+    pub fn shut_down(self) {
         let sidecars = self.engine_sidecars.into_iter().chain([self.plain_sidecar]);
         let daemons: Vec<Daemon> = self.entries.into_iter().chain(sidecars).collect();
         for daemon in &daemons {
@@ -187,13 +188,13 @@
     }
 }
 
-/// A name that stands in the test.
+/// Parses a name; panics if it is invalid.
 pub fn name<T: TryFrom<String>>(text: &str) -> T {
     T::try_from(text.to_owned()).ok().expect("a name")
 }
 
 /// Starts a daemon and puts it into the list of VMs.
-fn start(servers: &Servers, shape: &Shape, vm: &str, role: Role) -> Daemon {
+fn start(servers: &Servers, options: &DeploymentOptions, vm: &str, role: Role) -> Daemon {
     let vm: VmId = name(vm);
     let (listed, service) = match &role {
         Role::Entry(_) => (VmRole::Entry, None),
@@ -212,11 +213,11 @@
             },
             ..LinkSettings::default()
         },
-        limits: shape.limits.clone(),
-        shutdown: shape.shutdown.clone(),
+        limits: options.limits.clone(),
+        shutdown: options.shutdown.clone(),
         ..Settings::default()
     })
-    .expect("it starts");
+    .expect("the daemon starts");
     servers.vms.set(Vm {
         id: vm,
         role: listed,
@@ -247,25 +248,28 @@
     };
     let text = serde_json::to_string(&record).expect("JSON");
     let body = json!({"records": [text]}).to_string();
-    let answer = Call::new("POST", "/v1/streams/config")
+    let response = Call::new("POST", "/v1/streams/config")
         .body(&body)
         .send(log);
-    assert_eq!(answer.status, 200, "{}", answer.body);
+    assert_eq!(response.status, 200, "{}", response.body);
 }
 
-/// Waits until `done`, which asks again and again.
+/// Polls `done` until it returns true; panics after [`WAIT_TIMEOUT`].
 pub fn wait_for(mut done: impl FnMut() -> bool) {
     let started = Instant::now();
     while !done() {
-        assert!(started.elapsed() < PATIENCE, "this takes too long");
+        assert!(
+            started.elapsed() < WAIT_TIMEOUT,
+            "condition not met within {WAIT_TIMEOUT:?}"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// The decisions' part of a daemon's dump.
+/// Returns the `state` part of a daemon's dump.
 pub fn state(daemon: &Daemon) -> Value {
-    let answer = Call::new("GET", "/debug/dump").send(daemon.http_address());
-    serde_json::from_str::<Value>(&answer.body).expect("JSON")["state"].clone()
+    let response = Call::new("GET", "/debug/dump").send(daemon.http_address());
+    serde_json::from_str::<Value>(&response.body).expect("JSON")["state"].clone()
 }
 
 /// A request of a caller.
@@ -274,13 +278,13 @@
     body: String,
 }
 
-/// An answer, with the chunks of its body joined.
+/// A response, with the chunks of its body joined.
 #[derive(Debug, Clone)]
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub body: String,
-    /// Whether the body came to its end.
-    pub whole: bool,
+    /// Whether the body was received completely.
+    pub is_complete: bool,
 }
 
 impl Call {
@@ -317,7 +321,7 @@
             .body(&body.to_string())
     }
 
-    /// Sets a header, in place of one of the same name.
+    /// Sets a header, replacing one of the same name.
     pub fn header(mut self, name: &str, value: &str) -> Self {
         let other = |line: &&str| !line.starts_with(&format!("{name}: "));
         self.head = self.head.split_inclusive("\r\n").filter(other).collect();
@@ -332,26 +336,28 @@
         self
     }
 
-    /// Sends it and leaves the answer unread.
+    /// Sends the request and returns the connection with the response unread.
     pub fn open(&self, address: SocketAddr) -> TcpStream {
-        let mut stream = TcpStream::connect(address).expect("it listens");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+        let mut stream = TcpStream::connect(address).expect("a connection");
+        stream
+            .set_read_timeout(Some(WAIT_TIMEOUT))
+            .expect("a timeout");
         let length = self.body.len();
         let text = format!("{}content-length: {length}\r\n\r\n{}", self.head, self.body);
-        stream.write_all(text.as_bytes()).expect("it reads");
+        stream.write_all(text.as_bytes()).expect("request sent");
         stream
     }
 
-    /// Sends it and reads the whole answer.
-    pub fn send(&self, address: SocketAddr) -> Answer {
-        read(self.open(address))
+    /// Sends the request and reads the complete response.
+    pub fn send(&self, address: SocketAddr) -> Response {
+        read_response(self.open(address))
     }
 }
 
-/// Reads the rest of an answer.
-pub fn read(mut stream: TcpStream) -> Answer {
+/// Reads the rest of a response.
+pub fn read_response(mut stream: TcpStream) -> Response {
     let mut bytes = Vec::new();
-    // A connection that is reset gives what came before.
+    // After a reset, the bytes received before it still count.
     let _ = stream.read_to_end(&mut bytes);
     let text = String::from_utf8_lossy(&bytes).into_owned();
     let (head, body) = text.split_once("\r\n\r\n").unwrap_or((&text, ""));
@@ -360,20 +366,21 @@
         .nth(1)
         .and_then(|status| status.parse().ok());
     let head = head.to_ascii_lowercase();
-    let (body, whole) = if head.contains("transfer-encoding: chunked") {
+    let (body, is_complete) = if head.contains("transfer-encoding: chunked") {
         join_chunks(body)
     } else {
         let length = head.split("content-length: ").nth(1);
         let length = length.and_then(|rest| rest.lines().next()?.trim().parse().ok());
         (body.to_owned(), length == Some(body.len()))
     };
-    Answer {
+    Response {
         status: status.unwrap_or(0),
         body,
-        whole,
+        is_complete,
     }
 }
 
+/// Joins the chunks of a body; returns it and whether the last chunk was received.
 fn join_chunks(mut rest: &str) -> (String, bool) {
     let mut body = String::new();
     while let Some((size, after)) = rest.split_once("\r\n") {
@@ -392,15 +399,15 @@
     (body, false)
 }
 
-/// The text of a streamed answer, and whether its end line came.
-pub fn streamed_text(answer: &Answer) -> (String, bool) {
+/// Returns the text of a streamed response and whether its end line was received.
+pub fn streamed_text(response: &Response) -> (String, bool) {
     let mut text = String::new();
-    for event in answer.body.split("\n\n") {
+    for event in response.body.split("\n\n") {
         let Some(data) = event.strip_prefix("data: ") else {
             continue;
         };
         if data == "[DONE]" {
-            return (text, answer.whole);
+            return (text, response.is_complete);
         }
         let chunk: Value = serde_json::from_str(data).expect("JSON");
         text += chunk["choices"][0]["delta"]["content"]
--- a/standins/tests/engine.rs
+++ b/standins/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The model engine's core in virtual time.
+//! Tests the core of the stand-in engine in virtual time.
 
 use std::collections::BTreeMap;
 
@@ -14,9 +14,9 @@
 use standins::engine::{Engine, EngineError, EngineSettings};
 use standins::engine_orders::OrderError;
 
-/// One sequence's lines, put together.
+/// The lines of one sequence, joined.
 #[derive(Debug, Default, PartialEq)]
-struct Answer {
+struct Output {
     text: String,
     usage: Usage,
     finish: Option<FinishReason>,
@@ -44,36 +44,36 @@
     ChatMessage::new("system", &text.repeat(tokens * 4 / text.len()))
 }
 
-/// Runs the engine until nothing happens by itself.
-fn drain(engine: &mut Engine) -> BTreeMap<AttemptId, Answer> {
-    let mut answers: BTreeMap<AttemptId, Answer> = BTreeMap::new();
+/// Advances the engine until no event is pending; returns the output of each attempt.
+fn drain(engine: &mut Engine) -> BTreeMap<AttemptId, Output> {
+    let mut outputs: BTreeMap<AttemptId, Output> = BTreeMap::new();
     while let Some(at) = engine.next_event_at() {
         for (attempt, line) in engine.advance(at) {
-            let answer = answers.entry(attempt).or_default();
+            let output = outputs.entry(attempt).or_default();
             match line {
                 GenerateLine::Text { position, text, .. } => {
-                    assert_eq!(position, answer.text.len() as u64);
-                    answer.text += &text;
+                    assert_eq!(position, output.text.len() as u64);
+                    output.text += &text;
                 }
                 GenerateLine::Done {
                     usage,
                     finish,
                     cached,
                 } => {
-                    answer.usage = usage;
-                    answer.finish = Some(finish);
-                    answer.cached = cached;
-                    answer.ended_us = at;
+                    output.usage = usage;
+                    output.finish = Some(finish);
+                    output.cached = cached;
+                    output.ended_us = at;
                 }
                 GenerateLine::Failed { detail } => panic!("{detail}"),
             }
         }
     }
-    answers
+    outputs
 }
 
 #[test]
-fn an_answer_is_the_function_of_its_prompt() {
+fn an_output_depends_only_on_its_prompt() {
     let mut engine = Engine::new(EngineSettings::default());
     let bodies: Vec<_> = (0..40_u64)
         .map(|n| body(u128::from(n), &[user(&format!("question {n}"))], 10 + n))
@@ -81,13 +81,13 @@
     for (at, body) in bodies.iter().enumerate() {
         engine
             .submit(TimeUs(at as u64 * 1_000), body.clone())
-            .expect("up");
+            .expect("the engine is available");
     }
-    let answers = drain(&mut engine);
-    assert_eq!(answers.len(), bodies.len());
+    let outputs = drain(&mut engine);
+    assert_eq!(outputs.len(), bodies.len());
     for (at, body) in bodies.iter().enumerate() {
         let expected = answer_text(body.prompt.chain(), Tokens(10 + at as u64));
-        assert_eq!(answers[&body.attempt].text, expected);
+        assert_eq!(outputs[&body.attempt].text, expected);
     }
     assert_eq!(engine.load_now().running, 0);
 }
@@ -96,14 +96,16 @@
 fn the_same_inputs_give_the_same_lines_at_the_same_times() {
     let run = || {
         let mut engine = Engine::new(EngineSettings {
-            event_loss: Percent::new(20).expect("a share"),
+            event_loss: Percent::new(20).expect("a percentage"),
             seed: 7,
             ..EngineSettings::default()
         });
         for n in 0..20_u64 {
             let question = user(&format!("question {n}"));
             let body = body(u128::from(n), &[question], 5 + n);
-            engine.submit(TimeUs(n * 700), body).expect("up");
+            engine
+                .submit(TimeUs(n * 700), body)
+                .expect("the engine is available");
         }
         (drain(&mut engine), engine.cache_events(TimeUs(u64::MAX), 0))
     };
@@ -111,13 +113,13 @@
 }
 
 #[test]
-fn the_next_turn_reuses_prompt_and_answer() {
+fn the_next_turn_reuses_the_cached_prompt_and_output() {
     let mut engine = Engine::new(EngineSettings::default());
     let mut messages = vec![long("be kind ", 400), user("one")];
     engine
         .submit(TimeUs(0), body(1, &messages, 30))
-        .expect("up");
-    let first = drain(&mut engine).remove(&AttemptId(1)).expect("an answer");
+        .expect("the engine is available");
+    let first = drain(&mut engine).remove(&AttemptId(1)).expect("an output");
     assert_eq!(first.usage.cached_tokens, Tokens(0));
 
     messages.push(ChatMessage::new("assistant", &first.text));
@@ -125,25 +127,29 @@
     messages.push(user("two"));
     engine
         .submit(first.ended_us, body(2, &messages, 30))
-        .expect("up");
-    let second = drain(&mut engine).remove(&AttemptId(2)).expect("an answer");
+        .expect("the engine is available");
+    let second = drain(&mut engine).remove(&AttemptId(2)).expect("an output");
     assert_eq!(second.usage.cached_tokens, reusable);
-    let spent = |answer: &Answer, from: TimeUs| answer.ended_us.since(from).0;
-    assert!(spent(&second, first.ended_us) < spent(&first, TimeUs(0)));
+    let elapsed_us = |output: &Output, from: TimeUs| output.ended_us.since(from).0;
+    assert!(elapsed_us(&second, first.ended_us) < elapsed_us(&first, TimeUs(0)));
 }
 
 #[test]
-fn a_larger_batch_makes_each_step_longer_but_the_whole_shorter() {
+fn a_larger_batch_has_longer_steps_and_higher_throughput() {
     let ends = |count: u128| {
         let mut engine = Engine::new(EngineSettings::default());
         for n in 0..count {
             let question = user(&format!("question {n}"));
             engine
                 .submit(TimeUs(0), body(n, &[question], 100))
-                .expect("up");
+                .expect("the engine is available");
         }
-        let answers = drain(&mut engine);
-        answers.values().map(|a| a.ended_us.0).max().expect("some")
+        let outputs = drain(&mut engine);
+        outputs
+            .values()
+            .map(|a| a.ended_us.0)
+            .max()
+            .expect("at least one output")
     };
     let (one, sixteen) = (ends(1), ends(16));
     assert!(one < sixteen, "{one} {sixteen}");
@@ -151,7 +157,7 @@
 }
 
 #[test]
-fn the_least_recently_used_prefix_makes_room_and_a_used_one_stays() {
+fn the_least_recently_used_prefix_is_evicted() {
     let mut engine = Engine::new(EngineSettings {
         cache_size_tokens: Tokens(900),
         ..EngineSettings::default()
@@ -159,30 +165,35 @@
     let prompts = ["aaaa", "bbbb", "cccc"].map(|text| [long(text, 300)]);
     for (n, prompt) in prompts.iter().enumerate() {
         let at = TimeUs(n as u64 * 10_000_000);
-        engine.submit(at, body(n as u128, prompt, 20)).expect("up");
+        engine
+            .submit(at, body(n as u128, prompt, 20))
+            .expect("the engine is available");
         drain(&mut engine);
     }
     assert!(engine.load_now().cache_used_tokens <= Tokens(900));
-    let kept = |n: usize| {
+    let is_cached = |n: usize| {
         let chain = Prompt::of_messages(&prompts[n]).chain();
         !engine.export(chain).segments.is_empty()
     };
-    assert_eq!([kept(0), kept(1), kept(2)], [false, true, true]);
+    assert_eq!(
+        [is_cached(0), is_cached(1), is_cached(2)],
+        [false, true, true]
+    );
 }
 
 #[test]
-fn a_release_frees_all_but_what_others_share() {
+fn a_release_frees_all_but_shared_segments() {
     let mut engine = Engine::new(EngineSettings::default());
     let shared = long("be kind ", 100);
     for n in 0..2_u128 {
         let messages = [shared.clone(), user(&format!("question {n}"))];
         engine
             .submit(TimeUs(0), body(n, &messages, 20))
-            .expect("up");
+            .expect("the engine is available");
     }
-    let answers = drain(&mut engine);
+    let outputs = drain(&mut engine);
     let chains = |n: u128| -> Vec<ChainHash> {
-        let cached = &answers[&AttemptId(n)].cached;
+        let cached = &outputs[&AttemptId(n)].cached;
         cached.iter().map(|segment| segment.chain).collect()
     };
     let now = TimeUs(60_000_000);
@@ -193,38 +204,40 @@
     assert_eq!(engine.load_now().cache_used_tokens, Tokens(0));
 }
 
-/// The caller sees its answer go on without a hole after a cut link. The sidecar asks again from
-/// the position it has; the engine sends what was generated since, then the rest as it comes.
+/// After a link failure the sidecar resumes from the position it has; the engine sends what was
+/// generated since, then the rest, without a gap.
 #[test]
-fn a_resumed_stream_goes_on_where_it_was_cut() {
+fn a_resumed_stream_continues_from_the_requested_position() {
     let mut engine = Engine::new(EngineSettings::default());
     let body = body(1, &[user("question")], 100);
     let chain = body.prompt.chain();
-    engine.submit(TimeUs(0), body).expect("up");
+    engine
+        .submit(TimeUs(0), body)
+        .expect("the engine is available");
     let before = engine.advance(TimeUs(400_000));
     assert!(!before.is_empty());
     let mut text = answer_text(chain, Tokens(2))[..7].to_owned();
-    for line in engine.resume(AttemptId(1), 7).expect("known") {
+    for line in engine.resume(AttemptId(1), 7).expect("a known attempt") {
         if let GenerateLine::Text {
             position,
-            text: more,
+            text: chunk,
             ..
         } = line
         {
             assert_eq!(position, text.len() as u64);
-            text += &more;
+            text += &chunk;
         }
     }
     while let Some(at) = engine.next_event_at() {
         for (_, line) in engine.advance(at) {
             if let GenerateLine::Text {
                 position,
-                text: more,
+                text: chunk,
                 ..
             } = line
             {
                 assert_eq!(position, text.len() as u64);
-                text += &more;
+                text += &chunk;
             }
         }
     }
@@ -240,7 +253,7 @@
 }
 
 #[test]
-fn cancelled_attempts_leave_the_batch_and_give_their_memory_back() {
+fn cancelled_attempts_leave_the_batch_and_the_queue() {
     let mut engine = Engine::new(EngineSettings {
         max_running: 2,
         ..EngineSettings::default()
@@ -249,7 +262,7 @@
         let question = user(&format!("question {n}"));
         engine
             .submit(TimeUs(0), body(n, &[question], 50))
-            .expect("up");
+            .expect("the engine is available");
     }
     engine.advance(TimeUs(100_000));
     assert_eq!(
@@ -272,10 +285,10 @@
     assert_eq!(ended, [1, 2]);
 }
 
-/// An order of a decider that was deposed arrives after its successor's. An engine that checks
-/// fencing numbers refuses it; one that does not carries it out, which is why the sidecar checks.
+/// An order of a deposed decider may arrive after one of its successor. An engine without fencing
+/// carries it out, which is why the sidecar checks the fencing number as well.
 #[test]
-fn only_engines_that_check_refuse_an_old_fencing_number() {
+fn only_engines_that_check_fencing_refuse_an_old_fencing_number() {
     let order = |id, fencing, role| OrderBody {
         id: OrderId(id),
         fencing: FencingNumber(fencing),
@@ -289,7 +302,7 @@
         let now = TimeUs(0);
         engine
             .order(now, order(1, 20, EngineRole::Decode))
-            .expect("the first");
+            .expect("the first order is accepted");
         let late = engine.order(now, order(2, 10, EngineRole::Prefill));
         engine.advance(TimeUs(1_000_000));
         if checks_fencing {
@@ -303,11 +316,11 @@
 }
 
 #[test]
-fn a_load_waits_for_the_weight_store_and_drops_the_old_versions_cache() {
+fn a_model_load_waits_for_the_weight_store_and_clears_the_cache() {
     let mut engine = Engine::new(EngineSettings::default());
     engine
         .submit(TimeUs(0), body(1, &[user("question")], 10))
-        .expect("up");
+        .expect("the engine is available");
     drain(&mut engine);
     let order = OrderBody {
         id: OrderId(1),
@@ -318,7 +331,9 @@
         },
     };
     let now = TimeUs(1_000_000);
-    engine.order(now, order.clone()).expect("new");
+    engine
+        .order(now, order.clone())
+        .expect("a new order is accepted");
     assert!(engine.weights_wanted(now).is_some());
     assert!(engine.weights_wanted(now).is_none());
     engine.weights_answer(now, Err(SpanUs(500)));
@@ -329,14 +344,16 @@
     assert_eq!(engine.state().busy, None);
     assert_eq!(engine.state().models.len(), 1);
     assert_eq!(engine.load_now().cache_used_tokens, Tokens(0));
-    let again = engine.order(TimeUs(1_000_600), order).expect("seen");
+    let again = engine
+        .order(TimeUs(1_000_600), order)
+        .expect("a repeated order is accepted");
     assert_eq!(again.busy, None);
 }
 
 #[test]
-fn events_come_late_and_a_gap_shows_in_their_numbers() {
+fn cache_events_are_delayed_and_losses_leave_gaps_in_their_numbers() {
     let mut engine = Engine::new(EngineSettings {
-        event_loss: Percent::new(30).expect("a share"),
+        event_loss: Percent::new(30).expect("a percentage"),
         seed: 3,
         ..EngineSettings::default()
     });
@@ -344,7 +361,7 @@
         let question = user(&format!("question {n}"));
         engine
             .submit(TimeUs(0), body(n, &[question], 1))
-            .expect("up");
+            .expect("the engine is available");
     }
     engine.advance(TimeUs(1));
     assert!(engine.cache_events(TimeUs(1), 0).events.is_empty());
@@ -352,25 +369,25 @@
     let late = TimeUs(3_600_000_000);
     let (mut next, mut gaps, mut stored) = (0, 0, 0);
     loop {
-        let answer = engine.cache_events(late, next);
-        if answer.events.is_empty() {
+        let page = engine.cache_events(late, next);
+        if page.events.is_empty() {
             break;
         }
-        gaps += u32::from(answer.first > next);
+        gaps += u32::from(page.first > next);
         let is_stored = |event: &&CacheEvent| matches!(event, CacheEvent::Stored(_));
-        stored += answer.events.iter().filter(is_stored).count();
-        next = answer.first + answer.events.len() as u64;
+        stored += page.events.iter().filter(is_stored).count();
+        next = page.first + page.events.len() as u64;
     }
     assert!(gaps > 0);
     assert!((1..100).contains(&stored), "{stored}");
 }
 
 #[test]
-fn a_crash_cuts_all_off_and_a_hang_only_delays() {
+fn a_crash_aborts_all_attempts_and_a_hang_delays_them() {
     let mut engine = Engine::new(EngineSettings::default());
     engine
         .submit(TimeUs(0), body(1, &[user("question")], 100))
-        .expect("up");
+        .expect("the engine is available");
     engine.advance(TimeUs(200_000));
     engine.hang(TimeUs(200_000), SpanUs::from_s(5));
     assert!(engine.advance(TimeUs(5_000_000)).is_empty());
@@ -382,21 +399,23 @@
         Err(EngineError::Down)
     );
     engine.restart(TimeUs(6_000_000));
-    engine.submit(TimeUs(6_000_000), again).expect("up");
-    let answer = drain(&mut engine).remove(&AttemptId(2)).expect("an answer");
-    assert_eq!(answer.usage.cached_tokens, Tokens(0));
-    assert!(answer.ended_us > TimeUs(6_000_000));
+    engine
+        .submit(TimeUs(6_000_000), again)
+        .expect("the engine is available");
+    let output = drain(&mut engine).remove(&AttemptId(2)).expect("an output");
+    assert_eq!(output.usage.cached_tokens, Tokens(0));
+    assert!(output.ended_us > TimeUs(6_000_000));
 }
 
 #[test]
-fn a_slower_engine_takes_longer_and_says_the_same() {
+fn a_slower_engine_takes_longer_and_generates_the_same_text() {
     let run = |speed: u8| {
         let mut engine = Engine::new(EngineSettings::default());
-        engine.set_speed(TimeUs(0), Percent::new(speed).expect("a share"));
+        engine.set_speed(TimeUs(0), Percent::new(speed).expect("a percentage"));
         engine
             .submit(TimeUs(0), body(1, &[user("question")], 100))
-            .expect("up");
-        drain(&mut engine).remove(&AttemptId(1)).expect("an answer")
+            .expect("the engine is available");
+        drain(&mut engine).remove(&AttemptId(1)).expect("an output")
     };
     let (whole, half) = (run(100), run(50));
     assert_eq!(whole.text, half.text);
--- a/standins/tests/examples.rs
+++ b/standins/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The example files are right: documents pass the same check as at `publish`.
+//! Tests that the example documents pass the same validation as at `publish`.
 
 use std::fs;
 use std::path::PathBuf;
@@ -10,20 +10,20 @@
 }
 
 #[test]
-fn the_example_documents_are_right_and_named_by_their_service() {
+fn the_example_documents_are_valid_and_named_by_their_service() {
     for service in ["agent-llm", "book-app", "agent-models", "limit-api"] {
         let path = examples().join(format!("{service}.ini"));
         let text = fs::read_to_string(&path).expect("an example");
-        let document = Document::parse(&text).expect("a right document");
+        let document = Document::parse(&text).expect("a valid document");
         assert_eq!(document.service.as_str(), service);
     }
 }
 
 #[test]
-fn the_example_documents_say_what_their_teams_decided() {
+fn the_example_documents_have_the_settings_of_their_teams() {
     let document = |service: &str| {
         let path = examples().join(format!("{service}.ini"));
-        Document::parse(&fs::read_to_string(path).expect("an example")).expect("right")
+        Document::parse(&fs::read_to_string(path).expect("an example")).expect("a valid document")
     };
     let rank = |document: &Document, class: &str| {
         let class = class.parse().expect("a name");
--- a/standins/tests/gateway.rs
+++ b/standins/tests/gateway.rs
@@ -1,4 +1,4 @@
-//! The whole path on the platform: callers, a gateway, the store and backend servers.
+//! Tests the whole request path: callers, a gateway, the store and backend servers.
 
 use std::net::TcpStream;
 use std::time::Duration;
@@ -10,59 +10,59 @@
 use standins::platform_run::{PlatformRun, config, wait_until};
 
 fn run() -> PlatformRun {
-    PlatformRun::start(1).expect("a run")
+    PlatformRun::start(1).expect("a platform run")
 }
 
-/// The events of a stream as the stand-in engine writes them.
+/// Returns the events of a stream as the stand-in engine writes them.
 fn events(id: &str, numbers: std::ops::RangeInclusive<u64>) -> String {
     let event = |number| format!("id: {number}\ndata: {}\n\n", event_data(id, number));
     numbers.map(event).collect::<Vec<_>>().concat()
 }
 
-/// All executions at both servers of a service, by request id.
-fn executed(servers: &[PlatformBackend], id: &str) -> usize {
+/// Counts the executions of a request at all of the given servers.
+fn execution_count(servers: &[PlatformBackend], id: &str) -> usize {
     let all = servers.iter().flat_map(PlatformBackend::executions);
     all.filter(|execution| execution.id == id).count()
 }
 
 #[test]
-fn a_program_runs_turns_and_tools_to_its_end() {
+fn a_program_completes_its_turns_and_tool_calls() {
     let run = run();
-    let at = run.callers(0);
+    let address = run.callers(0);
     let budget = |turn: CallerRequest| turn.with("Token-Budget", "400");
     let first = budget(CallerRequest::turn("/chat/1", "t1", "p1", "hello"));
-    let first = first.send(at).expect("an answer");
+    let first = first.send(address).expect("a response");
     assert_eq!((first.status, first.is_complete), (200, true));
     assert_eq!(first.body, events("t1", 1..=4));
     assert_eq!(first.headers["server-stamp"], "s");
 
     let tool = CallerRequest::new("GET", "/look/1", "c1")
-        .send(at)
-        .expect("an answer");
+        .send(address)
+        .expect("a response");
     assert_eq!((tool.status, &*tool.body), (200, "answer to c1"));
 
     let second = budget(CallerRequest::turn("/chat/1", "t2", "p1", " again"));
     let second = second
         .with("Previous-Turn", "t1")
-        .send(at)
-        .expect("an answer");
+        .send(address)
+        .expect("a response");
     assert_eq!(second.status, 200);
-    let ran = run.engines.iter().flat_map(PlatformBackend::executions);
-    let ran = ran
+    let executions = run.engines.iter().flat_map(PlatformBackend::executions);
+    let executions = executions
         .filter(|execution| execution.id == "t2")
         .collect::<Vec<_>>();
-    assert_eq!(ran.len(), 1);
+    assert_eq!(executions.len(), 1);
     assert_eq!(
-        body_text(&ran[0].request.body),
+        body_text(&executions[0].request.body),
         "hellot1-1\nt1-2\nt1-3\nt1-4\n again"
     );
 }
 
-/// A caller sets headers that hold or move engines' memory, and a hop-by-hop header of its own. The
-/// engine must see none of them, or any caller could take what belongs to others; it sees the
-/// caller's other headers, the server that is meant, and a deadline that has shrunk.
+/// Guards against callers that forge the headers controlling KV memory at the engines. The engine
+/// receives only the end-to-end headers of the caller, the expected instance and the remaining
+/// deadline.
 #[test]
-fn only_the_scheduler_sets_its_headers() {
+fn reserved_headers_from_callers_do_not_reach_the_engine() {
     let run = run();
     let turn = CallerRequest::turn("/draft/1", "t1", "p1", "x");
     let turn = [
@@ -79,9 +79,9 @@
         .with("Connection", "keep-alive, X-Hop")
         .with("X-Own", "kept")
         .with("Deadline-Ms", "1500");
-    assert_eq!(turn.send(run.callers(0)).expect("an answer").status, 200);
-    let ran = run.engines.iter().flat_map(PlatformBackend::executions);
-    let headers = ran.last().expect("one execution").request.headers;
+    assert_eq!(turn.send(run.callers(0)).expect("a response").status, 200);
+    let executions = run.engines.iter().flat_map(PlatformBackend::executions);
+    let headers = executions.last().expect("one execution").request.headers;
     for name in ["hold", "pin-ms", "kv-backup", "kv-from", "x-hop"] {
         assert!(!headers.contains_key(name), "{name} reached the engine");
     }
@@ -94,11 +94,14 @@
 #[test]
 fn requests_outside_the_configuration_are_refused() {
     let run = run();
-    let at = run.callers(0);
-    let status = |request: CallerRequest| request.send(at).expect("an answer").status;
+    let address = run.callers(0);
+    let status = |request: CallerRequest| request.send(address).expect("a response").status;
     assert_eq!(status(CallerRequest::new("GET", "/nowhere/1", "r1")), 404);
-    let without_id = exchange(at, b"GET /look/1 HTTP/1.1\r\nHost: host.example\r\n\r\n");
-    assert_eq!(without_id.expect("an answer").status, 400);
+    let without_id = exchange(
+        address,
+        b"GET /look/1 HTTP/1.1\r\nHost: host.example\r\n\r\n",
+    );
+    assert_eq!(without_id.expect("a response").status, 400);
     let long = CallerRequest::new("GET", "/look/1", "r2").with("X-Long", &"x".repeat(5_000));
     assert_eq!(status(long), 431);
     let mut large = CallerRequest::new("POST", "/book/1", "r3");
@@ -107,35 +110,41 @@
     let smuggled = "POST /book/1 HTTP/1.1\r\nHost: host.example\r\nRequest-Id: r4\r\n\
                     Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
     assert_eq!(
-        exchange(at, smuggled.as_bytes()).expect("an answer").status,
+        exchange(address, smuggled.as_bytes())
+            .expect("a response")
+            .status,
         400
     );
-    assert_eq!(executed(&run.plains, "r3") + executed(&run.plains, "r4"), 0);
+    assert_eq!(
+        execution_count(&run.plains, "r3") + execution_count(&run.plains, "r4"),
+        0
+    );
 }
 
-/// A caller sends half a head and then nothing. It is told 408 after the time of the configuration,
-/// so that it knows that the request has not run, and holds no connection for longer.
+/// An incomplete request head gets 408 after the configured timeout, so that it holds no connection
+/// for longer and the caller knows that it has not run.
 #[test]
-fn half_a_request_is_refused_in_time() {
+fn an_incomplete_request_times_out_with_408() {
     let run = run();
-    let answer = exchange(run.callers(0), b"GET /look/1 HTTP/1.1\r\nHost: ho").expect("an answer");
-    assert_eq!(answer.status, 408);
+    let response =
+        exchange(run.callers(0), b"GET /look/1 HTTP/1.1\r\nHost: ho").expect("a response");
+    assert_eq!(response.status, 408);
     assert!(
-        answer.took >= Duration::from_millis(300),
+        response.took >= Duration::from_millis(300),
         "{:?}",
-        answer.took
+        response.took
     );
 }
 
-/// The operator publishes a version without a route, and then an older one. Requests of the route
-/// are refused once the first is read, and the older one changes nothing: a process never goes back.
+/// A newer configuration takes effect without a restart; an older version published later is
+/// ignored.
 #[test]
-fn a_configuration_is_taken_up_and_never_goes_back() {
+fn a_newer_configuration_applies_and_an_older_one_is_ignored() {
     let run = run();
-    let at = run.callers(0);
+    let address = run.callers(0);
     let status = || {
         let request = CallerRequest::new("GET", "/look/1", "r1");
-        request.send(at).map_or(0, |answer| answer.status)
+        request.send(address).map_or(0, |response| response.status)
     };
     assert_eq!(status(), 200);
     let without = config(9).replace("/look/", "/other/");
@@ -146,12 +155,12 @@
     assert_eq!(status(), 404);
 }
 
-/// A server reports that it is leaving, another's entry can't be read. New requests go to neither;
-/// the entry that can't be read disturbs no other.
+/// A draining server and an unreadable server entry get no new requests; the unreadable entry does
+/// not affect other servers.
 #[test]
-fn a_leaving_server_gets_nothing_new() {
+fn a_draining_server_gets_no_new_requests() {
     let run = run();
-    let at = run.callers(0);
+    let address = run.callers(0);
     let leaving = run.plains[0].entry("plain", "draining");
     run.store.put("keyed.servers", "p-1", &leaving);
     run.store.put("keyed.servers", "odd", "{\"Service\":7}");
@@ -159,111 +168,111 @@
     let before = run.plains[0].executions().len();
     for number in 0..20 {
         let request = CallerRequest::new("GET", "/look/1", &format!("r{number}"));
-        assert_eq!(request.send(at).expect("an answer").status, 200);
+        assert_eq!(request.send(address).expect("a response").status, 200);
     }
     assert_eq!(run.plains[0].executions().len(), before);
 }
 
-/// A gateway is told to end while a stream runs and a caller holds an idle connection. The stream is
-/// answered whole, the process is not ready meanwhile, and it ends once nothing runs.
+/// After a termination signal the gateway reports not ready, completes the running stream and exits
+/// in spite of an idle connection.
 #[test]
-fn a_graceful_end_cuts_nothing() {
+fn a_graceful_shutdown_completes_running_streams() {
     let mut run = run();
-    let at = run.callers(0);
+    let address = run.callers(0);
     for engine in &run.engines {
         engine.configure(|settings| settings.pause = Duration::from_millis(150));
     }
-    let mut caller = TcpStream::connect(at).expect("a connection");
+    let mut caller = TcpStream::connect(address).expect("a connection");
     let turn = CallerRequest::turn("/draft/1", "t1", "p1", "x");
-    caller.write_all(&turn.bytes()).expect("sent");
-    let _idle = TcpStream::connect(at).expect("a connection");
-    wait_until(|| executed(&run.engines, "t1") == 1).expect("the turn runs");
+    caller.write_all(&turn.bytes()).expect("request sent");
+    let _idle = TcpStream::connect(address).expect("a connection");
+    wait_until(|| execution_count(&run.engines, "t1") == 1).expect("the turn runs");
     run.gateways[0].terminate();
     std::thread::sleep(Duration::from_millis(50));
     assert!(!standins::platform_run::is_ready(
         run.gateways[0].addresses.ready
     ));
-    let answer = read_answer(&mut caller).expect("an answer");
-    assert_eq!((answer.status, answer.is_complete), (200, true));
-    assert_eq!(answer.body, events("t1", 1..=4));
-    wait_until(|| run.gateways[0].has_ended()).expect("the end");
+    let response = read_answer(&mut caller).expect("a response");
+    assert_eq!((response.status, response.is_complete), (200, true));
+    assert_eq!(response.body, events("t1", 1..=4));
+    wait_until(|| run.gateways[0].has_ended()).expect("the process exits");
 }
 
-/// A gateway was told to end and takes callers until its notice is over; just then a request arrives,
-/// half of it before and half of it after. It is answered whole, though nothing else ran in between.
+/// A request that straddles the end of the notice period gets a complete response, although nothing
+/// else is in flight.
 #[test]
 fn a_request_that_arrives_as_the_notice_ends_is_answered() {
     let mut run = run();
-    let at = run.callers(0);
+    let address = run.callers(0);
     let lookup = CallerRequest::new("GET", "/look/1", "r1").bytes();
     let (first, rest) = lookup.split_at(lookup.len() / 2);
-    let mut caller = TcpStream::connect(at).expect("a connection");
+    let mut caller = TcpStream::connect(address).expect("a connection");
     run.gateways[0].terminate();
-    // The notice takes 300 ms.
+    // The notice period is 300 ms.
     std::thread::sleep(Duration::from_millis(250));
-    caller.write_all(first).expect("sent");
+    caller.write_all(first).expect("request sent");
     std::thread::sleep(Duration::from_millis(200));
-    caller.write_all(rest).expect("sent");
-    let answer = read_answer(&mut caller).expect("an answer");
-    assert_eq!((answer.status, answer.is_complete), (200, true));
-    wait_until(|| run.gateways[0].has_ended()).expect("the end");
+    caller.write_all(rest).expect("request sent");
+    let response = read_answer(&mut caller).expect("a response");
+    assert_eq!((response.status, response.is_complete), (200, true));
+    wait_until(|| run.gateways[0].has_ended()).expect("the process exits");
 }
 
-/// A plain server refuses a booking as not run; the gateway offers it to the other one. With both
-/// refusing, the caller is told 503 with the time to come back, and nothing has run.
+/// A request that one server refuses as not run is sent to the other. With both refusing, the
+/// caller gets 503 with `Retry-After` and nothing has run.
 #[test]
-fn a_refusal_that_says_not_run_is_true() {
+fn a_503_with_retry_after_means_the_request_has_not_run() {
     let run = run();
-    let at = run.callers(0);
+    let address = run.callers(0);
     run.plains[0].spoil(BackendFault::Refuse);
     run.plains[1].spoil(BackendFault::Refuse);
     let request = CallerRequest::new("POST", "/book/1", "r1");
-    let answer = request.send(at).expect("an answer");
-    assert_eq!(answer.status, 503);
-    assert!(answer.headers.contains_key("retry-after"));
-    assert_eq!(executed(&run.plains, "r1"), 0);
+    let response = request.send(address).expect("a response");
+    assert_eq!(response.status, 503);
+    assert!(response.headers.contains_key("retry-after"));
+    assert_eq!(execution_count(&run.plains, "r1"), 0);
     let request = CallerRequest::new("POST", "/book/1", "r2");
-    assert_eq!(request.send(at).expect("an answer").status, 200);
-    assert_eq!(executed(&run.plains, "r2"), 1);
+    assert_eq!(request.send(address).expect("a response").status, 200);
+    assert_eq!(execution_count(&run.plains, "r2"), 1);
 }
 
-/// A plain server runs a booking and closes without an answer. Sent again, it could run twice; so
-/// the caller is told 502, which promises nothing, and no other server gets it.
+/// A connection closed before the response leaves open whether the booking ran. It is not sent
+/// again, since it could run twice; the caller gets 502.
 #[test]
-fn a_booking_is_never_sent_twice() {
+fn a_booking_is_not_retried_after_a_lost_response() {
     let run = run();
     for plain in &run.plains {
         plain.spoil(BackendFault::LoseAnswer);
     }
     let request = CallerRequest::new("POST", "/book/1", "r1");
-    let answer = request.send(run.callers(0)).expect("an answer");
-    assert_eq!(answer.status, 502);
-    assert_eq!(executed(&run.plains, "r1"), 1);
+    let response = request.send(run.callers(0)).expect("a response");
+    assert_eq!(response.status, 502);
+    assert_eq!(execution_count(&run.plains, "r1"), 1);
 }
 
-/// A booking's server says nothing. The caller gets 504 at the route's timeout, and not 503: the
-/// booking may have run.
+/// A booking without a response gets 504 at the route's timeout rather than 503, since it may have
+/// run.
 #[test]
-fn a_silent_booking_ends_at_the_timeout_without_a_promise() {
+fn a_booking_without_a_response_gets_504_at_the_timeout() {
     let run = run();
     for plain in &run.plains {
         plain.spoil(BackendFault::Silence);
     }
     let request = CallerRequest::new("POST", "/book/1", "r1");
-    let answer = request.send(run.callers(0)).expect("an answer");
-    assert_eq!(answer.status, 504);
+    let response = request.send(run.callers(0)).expect("a response");
+    assert_eq!(response.status, 504);
     assert!(
-        answer.took >= Duration::from_millis(900),
+        response.took >= Duration::from_millis(900),
         "{:?}",
-        answer.took
+        response.took
     );
-    assert_eq!(executed(&run.plains, "r1"), 1);
+    assert_eq!(execution_count(&run.plains, "r1"), 1);
 }
 
-/// Answers to lookups are lost, cut short, bear another id or have no length. Each caller gets the
-/// whole answer to its own request, from the other server where the first one failed.
+/// Lookups whose response is lost, truncated, unframed or has the wrong request id are retried at
+/// the other server, and each caller gets the complete response to its own request.
 #[test]
-fn a_lookup_survives_bad_answers() {
+fn a_lookup_survives_bad_responses() {
     let run = run();
     let faults = [
         BackendFault::LoseAnswer,
@@ -276,44 +285,43 @@
     for fault in faults {
         run.plains[0].spoil(fault);
         let mut number = 0;
-        // A server that failed is passed over for a while, so that it may take some lookups until
-        // the next fault is met.
+        // A server that failed is skipped for a while, so the next fault may take several lookups.
         while run.plains[0].has_faults() {
             let id = format!("{fault:?}-{number}");
             let request = CallerRequest::new("GET", "/look/1", &id);
-            let answer = request.send(run.callers(0)).expect("an answer");
+            let response = request.send(run.callers(0)).expect("a response");
             let expected = format!("answer to {id}");
-            assert_eq!((answer.status, answer.body), (200, expected));
+            assert_eq!((response.status, response.body), (200, expected));
             number += 1;
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 }
 
-/// A second answer follows the first on a kept connection. If it stayed there, the next request
-/// would get it; so the connection is given up and the next caller gets its own answer.
+/// Guards against a surplus response on a reused connection being delivered to the next request:
+/// the connection is closed instead.
 #[test]
-fn an_extra_answer_reaches_nobody() {
+fn a_surplus_response_is_not_delivered() {
     let run = run();
-    let at = run.callers(0);
+    let address = run.callers(0);
     for number in 0..12 {
         run.plains[number % 2].spoil(BackendFault::ExtraAnswer);
     }
     for number in 0..24 {
         let id = format!("r{number}");
-        let answer = CallerRequest::new("POST", "/book/1", &id).send(at);
-        let answer = answer.expect("an answer");
-        assert_eq!(answer.body, format!("answer to {id}"));
+        let response = CallerRequest::new("POST", "/book/1", &id).send(address);
+        let response = response.expect("a response");
+        assert_eq!(response.body, format!("answer to {id}"));
     }
 }
 
-/// A second answer comes some ms after the first, when the next request is on its way on the same
-/// connection. It names another request, so that nobody gets it; the booking that met it may have
-/// run, is not sent again, and its caller is told so.
+/// A surplus response may arrive while the next request is under way on the same connection. It has
+/// another request id and is not delivered; the booking that met it may have run, so it gets 502
+/// and is not retried.
 #[test]
-fn a_late_extra_answer_reaches_nobody() {
+fn a_late_surplus_response_is_not_delivered() {
     let run = run();
-    let at = run.callers(0);
+    let address = run.callers(0);
     for number in 0..12 {
         let pause = Duration::from_millis(1 + number % 4);
         let plain = usize::from(number % 2 == 1);
@@ -321,71 +329,75 @@
     }
     for number in 0..24 {
         let id = format!("r{number}");
-        let answer = CallerRequest::new("POST", "/book/1", &id).send(at);
-        let answer = answer.expect("an answer");
-        match answer.status {
-            200 => assert_eq!(answer.body, format!("answer to {id}")),
+        let response = CallerRequest::new("POST", "/book/1", &id).send(address);
+        let response = response.expect("a response");
+        match response.status {
+            200 => assert_eq!(response.body, format!("answer to {id}")),
             status => {
-                assert_eq!(status, 502, "{}", answer.body);
+                assert_eq!(status, 502, "{}", response.body);
                 assert!(
-                    !answer.headers.contains_key("retry-after"),
+                    !response.headers.contains_key("retry-after"),
                     "it may have run"
                 );
             }
         }
-        assert!(executed(&run.plains, &id) <= 1, "{id} ran more than once");
+        assert!(
+            execution_count(&run.plains, &id) <= 1,
+            "{id} ran more than once"
+        );
     }
 }
 
-/// An engine breaks off in the middle of an event, another falls silent. A stream that may be
-/// resumed goes on at the other engine: the caller gets each event once, in order, in one answer.
+/// When an engine closes its connection or falls silent mid-stream, a resumable stream continues at
+/// the other engine: the caller gets each event once, in order, in one response.
 #[test]
-fn a_resumable_stream_goes_on_elsewhere() {
+fn a_resumable_stream_continues_at_another_engine() {
     let run = run();
-    let at = run.callers(0);
+    let address = run.callers(0);
     for (id, fault) in [
         ("t1", BackendFault::CutAfter(2)),
         ("t2", BackendFault::SilentAfter(1)),
     ] {
         let probe = CallerRequest::turn("/draft/1", &format!("{id}-first"), id, "x");
-        probe.send(at).expect("an answer");
+        probe.send(address).expect("a response");
         let holder = run.engines.iter().position(|engine| {
-            let ran = engine.executions();
-            ran.iter()
+            let executions = engine.executions();
+            executions
+                .iter()
                 .any(|execution| execution.id == format!("{id}-first"))
         });
         run.engines[holder.expect("an engine")].spoil(fault);
-        let answer = CallerRequest::turn("/draft/1", id, id, "x").send(at);
-        let answer = answer.expect("an answer");
+        let response = CallerRequest::turn("/draft/1", id, id, "x").send(address);
+        let response = response.expect("a response");
         assert_eq!(
-            (answer.status, answer.is_complete),
+            (response.status, response.is_complete),
             (200, true),
             "{fault:?}"
         );
-        assert_eq!(answer.body, events(id, 1..=4), "{fault:?}");
-        assert_eq!(executed(&run.engines, id), 2, "{fault:?}");
+        assert_eq!(response.body, events(id, 1..=4), "{fault:?}");
+        assert_eq!(execution_count(&run.engines, id), 2, "{fault:?}");
     }
 }
 
-/// The engine of a stream that may not be resumed breaks off. The caller's answer ends early and
-/// must not look complete, and no engine gets the turn again.
+/// When the engine closes a stream that is not resumable, the response must be visibly incomplete
+/// and the turn is not sent again.
 #[test]
-fn another_stream_ends_early_and_does_not_look_complete() {
+fn a_non_resumable_stream_ends_visibly_incomplete() {
     let run = run();
     for engine in &run.engines {
         engine.spoil(BackendFault::CutAfter(2));
     }
     let turn = CallerRequest::turn("/chat/1", "t1", "p1", "x");
-    let answer = turn.send(run.callers(0)).expect("an answer");
-    assert_eq!((answer.status, answer.is_complete), (200, false));
-    assert_eq!(answer.body, events("t1", 1..=2));
-    assert_eq!(executed(&run.engines, "t1"), 1);
+    let response = turn.send(run.callers(0)).expect("a response");
+    assert_eq!((response.status, response.is_complete), (200, false));
+    assert_eq!(response.body, events("t1", 1..=2));
+    assert_eq!(execution_count(&run.engines, "t1"), 1);
 }
 
-/// A caller leaves in the middle of its stream. The gateway closes the engine's connection, so that
-/// the engine stops; the server's place is free again at once.
+/// When a caller disconnects mid-stream, the gateway closes the connection to the engine and the
+/// request no longer counts as in flight.
 #[test]
-fn a_caller_that_leaves_stops_its_engine() {
+fn a_caller_disconnect_closes_the_engine_connection() {
     let run = run();
     for engine in &run.engines {
         engine.configure(|settings| {
@@ -395,33 +407,35 @@
     }
     let mut caller = TcpStream::connect(run.callers(0)).expect("a connection");
     let turn = CallerRequest::turn("/draft/1", "t1", "p1", "x");
-    caller.write_all(&turn.bytes()).expect("sent");
+    caller.write_all(&turn.bytes()).expect("request sent");
     let state = || {
         let metrics = run.gateways[0].addresses.metrics.expect("an address");
         let request = b"GET /state HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n";
         exchange(metrics, request)
-            .map(|answer| answer.body)
+            .map(|response| response.body)
             .unwrap_or_default()
     };
     wait_until(|| state().contains("\"in_flight\":1")).expect("the turn runs");
     drop(caller);
-    wait_until(|| !state().contains("\"in_flight\":1")).expect("the place is free");
+    wait_until(|| !state().contains("\"in_flight\":1")).expect("the connection slot is released");
 }
 
-/// A server answers its checks and says nothing to requests. Each lookup that meets it waits for the
-/// patience of its route and then goes elsewhere; after a few, the server is passed over for a while,
-/// so that most lookups do not wait at all.
+/// A server that passes health checks but does not respond to requests is skipped after a few
+/// timeouts, so that most lookups do not wait for it.
 #[test]
-fn a_silent_server_is_passed_over() {
+fn an_unresponsive_server_is_skipped() {
     let run = run();
     for _ in 0..100 {
         run.plains[0].spoil(BackendFault::Silence);
     }
     for number in 0..100 {
         let request = CallerRequest::new("GET", "/look/1", &format!("r{number}"));
-        let answer = request.send(run.callers(0)).expect("an answer");
-        assert_eq!(answer.status, 200);
+        let response = request.send(run.callers(0)).expect("a response");
+        assert_eq!(response.status, 200);
     }
     let silent = run.plains[0].executions().len();
-    assert!((1..=10).contains(&silent), "{silent} of 100 lookups waited");
+    assert!(
+        (1..=10).contains(&silent),
+        "{silent} of 100 lookups reached the silent server"
+    );
 }
--- a/standins/tests/gateway_bounds.rs
+++ b/standins/tests/gateway_bounds.rs
@@ -1,4 +1,4 @@
-//! What a gateway bounds: old records, held bodies, repeated requests, connections to a server.
+//! Tests the limits of a gateway: record retention, buffered bodies, retries, server connections.
 
 use std::thread;
 use std::time::Duration;
@@ -16,11 +16,11 @@
     bytes
 }
 
-/// A turn and a program ended long ago, and the process that wrote them is gone. Another one drops
-/// their records, or the store would fill up for good; those of a recent turn stay.
+/// Expired records of a process that is gone are deleted by another one, so that the store does not
+/// fill up; recent records stay.
 #[test]
-fn records_of_the_past_are_dropped() {
-    let mut run = PlatformRun::start(0).expect("a run");
+fn expired_records_are_deleted() {
+    let mut run = PlatformRun::start(0).expect("a platform run");
     let old_turn = TurnRecord {
         parent: None,
         server: None,
@@ -55,23 +55,24 @@
     });
     added.expect("a gateway");
     let turn = CallerRequest::turn("/chat/1", "t1", "p1", "x").with("Token-Budget", "400");
-    assert_eq!(turn.send(run.callers(0)).expect("an answer").status, 200);
-    wait_until(|| run.store.keys("keyed.turns") == ["t1"]).expect("the old turn is dropped");
+    assert_eq!(turn.send(run.callers(0)).expect("a response").status, 200);
+    wait_until(|| run.store.keys("keyed.turns") == ["t1"]).expect("the old turn is deleted");
     let is_old = |key: &String| key.starts_with("old/");
-    wait_until(|| !run.store.keys("keyed.budgets").iter().any(is_old)).expect("the slice too");
+    wait_until(|| !run.store.keys("keyed.budgets").iter().any(is_old))
+        .expect("the old slice is deleted");
     let is_slice = |key: &String| key.starts_with("p1/");
     let slices = run.store.keys("keyed.budgets");
     assert_eq!(slices.into_iter().filter(is_slice).count(), 1);
 }
 
-/// Callers send large bodies while a server does not answer. Beyond the limit a request is told to
-/// come back and is not run; the process's memory stays bounded. Once there is room, it is served.
+/// Buffered request bodies are bounded: a request beyond the limit gets 503 with `Retry-After` and
+/// is not run; it is served once the buffer has room.
 #[test]
-fn bodies_beyond_the_limit_are_refused_and_not_run() {
-    let mut run = PlatformRun::start(0).expect("a run");
+fn bodies_beyond_the_buffer_limit_are_refused_and_not_run() {
+    let mut run = PlatformRun::start(0).expect("a platform run");
     let added = run.add_gateway_with(|settings| settings.body_limit_bytes = 50_000);
     added.expect("a gateway");
-    let at = run.callers(0);
+    let address = run.callers(0);
     for plain in &run.plains {
         plain.spoil(BackendFault::Silence);
     }
@@ -80,29 +81,29 @@
         ..CallerRequest::new("POST", "/book/1", id)
     };
     let first = booking("r1");
-    let held = thread::spawn(move || first.send(at).expect("an answer").status);
-    let ran = || {
+    let held = thread::spawn(move || first.send(address).expect("a response").status);
+    let executions = || {
         run.plains
             .iter()
             .flat_map(PlatformBackend::executions)
             .count()
     };
-    wait_until(|| ran() == 1).expect("the first is held");
-    let refused = booking("r2").send(at).expect("an answer");
+    wait_until(|| executions() == 1).expect("the first request is buffered");
+    let refused = booking("r2").send(address).expect("a response");
     assert_eq!(refused.status, 503);
     assert!(refused.headers.contains_key("retry-after"));
-    assert_eq!(ran(), 1);
-    assert_eq!(held.join().expect("an answer"), 504);
-    let status = || booking("r3").send(at).expect("an answer").status;
-    wait_until(|| status() == 200).expect("room again");
+    assert_eq!(executions(), 1);
+    assert_eq!(held.join().expect("a response"), 504);
+    let status = || booking("r3").send(address).expect("a response").status;
+    wait_until(|| status() == 200).expect("the body buffer has room again");
 }
 
-/// A service fails as a whole: no lookup gets an answer. Each could be sent to two servers, which
-/// would double the load just then; only one in five is, beyond the first few.
+/// During an outage of a whole service, retries would double its load; beyond an initial allowance
+/// only one lookup in five is retried.
 #[test]
-fn an_outage_of_a_service_is_not_answered_with_a_storm() {
+fn retries_are_limited_during_an_outage_of_a_service() {
     const LOOKUPS: usize = 100;
-    let run = PlatformRun::start(1).expect("a run");
+    let run = PlatformRun::start(1).expect("a platform run");
     for plain in &run.plains {
         for _ in 0..2 * LOOKUPS {
             plain.spoil(BackendFault::LoseAnswer);
@@ -110,23 +111,29 @@
     }
     for number in 0..LOOKUPS {
         let request = CallerRequest::new("GET", "/look/1", &format!("r{number}"));
-        assert_eq!(request.send(run.callers(0)).expect("an answer").status, 502);
+        assert_eq!(
+            request.send(run.callers(0)).expect("a response").status,
+            502
+        );
     }
-    let ran = run
+    let executions = run
         .plains
         .iter()
         .flat_map(PlatformBackend::executions)
         .count();
-    assert!(ran >= LOOKUPS, "{ran} executions");
-    assert!(ran <= LOOKUPS + 10 + LOOKUPS / 5, "{ran} executions");
+    assert!(executions >= LOOKUPS, "{executions} executions");
+    assert!(
+        executions <= LOOKUPS + 10 + LOOKUPS / 5,
+        "{executions} executions"
+    );
 }
 
-/// A server accepts two connections of all processes together. With six bookings at once, each of
-/// two servers gets two; the rest are told to come back instead of being reset by the server.
+/// A server accepts two connections in total. Of six concurrent bookings each of two servers gets
+/// two; the rest get 503 instead of a connection reset by the server.
 #[test]
 fn a_server_gets_no_more_connections_than_it_accepts() {
-    let run = PlatformRun::start(1).expect("a run");
-    let at = run.callers(0);
+    let run = PlatformRun::start(1).expect("a platform run");
+    let address = run.callers(0);
     run.store.put(
         "keyed.op",
         "config",
@@ -139,7 +146,7 @@
     let callers: Vec<_> = (0..6)
         .map(|number| {
             let request = CallerRequest::new("POST", "/book/1", &format!("r{number}"));
-            thread::spawn(move || request.send(at).expect("an answer").status)
+            thread::spawn(move || request.send(address).expect("a response").status)
         })
         .collect();
     let mut statuses: Vec<u16> = callers
--- a/standins/tests/gateway_ledger.rs
+++ b/standins/tests/gateway_ledger.rs
@@ -1,4 +1,4 @@
-//! Budgets and turns in the store, through losses of gateways and troubles of the store.
+//! Tests that budgets and turns in the store survive the loss of gateways and faults of the store.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 use standins::platform_store::{AppendFault, StoreMode};
 
 fn run(gateways: usize) -> PlatformRun {
-    PlatformRun::start(gateways).expect("a run")
+    PlatformRun::start(gateways).expect("a platform run")
 }
 
-/// Sends a turn of a program with a budget of 400 tokens; a turn has 40 and names 50 at most.
+/// Sends a turn of a program with a budget of 400 tokens; a turn uses 40 and names a limit of 50.
 fn turn(
     run: &PlatformRun,
     gateway: usize,
@@ -24,22 +24,23 @@
         Some(previous) => turn.with("Previous-Turn", previous),
         None => turn,
     };
-    turn.send(run.callers(gateway)).expect("an answer")
+    turn.send(run.callers(gateway)).expect("a response")
 }
 
-/// The prompt that the engines got for a turn.
+/// Returns the prompt that the engines got for a turn, or an empty text if it has not run.
 fn prompt(run: &PlatformRun, id: &str) -> String {
-    let ran = run.engines.iter().flat_map(PlatformBackend::executions);
-    let ran = ran.filter(|execution| execution.id == id);
-    ran.map(|execution| body_text(&execution.request.body))
+    let executions = run.engines.iter().flat_map(PlatformBackend::executions);
+    let executions = executions.filter(|execution| execution.id == id);
+    executions
+        .map(|execution| body_text(&execution.request.body))
         .next()
         .unwrap_or_default()
 }
 
-/// A turn ends at one gateway, which is then lost with all that it held. The next turn comes to
-/// another one, which reads the chain from the store and gives the engine the same prompt.
+/// After the loss of a gateway, another one reads the turn chain from the store and gives the
+/// engine the same prompt.
 #[test]
-fn a_chain_survives_the_loss_of_its_gateway() {
+fn a_turn_chain_survives_the_loss_of_its_gateway() {
     let mut run = run(2);
     assert_eq!(turn(&run, 0, "/chat/1", "t1", None).status, 200);
     assert_eq!(turn(&run, 0, "/chat/1", "t2", Some("t1")).status, 200);
@@ -52,10 +53,10 @@
     );
 }
 
-/// A program goes on through two gateways until its budget is spent. It never gets more than the
-/// budget and one turn, whichever gateway it asks, and 402 says that the turn has not run.
+/// All gateways together exceed a budget by at most one turn, and a turn refused with 402 has not
+/// run.
 #[test]
-fn a_budget_holds_over_all_gateways() {
+fn a_budget_holds_across_all_gateways() {
     let run = run(2);
     let mut served = 0;
     let mut refused = 0;
@@ -70,15 +71,15 @@
             status => panic!("status {status}"),
         }
     }
-    assert!(refused > 0, "the budget was never spent");
+    assert!(refused > 0, "the budget was never exhausted");
     assert!(served * 40 <= 400 + 50, "{served} turns of 40 tokens");
     assert!(served * 40 >= 300, "only {served} turns of 40 tokens");
 }
 
-/// All gateways are lost at once. What was spent before counts on: a program that was stopped comes
-/// back and is stopped again.
+/// Usage outlives all gateways: a program with an exhausted budget is refused after a restart as
+/// well.
 #[test]
-fn a_spent_budget_stays_spent() {
+fn an_exhausted_budget_stays_exhausted_after_a_restart() {
     let mut run = run(1);
     let mut number = 0;
     while turn(&run, 0, "/draft/1", &format!("t{number}"), None).status == 200 {
@@ -89,38 +90,37 @@
     assert_eq!(turn(&run, 0, "/draft/1", "late", None).status, 402);
 }
 
-/// A turn that never was is refused with 404. While the store does not answer, nobody can know
-/// whether it was, and the answer is 503.
+/// An unknown previous turn gets 404. While the store is unavailable, its existence is undecided
+/// and the response is 503.
 #[test]
-fn an_unknown_turn_is_only_denied_when_that_is_certain() {
+fn an_unknown_turn_gets_404_only_while_the_store_is_available() {
     let run = run(1);
     assert_eq!(turn(&run, 0, "/chat/1", "t1", Some("never")).status, 404);
     run.doors[0].set_mode(StoreMode::Busy);
-    let answer = turn(&run, 0, "/chat/1", "t2", Some("never"));
-    assert_eq!(answer.status, 503);
-    assert!(answer.headers.contains_key("retry-after"));
+    let response = turn(&run, 0, "/chat/1", "t2", Some("never"));
+    assert_eq!(response.status, 503);
+    assert!(response.headers.contains_key("retry-after"));
 }
 
-/// The store does not answer while a turn ends. The caller gets all events and no end: an end would
-/// promise that a later turn can continue from this one. Once the store answers, the turn that the
-/// caller sends again goes through.
+/// A complete response promises that a later turn can continue from this one. While the store is
+/// unavailable, the caller gets all events but no end; the turn succeeds when sent again later.
 #[test]
 fn the_end_of_a_turn_waits_for_its_record() {
     let run = run(1);
     assert_eq!(turn(&run, 0, "/chat/1", "t1", None).status, 200);
     run.doors[0].set_mode(StoreMode::Silent);
-    let answer = turn(&run, 0, "/chat/1", "t2", Some("t1"));
-    assert_eq!((answer.status, answer.is_complete), (200, false));
-    assert_eq!(answer.body.matches("data:").count(), 4);
+    let response = turn(&run, 0, "/chat/1", "t2", Some("t1"));
+    assert_eq!((response.status, response.is_complete), (200, false));
+    assert_eq!(response.body.matches("data:").count(), 4);
     run.doors[0].set_mode(StoreMode::Serving);
-    let answer = turn(&run, 0, "/chat/1", "t3", Some("t1"));
-    assert_eq!((answer.status, answer.is_complete), (200, true));
+    let response = turn(&run, 0, "/chat/1", "t3", Some("t1"));
+    assert_eq!((response.status, response.is_complete), (200, true));
 }
 
-/// The store does an append and loses the answer, or does it only seconds later. The gateway makes
-/// the call again; the slice is there once, the turn's record is the same, and nothing is refused.
+/// An append whose response is lost, or which is applied only seconds later, is repeated without a
+/// duplicate: there is one slice and no turn is refused.
 #[test]
-fn a_lost_answer_of_the_store_changes_nothing() {
+fn a_repeated_append_is_idempotent() {
     let run = run(1);
     for fault in [
         AppendFault::LoseAnswer,
@@ -135,23 +135,27 @@
     assert_eq!(slices, 1, "one slice of 100 tokens holds both turns");
 }
 
-/// The store turns one gateway away and serves the other. The first makes its calls through the
-/// second, so that its callers notice nothing; without that, each turn there would be refused.
+/// A gateway that cannot reach the store makes its calls through a peer; otherwise all of its turns
+/// would be refused.
 #[test]
-fn a_peer_reaches_the_store_for_a_gateway_that_does_not() {
+fn a_peer_relays_calls_to_an_unreachable_store() {
     let run = run(2);
     for mode in [StoreMode::Busy, StoreMode::Reset, StoreMode::Silent] {
         run.doors[1].set_mode(mode);
         let id = format!("t-{mode:?}");
-        let answer = turn(&run, 1, "/chat/1", &id, None);
-        assert_eq!((answer.status, answer.is_complete), (200, true), "{mode:?}");
+        let response = turn(&run, 1, "/chat/1", &id, None);
+        assert_eq!(
+            (response.status, response.is_complete),
+            (200, true),
+            "{mode:?}"
+        );
     }
 }
 
-/// The store drops its history, so that what another gateway wrote can't be read on from an offset.
-/// The newest record of each key is still there: budgets count on and chains are found.
+/// When the store truncates its history, reading from an offset fails, but the newest record of
+/// each key remains: budgets and turn chains are still found.
 #[test]
-fn a_store_that_forgets_its_history_loses_no_turn() {
+fn truncated_history_of_the_store_loses_no_turn() {
     let run = run(2);
     run.store.set_page_items(1);
     assert_eq!(turn(&run, 0, "/chat/1", "t1", None).status, 200);
@@ -162,14 +166,14 @@
     assert_eq!(slices, 2, "a slice of each gateway");
 }
 
-/// A turn's input is longer than a record of the store may be. It is kept in parts, and another
-/// gateway puts it together again.
+/// A turn larger than the record limit of the store is split into parts, which another gateway
+/// reassembles.
 #[test]
-fn a_long_turn_is_kept_in_parts() {
+fn a_large_turn_is_stored_in_parts() {
     let run = run(2);
     let input = "y".repeat(90_000);
     let long = CallerRequest::turn("/chat/1", "t1", "p1", &input);
-    assert_eq!(long.send(run.callers(0)).expect("an answer").status, 200);
+    assert_eq!(long.send(run.callers(0)).expect("a response").status, 200);
     assert_eq!(turn(&run, 1, "/chat/1", "t2", Some("t1")).status, 200);
     assert!(prompt(&run, "t2").starts_with(&input));
     assert!(
@@ -178,22 +182,21 @@
     );
 }
 
-/// The store is slow. Turns take longer and none is refused.
 #[test]
-fn a_slow_store_refuses_nothing() {
+fn a_slow_store_causes_no_refusals() {
     let run = run(1);
     run.store.set_delay(Duration::from_millis(120));
     for number in 0..4 {
         let id = format!("t{number}");
-        let answer = turn(&run, 0, "/chat/1", &id, None);
-        assert_eq!((answer.status, answer.is_complete), (200, true));
+        let response = turn(&run, 0, "/chat/1", &id, None);
+        assert_eq!((response.status, response.is_complete), (200, true));
     }
 }
 
-/// A program's turns come to one gateway and then to another, while the first holds most of the
-/// budget unused. The second borrows it; the program is refused only when its budget is spent.
+/// A gateway borrows the unused budget that another holds; the program is refused only when its
+/// budget is exhausted.
 #[test]
-fn a_gateway_borrows_what_another_does_not_need() {
+fn a_gateway_borrows_unused_budget_from_another() {
     let run = run(2);
     assert_eq!(turn(&run, 0, "/draft/1", "first", None).status, 200);
     let mut served = 1;
@@ -206,8 +209,8 @@
     );
 }
 
-/// The store falls silent for all while a program is under way, and its next turn comes to a gateway
-/// that holds nothing of it. That gateway borrows from the one that does, and the turn is served.
+/// While the store is unavailable, a gateway without a slice of the program borrows from the one
+/// that has it, and the turn is served.
 #[test]
 fn a_program_goes_on_elsewhere_while_the_store_is_away() {
     let run = run(2);
@@ -217,6 +220,6 @@
     }
     let is_served =
         |number: u32| turn(&run, 1, "/draft/1", &format!("u{number}"), None).status == 200;
-    // The first tries find out that the store is away.
+    // The first attempts detect that the store is unavailable.
     assert!((0..4).any(is_served), "no turn was served");
 }
--- a/standins/tests/gateway_lists.rs
+++ b/standins/tests/gateway_lists.rs
@@ -1,4 +1,4 @@
-//! How gateways follow the configuration and the servers in the store.
+//! Tests how gateways follow the configuration and the server list in the store.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread::sleep;
@@ -8,38 +8,41 @@
 use standins::platform_run::{PlatformRun, config, is_ready, wait_until};
 use standins::platform_store::StoreMode;
 
-/// A configuration whose route `/look/` has another path.
+/// Returns a configuration in which the path of the route `/look/` is `/moved/`.
 fn moved_config(version: u64) -> String {
     config(version).replace("\"/look/\"", "\"/moved/\"")
 }
 
-/// How long a server that has left may still get requests.
+/// How long a removed server may still get requests.
 const DRAIN_LIMIT: Duration = Duration::from_secs(2);
 
-/// A run with one gateway and one plain server, `p-1`.
+/// Starts one gateway with one plain server, `p-1`.
 fn run_with_one_plain() -> PlatformRun {
     let run = PlatformRun::start(1).expect("a run");
     run.store.remove("keyed.servers", "p-2");
-    wait_until(|| !lists(&run, "p-2")).expect("one plain server");
+    wait_until(|| !lists_server(&run, "p-2")).expect("one plain server");
     run
 }
 
-/// Whether the gateway believes that a server is registered.
-fn lists(run: &PlatformRun, server: &str) -> bool {
-    let metrics = run.gateways[0].addresses.metrics.expect("it is set");
+/// Returns whether the gateway lists a server as registered.
+fn lists_server(run: &PlatformRun, server: &str) -> bool {
+    let metrics = run.gateways[0]
+        .addresses
+        .metrics
+        .expect("a metrics address");
     let request = "GET /state HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n";
-    let answer = exchange(metrics, request.as_bytes()).expect("an answer");
-    answer.body.contains(&format!("\"id\":\"{server}\""))
+    let response = exchange(metrics, request.as_bytes()).expect("a response");
+    response.body.contains(&format!("\"id\":\"{server}\""))
 }
 
-/// Sends requests until `end`; returns when the last one that ran was sent.
-fn last_served(run: &PlatformRun, end: Instant) -> Option<Instant> {
+/// Sends requests until `end`; returns when the last one that was served was sent.
+fn last_served_at(run: &PlatformRun, end: Instant) -> Option<Instant> {
     let mut last = None;
     while Instant::now() < end {
         let sent_at = Instant::now();
         let request = CallerRequest::new("GET", "/look/1", "r");
-        let answer = request.send(run.callers(0)).expect("an answer");
-        if answer.status == 200 {
+        let response = request.send(run.callers(0)).expect("a response");
+        if response.status == 200 {
             last = Some(sent_at);
         }
         sleep(Duration::from_millis(10));
@@ -47,24 +50,25 @@
     last
 }
 
-/// Removes the only plain server; returns for how long requests were still sent to it and ran.
-fn served_after_leaving(run: &PlatformRun) -> Duration {
+/// Removes the only plain server; returns for how long requests were still served by it.
+fn served_after_removal(run: &PlatformRun) -> Duration {
     run.store.remove("keyed.servers", "p-1");
     let left_at = Instant::now();
-    let last = last_served(run, left_at + DRAIN_LIMIT + Duration::from_secs(1));
+    let last = last_served_at(run, left_at + DRAIN_LIMIT + Duration::from_secs(1));
     last.map_or(Duration::ZERO, |at| at.duration_since(left_at))
 }
 
-fn knows_move(run: &PlatformRun, gateway: usize) -> bool {
+/// Returns whether the gateway uses the configuration with the moved route.
+fn has_moved_config(run: &PlatformRun, gateway: usize) -> bool {
     let request = CallerRequest::new("GET", "/moved/1", "r");
-    let answer = request.send(run.callers(gateway)).expect("an answer");
-    answer.status == 200
+    let response = request.send(run.callers(gateway)).expect("a response");
+    response.status == 200
 }
 
-/// Nothing changes for two seconds: the lists cost two calls a second, which the store holds back.
-/// Then the configuration changes, and is in force at once, not with the next look.
+/// Lists are followed by long polling: they cost two calls a second while nothing changes, and a
+/// change takes effect at once.
 #[test]
-fn the_lists_are_waited_for_at_the_store() {
+fn the_lists_are_followed_by_long_polling() {
     let run = PlatformRun::start(1).expect("a run");
     let reads = || run.store.calls("/clementinepick/log-read");
     sleep(Duration::from_millis(500));
@@ -76,54 +80,48 @@
         reads() - before
     );
     run.store.put("keyed.op", "config", &moved_config(2));
-    let begun = Instant::now();
-    wait_until(|| knows_move(&run, 0)).expect("the new configuration");
+    let started_at = Instant::now();
+    wait_until(|| has_moved_config(&run, 0)).expect("the new configuration");
     assert!(
-        begun.elapsed() < Duration::from_millis(500),
+        started_at.elapsed() < Duration::from_millis(500),
         "{:?}",
-        begun.elapsed()
+        started_at.elapsed()
     );
 }
 
-/// The store stops answering one gateway in the middle of a wait, and the configuration changes. The
-/// gateway finds out by the end of the wait, reads through its peer, and has the change within two
-/// seconds all the same.
+/// When the store stops responding during a long poll, the gateway reads through its peer and
+/// applies a change within two seconds.
 #[test]
-fn a_wait_that_is_lost_delays_no_configuration_beyond_its_time() {
+fn a_lost_long_poll_delays_no_configuration_beyond_two_seconds() {
     let run = PlatformRun::start(2).expect("a run");
-    // The second one knows its peer as a seed.
+    // Lets the second gateway find its peer, which it has as a seed.
     sleep(Duration::from_millis(500));
     run.doors[1].set_mode(StoreMode::Silent);
     run.store.put("keyed.op", "config", &moved_config(2));
-    let begun = Instant::now();
-    wait_until(|| knows_move(&run, 1)).expect("the new configuration");
+    let started_at = Instant::now();
+    wait_until(|| has_moved_config(&run, 1)).expect("the new configuration");
     assert!(
-        begun.elapsed() < Duration::from_secs(2),
+        started_at.elapsed() < Duration::from_secs(2),
         "{:?}",
-        begun.elapsed()
+        started_at.elapsed()
     );
 }
 
-/// The store forgets its history while a gateway waits for news from there on. The gateway reads the
-/// newest records and follows on.
+/// When the store truncates the history that a gateway follows, the gateway reads the newest
+/// records and continues from there.
 #[test]
-fn a_store_that_forgets_its_history_is_followed_on() {
+fn the_lists_are_followed_after_the_store_truncates_its_history() {
     let run = PlatformRun::start(1).expect("a run");
     sleep(Duration::from_millis(500));
     run.store.put("keyed.servers", "gone", "");
     run.store.forget_history();
     run.store.put("keyed.op", "config", &moved_config(2));
-    wait_until(|| knows_move(&run, 0)).expect("the new configuration");
+    wait_until(|| has_moved_config(&run, 0)).expect("the new configuration");
 }
 
-/// Callers' requests still run at a server of which the store said more than two seconds ago that it
-/// has left. The configuration changes again and again, every 0.7 s, and the store answers every call.
-/// Then it rests, and the server leaves 0.9 s later.
-///
-/// The gateway waits for news of both lists at once and drops the unread answer of the servers as
-/// the configuration changes. After 1.6 s without a reading it believes that the store was away, and
-/// keeps entries that vanish for two seconds more. Evidence: `server_list_back` with `failed_reads`
-/// 0 just before `server_kept`.
+/// Guards against configuration changes that make the gateway drop the pending response with the
+/// server list: it would take the store for unavailable and keep removed servers for two seconds
+/// more (`server_list_back` with `failed_reads` 0 before `server_kept`).
 #[test]
 fn a_server_that_leaves_amid_configurations_gets_no_requests_after_two_seconds() {
     let run = run_with_one_plain();
@@ -132,17 +130,14 @@
         sleep(Duration::from_millis(700));
     }
     sleep(Duration::from_millis(200));
-    let served = served_after_leaving(&run);
+    let served = served_after_removal(&run);
     assert!(served < DRAIN_LIMIT, "{served:?}");
 }
 
-/// Callers' requests still run at a server that has left more than two seconds ago. The configuration
-/// changes every 0.1 s all the while, and the store answers every call.
-///
-/// News of the configuration is always there first, and the gateway drops the answer of the servers
-/// unread each time. Evidence: `lists_age_ms` in the state rises to 3.5 s, as fast as the time passes.
+/// Guards against frequent configuration changes that always finish first, so that the response
+/// with the server list is dropped each time and `lists_age_ms` keeps rising.
 #[test]
-fn a_storm_of_configurations_delays_no_server_that_leaves() {
+fn frequent_configuration_changes_do_not_delay_the_removal_of_a_server() {
     let run = run_with_one_plain();
     let is_over = AtomicBool::new(false);
     std::thread::scope(|scope| {
@@ -156,28 +151,25 @@
             }
         });
         sleep(Duration::from_millis(500));
-        let served = served_after_leaving(&run);
+        let served = served_after_removal(&run);
         is_over.store(true, Ordering::Relaxed);
         assert!(served < DRAIN_LIMIT, "{served:?}");
     });
 }
 
-/// Callers' requests still run at a server that has left more than two seconds ago. The store's partition
-/// with the configuration is away, the one with the servers answers every call.
-///
-/// The lists are read one after the other with one deadline, and the reading of the configuration uses
-/// it up. Evidence: `lists_age_ms` in the state rises to 3.5 s, as fast as the time passes.
+/// Guards against a read of an unavailable configuration that uses up a deadline shared with the
+/// server list, so that `lists_age_ms` keeps rising.
 #[test]
-fn a_configuration_that_is_away_delays_no_server_that_leaves() {
+fn an_unavailable_configuration_does_not_delay_the_removal_of_a_server() {
     let run = run_with_one_plain();
     run.store.silence_topic(Some("keyed.op"));
     sleep(Duration::from_millis(1_800));
-    let served = served_after_leaving(&run);
+    let served = served_after_removal(&run);
     assert!(served < DRAIN_LIMIT, "{served:?}");
 }
 
-/// The store's partition with the configuration is away. A gateway that can't read it any more sends
-/// callers elsewhere, though its list of servers is fresh, and takes them again once it is read.
+/// A gateway that cannot read the configuration is not ready although its server list is current,
+/// and is ready again once it can.
 #[test]
 fn a_gateway_that_cannot_read_the_configuration_is_not_ready() {
     let run = PlatformRun::start(1).expect("a run");
@@ -188,11 +180,10 @@
     wait_until(|| is_ready(ready)).expect("a gateway that is ready again");
 }
 
-/// The store is away for three seconds, and the servers' entries lapse with it though they live. At
-/// its return all requests would be refused until the servers have registered again, one second later;
-/// the gateway keeps the servers until then.
+/// Entries of live servers expire during an outage of the store. The gateway keeps these servers
+/// until they have had time to register again; otherwise all requests would be refused until then.
 #[test]
-fn servers_that_lapse_with_the_store_are_used_on_its_return() {
+fn servers_whose_entries_expire_in_a_store_outage_are_still_used() {
     let run = PlatformRun::start(1).expect("a run");
     run.doors[0].set_mode(StoreMode::Busy);
     sleep(Duration::from_secs(3));
@@ -203,9 +194,10 @@
     let returned_at = Instant::now();
     while returned_at.elapsed() < Duration::from_secs(1) {
         let request = CallerRequest::new("GET", "/look/1", "r");
-        let answer = request.send(run.callers(0)).expect("an answer");
-        assert_eq!(answer.status, 200, "{:?}", returned_at.elapsed());
+        let response = request.send(run.callers(0)).expect("a response");
+        assert_eq!(response.status, 200, "{:?}", returned_at.elapsed());
         sleep(Duration::from_millis(10));
     }
-    wait_until(|| !lists(&run, "p-1") && !lists(&run, "p-2")).expect("servers that are gone");
+    wait_until(|| !lists_server(&run, "p-1") && !lists_server(&run, "p-2"))
+        .expect("both servers are removed");
 }
--- a/standins/tests/http.rs
+++ b/standins/tests/http.rs
@@ -1,4 +1,4 @@
-//! The stand-ins over HTTP, as the daemons meet them.
+//! Tests the stand-ins over HTTP, as the daemons use them.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -44,19 +44,20 @@
 /// Sends JSON and returns the status and the body.
 async fn post(address: SocketAddr, path: &str, body: &impl Serialize) -> (u16, Vec<u8>) {
     let request = Client::default().post(format!("http://{address}{path}"));
-    let mut response = request.send_json(body).await.expect("an answer");
-    let body = response.body().await.expect("a whole body");
+    let mut response = request.send_json(body).await.expect("a response");
+    let body = response.body().await.expect("a complete body");
     (response.status().as_u16(), body.to_vec())
 }
 
 async fn get(address: SocketAddr, path: &str) -> Vec<u8> {
     let request = Client::default().get(format!("http://{address}{path}"));
-    let mut response = request.send().await.expect("an answer");
-    response.body().await.expect("a whole body").to_vec()
+    let mut response = request.send().await.expect("a response");
+    response.body().await.expect("a complete body").to_vec()
 }
 
-/// The text of an answer's lines, which must end in its last line.
-fn text_of(lines: &[u8], from: u64) -> String {
+/// Returns the text of a response's lines; asserts that positions follow on and that the last line
+/// is `Done`.
+fn joined_text(lines: &[u8], from: u64) -> String {
     let lines = std::str::from_utf8(lines).expect("text");
     let lines: Vec<GenerateLine> = lines
         .lines()
@@ -94,7 +95,7 @@
     };
     let expected = answer_text(body.prompt.chain(), Tokens(40));
     let (status, lines) = post(engine, "/v1/generate", &body).await;
-    assert_eq!((status, text_of(&lines, 0)), (200, expected.clone()));
+    assert_eq!((status, joined_text(&lines, 0)), (200, expected.clone()));
     assert_eq!(post(engine, "/v1/generate", &body).await.0, 409);
 
     let resume = ResumeBody {
@@ -103,7 +104,7 @@
     };
     let (status, lines) = post(engine, "/v1/resume", &resume).await;
     assert_eq!(
-        (status, text_of(&lines, 10)),
+        (status, joined_text(&lines, 10)),
         (200, expected[10..].to_owned())
     );
 
@@ -122,21 +123,22 @@
     let state: EngineState =
         serde_json::from_slice(&get(engine, "/v1/state").await).expect("a state");
     assert_eq!(state.fencing, Some(FencingNumber(5)));
-    servers.stop().expect("a clean end");
+    servers.stop().expect("a clean shutdown");
 }
 
-/// The writer of a record gets no usable answer, and finds the record by reading on.
+/// A refused append differs from one whose outcome is unknown: after a lost response the writer
+/// finds the record by reading on.
 #[actix_rt::test]
-async fn the_log_tells_refused_from_unknown() {
+async fn the_log_distinguishes_refused_from_unknown_appends() {
     let servers = start();
     let log = servers.addresses.log;
     let body = |text: &str| AppendBody {
         records: vec![text.to_owned()],
     };
     let path = "/v1/streams/journal";
-    let (status, answer) = post(log, path, &body("a")).await;
-    let answer: AppendResponse = serde_json::from_slice(&answer).expect("an offset");
-    assert_eq!((status, answer.first_offset), (200, Offset(0)));
+    let (status, response) = post(log, path, &body("a")).await;
+    let response: AppendResponse = serde_json::from_slice(&response).expect("an offset");
+    assert_eq!((status, response.first_offset), (200, Offset(0)));
     post(log, "/control/lose-answers/1", &()).await;
     assert_eq!(post(log, path, &body("b")).await.0, 504);
     let read = get(log, &format!("{path}?from=0&max=10")).await;
@@ -145,7 +147,7 @@
     assert_eq!(texts, ["a", "b"]);
     post(log, "/control/outage/60000", &()).await;
     assert_eq!(post(log, path, &body("c")).await.0, 503);
-    servers.stop().expect("a clean end");
+    servers.stop().expect("a clean shutdown");
 }
 
 #[actix_rt::test]
@@ -156,5 +158,5 @@
     assert_eq!(post(plain, "/holds", &hold).await.0, 201);
     assert_eq!(post(plain, "/holds", &hold).await.0, 201);
     assert_eq!(servers.plains[0].executions()["h1"], 2);
-    servers.stop().expect("a clean end");
+    servers.stop().expect("a clean shutdown");
 }
--- a/standins/tests/log_service.rs
+++ b/standins/tests/log_service.rs
@@ -1,4 +1,4 @@
-//! The log service's core: what is written, what is answered, and what is kept.
+//! Tests the core of the log service: appends, reads, retention and faults.
 
 use clementinepick::ids::Offset;
 use clementinepick::platform::StreamName;
@@ -8,23 +8,25 @@
 const STREAM: StreamName = StreamName::Journal;
 
 fn append(log: &mut LogService, now: TimeUs, text: &str) -> Result<Offset, LogError> {
-    let answer = log.append(now, STREAM, vec![text.to_owned()]);
-    answer.map(|answer| answer.first_offset)
+    let response = log.append(now, STREAM, vec![text.to_owned()]);
+    response.map(|response| response.first_offset)
 }
 
 fn texts(log: &mut LogService, now: TimeUs) -> Vec<String> {
-    let answer = log.read(now, STREAM, Offset(0), 100).expect("up");
-    answer
+    let response = log
+        .read(now, STREAM, Offset(0), 100)
+        .expect("the log is available");
+    response
         .records
         .into_iter()
         .map(|record| record.text)
         .collect()
 }
 
-/// A writer gets no answer and can't tell whether its record is in the log: it is there at once,
-/// or there a little later, or never. Only reading on tells.
+/// A writer without a response cannot tell whether its record was written at once, is written later
+/// or never is; only reading on tells.
 #[test]
-fn after_a_lost_answer_the_record_may_be_there() {
+fn after_a_lost_response_the_record_may_be_stored() {
     let mut log = LogService::new(LogSettings::default());
     log.script([
         Some(AppendFault::LostAnswer),
@@ -41,24 +43,24 @@
 }
 
 #[test]
-fn old_records_go_and_offsets_stay() {
+fn expired_records_are_removed_and_offsets_stay() {
     let mut log = LogService::new(LogSettings {
         retention_us: SpanUs::from_s(10),
         ..LogSettings::default()
     });
-    append(&mut log, TimeUs(0), "old").expect("up");
-    append(&mut log, TimeUs(5_000_000), "new").expect("up");
-    let answer = log.read(TimeUs(10_000_000), STREAM, Offset(0), 100);
-    let answer = answer.expect("up");
-    assert_eq!((answer.earliest, answer.end), (Offset(1), Offset(2)));
-    assert_eq!(answer.records[0].offset, Offset(1));
-    let answer = log.read(TimeUs(20_000_000), STREAM, Offset(0), 100);
-    assert_eq!(answer.expect("up").earliest, Offset(2));
+    append(&mut log, TimeUs(0), "old").expect("the log is available");
+    append(&mut log, TimeUs(5_000_000), "new").expect("the log is available");
+    let response = log.read(TimeUs(10_000_000), STREAM, Offset(0), 100);
+    let response = response.expect("the log is available");
+    assert_eq!((response.earliest, response.end), (Offset(1), Offset(2)));
+    assert_eq!(response.records[0].offset, Offset(1));
+    let response = log.read(TimeUs(20_000_000), STREAM, Offset(0), 100);
+    assert_eq!(response.expect("the log is available").earliest, Offset(2));
     assert_eq!(append(&mut log, TimeUs(20_000_000), "next"), Ok(Offset(2)));
 }
 
 #[test]
-fn appends_over_the_rate_are_refused_with_the_time_to_wait() {
+fn appends_over_the_rate_are_refused_with_a_retry_delay() {
     let mut log = LogService::new(LogSettings {
         append_rate: MilliPerS::per_s(100),
         append_burst: 2,
@@ -77,9 +79,9 @@
 }
 
 #[test]
-fn an_outage_refuses_reads_and_writes_and_loses_nothing() {
+fn an_outage_refuses_reads_and_appends_and_loses_nothing() {
     let mut log = LogService::new(LogSettings::default());
-    append(&mut log, TimeUs(0), "before").expect("up");
+    append(&mut log, TimeUs(0), "before").expect("the log is available");
     log.add_outage(TimeUs(10), TimeUs(20));
     assert_eq!(append(&mut log, TimeUs(10), "during"), Err(LogError::Down));
     let read = log.read(TimeUs(19), STREAM, Offset(0), 1);
@@ -89,18 +91,21 @@
 }
 
 #[test]
-fn a_read_begins_where_asked_and_ends_at_its_limit() {
+fn a_read_starts_at_its_offset_and_ends_at_its_limit() {
     let mut log = LogService::new(LogSettings::default());
     let batch = (0..10).map(|n| n.to_string()).collect();
-    log.append(TimeUs(0), STREAM, batch).expect("up");
-    let answer = log.read(TimeUs(0), STREAM, Offset(4), 3).expect("up");
-    let read: Vec<_> = answer
+    log.append(TimeUs(0), STREAM, batch)
+        .expect("the log is available");
+    let response = log
+        .read(TimeUs(0), STREAM, Offset(4), 3)
+        .expect("the log is available");
+    let read: Vec<_> = response
         .records
         .iter()
         .map(|r| (r.offset.0, r.text.as_str()))
         .collect();
     assert_eq!(read, [(4, "4"), (5, "5"), (6, "6")]);
-    assert_eq!(answer.end, Offset(10));
+    assert_eq!(response.end, Offset(10));
     let other = log.read(TimeUs(0), StreamName::Config, Offset(0), 3);
-    assert_eq!(other.expect("up").end, Offset(0));
+    assert_eq!(other.expect("the log is available").end, Offset(0));
 }
--- a/standins/tests/platform.rs
+++ b/standins/tests/platform.rs
@@ -1,4 +1,5 @@
-//! The other fakes of the platform: the VM list, the weight store, tools and the plain service.
+//! Tests the other stand-ins of the platform: the VM list, the weight store, tools and
+//! the plain service.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +11,7 @@
 use standins::weight_store::{WeightSettings, WeightStore};
 
 #[test]
-fn the_vm_list_shows_changes_after_its_lag() {
+fn the_vm_list_shows_changes_after_its_delay() {
     let vm = Vm {
         id: "entry-1".parse().expect("a name"),
         role: VmRole::Entry,
@@ -30,7 +31,7 @@
 }
 
 #[test]
-fn the_weight_store_keeps_its_rate() {
+fn the_weight_store_limits_its_fetch_rate() {
     let (model, version) = ("m".parse().expect("a name"), "1".parse().expect("a name"));
     let mut store = WeightStore::new(WeightSettings {
         interval_us: SpanUs(100),
@@ -43,7 +44,7 @@
 }
 
 #[test]
-fn tools_take_about_their_time_and_some_hang() {
+fn tool_latencies_follow_their_distribution_and_some_calls_hang() {
     let tool = "weather".parse().expect("a name");
     let settings = ToolSettings {
         hangs: Percent::new(10).expect("a share"),
@@ -65,7 +66,7 @@
 }
 
 #[test]
-fn the_plain_service_shows_what_ran_twice() {
+fn the_plain_service_reports_duplicate_executions() {
     let mut service = PlainService::new(PlainSettings::default());
     let post = |path: &str, body: &str| PlainRequest {
         method: "POST".to_owned(),
@@ -78,8 +79,8 @@
     assert!(service.doubled().is_empty());
     let cancel = post("/cancellations", r#"{"id":"c1","hold":"h1"}"#);
     service.handle(TimeUs(0), &cancel);
-    let again = service.handle(TimeUs(0), &cancel);
-    assert!(again.body.contains("not held"), "{}", again.body);
+    let repeated = service.handle(TimeUs(0), &cancel);
+    assert!(repeated.body.contains("not held"), "{}", repeated.body);
     assert_eq!(service.doubled(), ["c1"]);
     assert_eq!(service.handle(TimeUs(0), &post("/holds", "{")).status, 400);
 }
