--- a/clementinepickctl/tests/explain_run.rs
+++ b/clementinepickctl/tests/explain_run.rs
@@ -57,7 +57,7 @@
 #[test]
 fn a_refusal_during_a_store_outage_is_explained() {
     let (run, log) = start_run();
-    run.doors[0].set_mode(StoreMode::Busy);
+    run.store_endpoints[0].set_mode(StoreMode::Busy);
     wait_until(|| log.text().contains("log_down")).expect("the outage of the store is logged");
     let turn = CallerRequest::turn("/draft/1", "r1", "p1", "x").with("Token-Budget", "400");
     assert_eq!(turn.send(run.callers(0)).expect("a response").status, 503);
@@ -102,7 +102,7 @@
 fn a_lost_response_is_explained() {
     let (run, log) = start_run();
     for plain in &run.plains {
-        plain.spoil(BackendFault::LoseAnswer);
+        plain.inject_fault(BackendFault::LoseResponse);
     }
     let booking = CallerRequest::new("POST", "/book/1", "r1");
     assert_eq!(
@@ -129,7 +129,7 @@
     let (run, log) = start_run();
     let first = CallerRequest::turn("/chat/1", "r1", "p1", "x").with("Token-Budget", "400");
     assert_eq!(first.send(run.callers(0)).expect("a response").status, 200);
-    run.doors[0].set_mode(StoreMode::Silent);
+    run.store_endpoints[0].set_mode(StoreMode::Silent);
     let second = CallerRequest::turn("/chat/1", "r2", "p1", "x").with("Token-Budget", "400");
     let mut caller = TcpStream::connect(run.callers(0)).expect("a connection");
     caller.write_all(&second.bytes()).expect("sent");
@@ -153,8 +153,8 @@
         .with("Authorization", "secret-in-header");
     booking.body = "secret-in-body".to_owned();
     booking.send(run.callers(0)).expect("a response");
-    run.plains[0].spoil(BackendFault::LoseAnswer);
-    run.plains[1].spoil(BackendFault::LoseAnswer);
+    run.plains[0].inject_fault(BackendFault::LoseResponse);
+    run.plains[1].inject_fault(BackendFault::LoseResponse);
     booking.send(run.callers(0)).expect("a response");
     log.last_line("r1");
     assert!(!log.text().contains("secret"), "{}", log.text());
--- a/clementinepickctl/tests/platform_commands.rs
+++ b/clementinepickctl/tests/platform_commands.rs
@@ -99,7 +99,7 @@
         assert_eq!(err, CommandError::NotInLedger("never".to_owned()));
         assert_eq!(err.exit(), ExitCode::NotFound);
     }
-    run.doors[0].set_mode(StoreMode::Busy);
+    run.store_endpoints[0].set_mode(StoreMode::Busy);
     let err = ledger(&run, None, Some("never")).expect_err("no response");
     assert_eq!(err.exit(), ExitCode::Unreachable);
     let err = ledger(&run, None, None).expect_err("neither program nor turn");
--- a/standins/src/chaos_strike.rs
+++ b/standins/src/chaos_strike.rs
@@ -79,7 +79,7 @@
         let script: Vec<Option<AppendFault>> = (0..appends)
             .map(|_| match self.rng.random_range(0..4) {
                 0 => Some(AppendFault::LostRequest),
-                1 => Some(AppendFault::LostAnswer),
+                1 => Some(AppendFault::LostResponse),
                 2 => Some(AppendFault::LateWrite(SpanUs(
                     self.rng.random_range(1_000..3_000_000),
                 ))),
--- a/standins/src/chaos_world.rs
+++ b/standins/src/chaos_world.rs
@@ -486,7 +486,7 @@
     match answer {
         Ok(answer) => AppendOutcome::Appended(answer.first_offset),
         Err(LogError::RateLimited(_) | LogError::Down) => AppendOutcome::Refused,
-        Err(LogError::NoAnswer) => AppendOutcome::Unknown,
+        Err(LogError::NoResponse) => AppendOutcome::Unknown,
     }
 }
 
--- a/standins/src/engine.rs
+++ b/standins/src/engine.rs
@@ -85,13 +85,13 @@
     Down,
     /// An attempt with this id came before.
     #[error("this attempt came before")]
-    Repeated,
+    DuplicateAttempt,
     /// No such attempt, or its answer is no longer kept.
     #[error("no such attempt")]
     UnknownAttempt,
     /// The cache can't take it.
     #[error("it does not fit into the cache")]
-    NoRoom,
+    CacheFull,
 }
 
 /// An answer that was generated whole, kept for resumes.
@@ -163,14 +163,14 @@
     ///
     /// # Errors
     ///
-    /// [`EngineError::Down`] and [`EngineError::Repeated`]; it did not run then.
+    /// [`EngineError::Down`] and [`EngineError::DuplicateAttempt`]; it did not run then.
     pub fn submit(&mut self, now: TimeUs, body: GenerateBody) -> Result<(), EngineError> {
         if !self.up {
             return Err(EngineError::Down);
         }
         self.run_until(now);
         if self.sequences.contains_key(&body.attempt) || self.ended.contains_key(&body.attempt) {
-            return Err(EngineError::Repeated);
+            return Err(EngineError::DuplicateAttempt);
         }
         let attempt = body.attempt;
         if !self.orders.serves(&body.model) {
@@ -491,7 +491,7 @@
         let events = self.cache.take_events();
         self.feed.push(now, events);
         if self.loads.is_due(now) {
-            self.loads.note(now, self.load_now());
+            self.loads.note(now, self.current_load());
         }
     }
 
--- a/standins/src/engine_memory.rs
+++ b/standins/src/engine_memory.rs
@@ -48,7 +48,7 @@
     ///
     /// # Errors
     ///
-    /// [`EngineError::Down`] and [`EngineError::NoRoom`].
+    /// [`EngineError::Down`] and [`EngineError::CacheFull`].
     pub fn import(&mut self, now: TimeUs, image: &CacheImage) -> Result<(), EngineError> {
         if !self.is_up() {
             return Err(EngineError::Down);
@@ -68,7 +68,7 @@
         if fits {
             Ok(())
         } else {
-            Err(EngineError::NoRoom)
+            Err(EngineError::CacheFull)
         }
     }
 
@@ -80,14 +80,14 @@
 
     /// The engine's word of its load, as old as its settings say.
     pub fn load(&mut self, now: TimeUs) -> LoadReport {
-        let report = self.load_now();
+        let report = self.current_load();
         self.loads.note(now, report);
         self.loads.report(now)
     }
 
     /// The load without lag, for checks.
     #[must_use]
-    pub fn load_now(&self) -> LoadReport {
+    pub fn current_load(&self) -> LoadReport {
         LoadReport {
             running: self.running,
             waiting: u32::try_from(self.waiting.len()).unwrap_or(u32::MAX),
--- a/standins/src/engine_orders.rs
+++ b/standins/src/engine_orders.rs
@@ -1,7 +1,7 @@
 //! The orders of an engine: what it serves, and its check of fencing numbers.
 //!
 //! A load needs its weights from the weight store. The core has no way there: whoever drives it
-//! asks [`Engine::weights_wanted`], fetches, and says [`Engine::weights_answer`].
+//! asks [`Engine::take_weight_request`], fetches, and says [`Engine::complete_weight_fetch`].
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -28,7 +28,7 @@
 
 /// Weights that a load waits for.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct WeightsWanted {
+pub struct WeightRequest {
     /// The model or adapter.
     pub model: ModelName,
     /// The version.
@@ -188,7 +188,7 @@
     }
 
     /// The weights to fetch now; the fetch counts as begun.
-    pub fn weights_wanted(&mut self, now: TimeUs) -> Option<WeightsWanted> {
+    pub fn take_weight_request(&mut self, now: TimeUs) -> Option<WeightRequest> {
         match self.orders.progress {
             Progress::Fetch(at) if at <= now => {}
             Progress::Fetch(_) | Progress::Fetching | Progress::Ready(_) => return None,
@@ -199,7 +199,7 @@
                 adapter: model,
                 version,
                 ..
-            } => WeightsWanted {
+            } => WeightRequest {
                 model: model.clone(),
                 version: version.clone(),
             },
@@ -210,7 +210,7 @@
     }
 
     /// The weights come after a span, or the store said when to ask again.
-    pub fn weights_answer(&mut self, now: TimeUs, answer: Result<SpanUs, SpanUs>) {
+    pub fn complete_weight_fetch(&mut self, now: TimeUs, answer: Result<SpanUs, SpanUs>) {
         if self.orders.progress == Progress::Fetching && !self.orders.queue.is_empty() {
             self.orders.progress = match answer {
                 Ok(transfer) => Progress::Ready(now.after(transfer)),
--- a/standins/src/http.rs
+++ b/standins/src/http.rs
@@ -17,10 +17,10 @@
 const MAX_BODY_BYTES: usize = 64_000_000;
 
 /// An answer of a stand-in.
-pub(crate) type Answer = Response<BoxBody>;
+pub(crate) type HttpResponse = Response<BoxBody>;
 
 /// What a handler gives to the server.
-pub(crate) type Handled = Result<Answer, Infallible>;
+pub(crate) type HandlerResult = Result<HttpResponse, Infallible>;
 
 /// Locks a core; a handler that panicked leaves it as it was.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -69,23 +69,25 @@
 /// # Errors
 ///
 /// An answer with status 400.
-pub(crate) async fn read_json<T: DeserializeOwned>(request: &mut Request) -> Result<T, Answer> {
+pub(crate) async fn read_json<T: DeserializeOwned>(
+    request: &mut Request,
+) -> Result<T, HttpResponse> {
     let body = read_body(request).await.unwrap_or_default();
     serde_json::from_slice(&body).map_err(|err| text(StatusCode::BAD_REQUEST, err.to_string()))
 }
 
 /// An answer without a body.
-pub(crate) fn empty(status: StatusCode) -> Answer {
+pub(crate) fn empty(status: StatusCode) -> HttpResponse {
     Response::with_body(status, BoxBody::new(()))
 }
 
 /// An answer with a line of text.
-pub(crate) fn text(status: StatusCode, text: impl Into<String>) -> Answer {
+pub(crate) fn text(status: StatusCode, text: impl Into<String>) -> HttpResponse {
     Response::with_body(status, BoxBody::new(text.into()))
 }
 
 /// An answer in JSON.
-pub(crate) fn json<T: Serialize>(value: &T) -> Answer {
+pub(crate) fn json<T: Serialize>(value: &T) -> HttpResponse {
     match serde_json::to_string(value) {
         Ok(body) => json_text(StatusCode::OK, body),
         Err(err) => text(StatusCode::INTERNAL_SERVER_ERROR, err.to_string()),
@@ -93,20 +95,20 @@
 }
 
 /// An answer whose JSON is there already.
-pub(crate) fn json_text(status: StatusCode, body: String) -> Answer {
+pub(crate) fn json_text(status: StatusCode, body: String) -> HttpResponse {
     let mut answer = Response::build(status);
     answer.insert_header((CONTENT_TYPE, "application/json"));
     answer.body(body).map_into_boxed_body()
 }
 
 /// Refuses for now, and says when to come back, in whole seconds.
-pub(crate) fn come_back(status: StatusCode, after: SpanUs) -> Answer {
+pub(crate) fn retry_later(status: StatusCode, after: SpanUs) -> HttpResponse {
     let mut answer = Response::build(status);
     answer.insert_header((RETRY_AFTER, after.0.div_ceil(1_000_000).max(1).to_string()));
     answer.body(()).map_into_boxed_body()
 }
 
 /// No such path or method.
-pub(crate) fn not_found() -> Answer {
+pub(crate) fn not_found() -> HttpResponse {
     empty(StatusCode::NOT_FOUND)
 }
--- a/standins/src/http_engine.rs
+++ b/standins/src/http_engine.rs
@@ -25,9 +25,10 @@
 
 use crate::clock::Clock;
 use crate::engine::{Engine, EngineError, EngineSettings};
-use crate::engine_orders::{OrderError, WeightsWanted};
+use crate::engine_orders::{OrderError, WeightRequest};
 use crate::http::{
-    Answer, Handled, empty, json, lock, not_found, path_parts, query_number, read_json, sleep, text,
+    HandlerResult, HttpResponse, empty, json, lock, not_found, path_parts, query_number, read_json,
+    sleep, text,
 };
 
 /// The wait after a weight store that gave no usable answer.
@@ -102,7 +103,7 @@
             let (next, wanted) = {
                 let mut hosted = lock(&self.hosted);
                 hosted.advance(self.clock);
-                let wanted = hosted.engine.weights_wanted(self.clock.now());
+                let wanted = hosted.engine.take_weight_request(self.clock.now());
                 (hosted.engine.next_event_at(), wanted)
             };
             if let Some(wanted) = wanted {
@@ -118,18 +119,18 @@
         }
     }
 
-    async fn fetch(self, wanted: WeightsWanted) {
+    async fn fetch(self, wanted: WeightRequest) {
         let answer = match self.weights {
             Some(store) => fetch_weights(store, &wanted).await,
             None => Ok(SpanUs(0)),
         };
         let now = self.clock.now();
-        lock(&self.hosted).engine.weights_answer(now, answer);
+        lock(&self.hosted).engine.complete_weight_fetch(now, answer);
         self.wake.notify_one();
     }
 
     /// Answers one request.
-    pub(crate) async fn handle(self, mut request: Request) -> Handled {
+    pub(crate) async fn handle(self, mut request: Request) -> HandlerResult {
         let parts = path_parts(&request);
         let parts: Vec<&str> = parts.iter().map(String::as_str).collect();
         let method = request.method().as_str().to_owned();
@@ -166,7 +167,7 @@
         act(&mut hosted)
     }
 
-    fn with_up(&self, act: impl FnOnce(&mut Engine) -> Answer) -> Answer {
+    fn with_up(&self, act: impl FnOnce(&mut Engine) -> HttpResponse) -> HttpResponse {
         self.with(|hosted| {
             if hosted.engine.is_up() {
                 act(&mut hosted.engine)
@@ -176,27 +177,27 @@
         })
     }
 
-    async fn generate(&self, request: &mut Request) -> Result<Answer, Answer> {
+    async fn generate(&self, request: &mut Request) -> Result<HttpResponse, HttpResponse> {
         let body: GenerateBody = read_json(request).await?;
         let (attempt, now) = (body.attempt, self.clock.now());
         let lines = self.with(|hosted| {
             hosted.engine.submit(now, body).map_err(refusal)?;
-            Ok::<_, Answer>(hosted.read(attempt))
+            Ok::<_, HttpResponse>(hosted.read(attempt))
         })?;
         Ok(line_stream(Vec::new(), lines))
     }
 
-    async fn resume(&self, request: &mut Request) -> Result<Answer, Answer> {
+    async fn resume(&self, request: &mut Request) -> Result<HttpResponse, HttpResponse> {
         let ResumeBody { attempt, position } = read_json(request).await?;
         // One lock over both steps: a line generated between them would be lost or come twice.
         let (before, lines) = self.with(|hosted| {
             let before = hosted.engine.resume(attempt, position).map_err(refusal)?;
-            Ok::<_, Answer>((before, hosted.read(attempt)))
+            Ok::<_, HttpResponse>((before, hosted.read(attempt)))
         })?;
         Ok(line_stream(before, lines))
     }
 
-    async fn cancel(&self, request: &mut Request) -> Result<Answer, Answer> {
+    async fn cancel(&self, request: &mut Request) -> Result<HttpResponse, HttpResponse> {
         let CancelBody { attempt } = read_json(request).await?;
         let now = self.clock.now();
         self.with(|hosted| {
@@ -206,7 +207,7 @@
         Ok(empty(StatusCode::NO_CONTENT))
     }
 
-    async fn release(&self, request: &mut Request) -> Result<Answer, Answer> {
+    async fn release(&self, request: &mut Request) -> Result<HttpResponse, HttpResponse> {
         let ReleaseBody { chains } = read_json(request).await?;
         let now = self.clock.now();
         Ok(self.with_up(|engine| {
@@ -215,7 +216,7 @@
         }))
     }
 
-    async fn retain(&self, request: &mut Request) -> Result<Answer, Answer> {
+    async fn retain(&self, request: &mut Request) -> Result<HttpResponse, HttpResponse> {
         let RetainBody { chains } = read_json(request).await?;
         let now = self.clock.now();
         Ok(self.with_up(|engine| {
@@ -224,13 +225,13 @@
         }))
     }
 
-    async fn export(&self, request: &mut Request) -> Result<Answer, Answer> {
+    async fn export(&self, request: &mut Request) -> Result<HttpResponse, HttpResponse> {
         let ReleaseBody { chains } = read_json(request).await?;
         let last = chains.last().copied().unwrap_or_default();
         Ok(self.with_up(|engine| json(&engine.export(last))))
     }
 
-    async fn import(&self, request: &mut Request) -> Result<Answer, Answer> {
+    async fn import(&self, request: &mut Request) -> Result<HttpResponse, HttpResponse> {
         let image: CacheImage = read_json(request).await?;
         let now = self.clock.now();
         self.with(|hosted| hosted.engine.import(now, &image))
@@ -238,7 +239,7 @@
         Ok(empty(StatusCode::NO_CONTENT))
     }
 
-    async fn order(&self, request: &mut Request) -> Result<Answer, Answer> {
+    async fn order(&self, request: &mut Request) -> Result<HttpResponse, HttpResponse> {
         let body: OrderBody = read_json(request).await?;
         let now = self.clock.now();
         match self.with(|hosted| hosted.engine.order(now, body)) {
@@ -248,7 +249,7 @@
         }
     }
 
-    fn control(&self, command: &[&str]) -> Answer {
+    fn control(&self, command: &[&str]) -> HttpResponse {
         let now = self.clock.now();
         self.with(|hosted| {
             match command {
@@ -273,18 +274,18 @@
     }
 }
 
-fn refusal(error: EngineError) -> Answer {
+fn refusal(error: EngineError) -> HttpResponse {
     let status = match error {
         EngineError::Down => StatusCode::SERVICE_UNAVAILABLE,
-        EngineError::Repeated => StatusCode::CONFLICT,
+        EngineError::DuplicateAttempt => StatusCode::CONFLICT,
         EngineError::UnknownAttempt => StatusCode::NOT_FOUND,
-        EngineError::NoRoom => StatusCode::INSUFFICIENT_STORAGE,
+        EngineError::CacheFull => StatusCode::INSUFFICIENT_STORAGE,
     };
     text(status, error.to_string())
 }
 
 /// A body of one JSON line each; it ends after the turn's last line, or when the reader is dropped.
-fn line_stream(before: Vec<GenerateLine>, lines: UnboundedReceiver<GenerateLine>) -> Answer {
+fn line_stream(before: Vec<GenerateLine>, lines: UnboundedReceiver<GenerateLine>) -> HttpResponse {
     let state = (before.into_iter(), lines, false);
     let chunks = stream::unfold(state, |(mut before, mut lines, ended)| async move {
         if ended {
@@ -305,8 +306,8 @@
 }
 
 /// Fetches weights and says how long they took to come, as zero more to wait.
-async fn fetch_weights(store: SocketAddr, wanted: &WeightsWanted) -> Result<SpanUs, SpanUs> {
-    let WeightsWanted { model, version } = wanted;
+async fn fetch_weights(store: SocketAddr, wanted: &WeightRequest) -> Result<SpanUs, SpanUs> {
+    let WeightRequest { model, version } = wanted;
     let url = format!("http://{store}/v1/weights/{model}/{version}");
     let client = Client::builder().disable_timeout().finish();
     let Ok(response) = client.get(url).send().await else {
@@ -324,5 +325,5 @@
 /// The tokens that an engine holds, with what runs.
 #[must_use]
 pub fn used_tokens(host: &EngineHost) -> Tokens {
-    host.inspect(|engine| engine.load_now().cache_used_tokens)
+    host.inspect(|engine| engine.current_load().cache_used_tokens)
 }
--- a/standins/src/http_plain.rs
+++ b/standins/src/http_plain.rs
@@ -7,7 +7,7 @@
 use clementinepick::units::SpanUs;
 
 use crate::clock::Clock;
-use crate::http::{Handled, empty, json_text, lock, path_parts, read_body, sleep};
+use crate::http::{HandlerResult, empty, json_text, lock, path_parts, read_body, sleep};
 use crate::plain_service::{PlainRequest, PlainService, PlainSettings};
 
 /// A plain service behind HTTP.
@@ -33,7 +33,7 @@
         lock(&self.service).executions().clone()
     }
 
-    pub(crate) async fn handle(self, mut request: Request) -> Handled {
+    pub(crate) async fn handle(self, mut request: Request) -> HandlerResult {
         let parts = path_parts(&request);
         if let [control, down, ms] = &parts[..]
             && (control.as_str(), down.as_str()) == ("control", "down")
@@ -57,7 +57,7 @@
             let mut service = lock(&self.service);
             (
                 service.handle(self.clock.now(), &plain),
-                service.answer_delay(),
+                service.response_delay(),
             )
         };
         sleep(delay).await;
--- a/standins/src/http_platform.rs
+++ b/standins/src/http_platform.rs
@@ -14,8 +14,8 @@
 
 use crate::clock::Clock;
 use crate::http::{
-    Answer, Handled, come_back, empty, json, lock, not_found, path_parts, query_number, read_json,
-    sleep, text,
+    HandlerResult, HttpResponse, empty, json, lock, not_found, path_parts, query_number, read_json,
+    retry_later, sleep, text,
 };
 use crate::log_service::{AppendFault, LogError, LogService, LogSettings};
 use crate::tool_service::{ToolOutcome, ToolService};
@@ -48,7 +48,7 @@
         lock(&self.log).written()
     }
 
-    pub(crate) async fn handle(self, mut request: Request) -> Handled {
+    pub(crate) async fn handle(self, mut request: Request) -> HandlerResult {
         let parts = path_parts(&request);
         let parts: Vec<&str> = parts.iter().map(String::as_str).collect();
         let method = request.method().as_str().to_owned();
@@ -64,7 +64,7 @@
         Ok(answer)
     }
 
-    async fn read(&self, request: &Request, stream: StreamName) -> Answer {
+    async fn read(&self, request: &Request, stream: StreamName) -> HttpResponse {
         let from = Offset(query_number(request, "from").unwrap_or_default());
         let max = query_number(request, "max")
             .unwrap_or(MAX_READ)
@@ -73,13 +73,13 @@
         let (answer, delay) = {
             let mut log = lock(&self.log);
             let answer = log.read(self.clock.now(), stream, from, max);
-            (answer, log.answer_delay())
+            (answer, log.response_delay())
         };
         sleep(delay).await;
         answer.map_or_else(refusal, |answer| json(&answer))
     }
 
-    async fn append(&self, request: &mut Request, stream: StreamName) -> Answer {
+    async fn append(&self, request: &mut Request, stream: StreamName) -> HttpResponse {
         let body: AppendBody = match read_json(request).await {
             Ok(body) => body,
             Err(refused) => return refused,
@@ -87,13 +87,13 @@
         let (answer, delay) = {
             let mut log = lock(&self.log);
             let answer = log.append(self.clock.now(), stream, body.records);
-            (answer, log.answer_delay())
+            (answer, log.response_delay())
         };
         sleep(delay).await;
         answer.map_or_else(refusal, |answer| json(&answer))
     }
 
-    fn control(&self, command: &str, number: &str) -> Answer {
+    fn control(&self, command: &str, number: &str) -> HttpResponse {
         let Ok(number) = number.parse::<u64>() else {
             return empty(StatusCode::BAD_REQUEST);
         };
@@ -102,7 +102,7 @@
         match command {
             "outage" => log.add_outage(now, now.after(SpanUs::from_ms(number))),
             "slowness" => log.set_slowness(SpanUs::from_ms(number)),
-            "lose-answers" => log.script((0..number).map(|_| Some(AppendFault::LostAnswer))),
+            "lose-answers" => log.script((0..number).map(|_| Some(AppendFault::LostResponse))),
             _ => return not_found(),
         }
         empty(StatusCode::NO_CONTENT)
@@ -115,11 +115,11 @@
 }
 
 /// Only 429 and 503 say that nothing was appended; a lost answer shows as a gateway's timeout.
-fn refusal(error: LogError) -> Answer {
+fn refusal(error: LogError) -> HttpResponse {
     match error {
-        LogError::RateLimited(after) => come_back(StatusCode::TOO_MANY_REQUESTS, after),
+        LogError::RateLimited(after) => retry_later(StatusCode::TOO_MANY_REQUESTS, after),
         LogError::Down => text(StatusCode::SERVICE_UNAVAILABLE, error.to_string()),
-        LogError::NoAnswer => text(StatusCode::GATEWAY_TIMEOUT, error.to_string()),
+        LogError::NoResponse => text(StatusCode::GATEWAY_TIMEOUT, error.to_string()),
     }
 }
 
@@ -155,7 +155,7 @@
         lock(&self.list).remove(self.clock.now(), id);
     }
 
-    pub(crate) async fn handle(self, mut request: Request) -> Handled {
+    pub(crate) async fn handle(self, mut request: Request) -> HandlerResult {
         let parts = path_parts(&request);
         let parts: Vec<&str> = parts.iter().map(String::as_str).collect();
         let method = request.method().as_str().to_owned();
@@ -176,7 +176,7 @@
     }
 }
 
-fn change(id: &str, change: impl FnOnce(VmId)) -> Answer {
+fn change(id: &str, change: impl FnOnce(VmId)) -> HttpResponse {
     let Ok(id) = id.parse() else {
         return empty(StatusCode::BAD_REQUEST);
     };
@@ -201,7 +201,7 @@
         }
     }
 
-    pub(crate) async fn handle(self, request: Request) -> Handled {
+    pub(crate) async fn handle(self, request: Request) -> HandlerResult {
         let parts = path_parts(&request);
         let parts: Vec<&str> = parts.iter().map(String::as_str).collect();
         let ["v1", "weights", model, version] = parts[..] else {
@@ -217,7 +217,7 @@
                 sleep(transfer).await;
                 Ok(empty(StatusCode::OK))
             }
-            Err(after) => Ok(come_back(StatusCode::TOO_MANY_REQUESTS, after)),
+            Err(after) => Ok(retry_later(StatusCode::TOO_MANY_REQUESTS, after)),
         }
     }
 }
@@ -237,7 +237,7 @@
         }
     }
 
-    pub(crate) async fn handle(self, request: Request) -> Handled {
+    pub(crate) async fn handle(self, request: Request) -> HandlerResult {
         let parts = path_parts(&request);
         let parts: Vec<&str> = parts.iter().map(String::as_str).collect();
         let ["tools", tool] = parts[..] else {
--- a/standins/src/log_service.rs
+++ b/standins/src/log_service.rs
@@ -20,9 +20,9 @@
     /// How long a record is kept.
     pub retention_us: SpanUs,
     /// How long an answer takes.
-    pub answer_us: SpanUs,
+    pub response_us: SpanUs,
     /// The share of appends whose answer is lost after the write.
-    pub lost_answers: Percent,
+    pub lost_responses: Percent,
     /// The share of appends that are lost before the write.
     pub lost_requests: Percent,
     /// Seeds the losses.
@@ -35,8 +35,8 @@
             append_rate: MilliPerS::per_s(300),
             append_burst: 30,
             retention_us: SpanUs::from_s(24 * 3_600),
-            answer_us: SpanUs::from_ms(3),
-            lost_answers: Percent::default(),
+            response_us: SpanUs::from_ms(3),
+            lost_responses: Percent::default(),
             lost_requests: Percent::default(),
             seed: 0,
         }
@@ -49,7 +49,7 @@
     /// It is not written, and the writer is not told.
     LostRequest,
     /// It is written, and the writer is not told.
-    LostAnswer,
+    LostResponse,
     /// It is written only after this time, and the writer is not told.
     LateWrite(SpanUs),
 }
@@ -65,7 +65,7 @@
     Down,
     /// The answer does not come; the records may be in the log, now or a little later.
     #[error("the answer was lost")]
-    NoAnswer,
+    NoResponse,
 }
 
 #[derive(Debug, Clone)]
@@ -162,8 +162,8 @@
 
     /// How long the answer to a request takes that comes now.
     #[must_use]
-    pub fn answer_delay(&self) -> SpanUs {
-        self.settings.answer_us + self.extra_delay
+    pub fn response_delay(&self) -> SpanUs {
+        self.settings.response_us + self.extra_delay
     }
 
     /// The batches and the records that were written.
@@ -176,7 +176,7 @@
     ///
     /// # Errors
     ///
-    /// Any [`LogError`]; only after [`LogError::NoAnswer`] may the records be in the log.
+    /// Any [`LogError`]; only after [`LogError::NoResponse`] may the records be in the log.
     pub fn append(
         &mut self,
         now: TimeUs,
@@ -193,10 +193,10 @@
                 let first_offset = self.write(now, stream, records);
                 Ok(AppendResponse { first_offset })
             }
-            Some(AppendFault::LostRequest) => Err(LogError::NoAnswer),
-            Some(AppendFault::LostAnswer) => {
+            Some(AppendFault::LostRequest) => Err(LogError::NoResponse),
+            Some(AppendFault::LostResponse) => {
                 self.write(now, stream, records);
-                Err(LogError::NoAnswer)
+                Err(LogError::NoResponse)
             }
             Some(AppendFault::LateWrite(span)) => {
                 self.late.push(LateWrite {
@@ -204,7 +204,7 @@
                     stream,
                     records,
                 });
-                Err(LogError::NoAnswer)
+                Err(LogError::NoResponse)
             }
         }
     }
@@ -292,7 +292,7 @@
             return scripted;
         }
         let requests = u8::from(self.settings.lost_requests);
-        let answers = u8::from(self.settings.lost_answers);
+        let answers = u8::from(self.settings.lost_responses);
         if requests == 0 && answers == 0 {
             return None;
         }
@@ -300,7 +300,7 @@
         if drawn < requests {
             Some(AppendFault::LostRequest)
         } else if drawn < requests.saturating_add(answers) {
-            Some(AppendFault::LostAnswer)
+            Some(AppendFault::LostResponse)
         } else {
             None
         }
--- a/standins/src/plain_service.rs
+++ b/standins/src/plain_service.rs
@@ -11,13 +11,13 @@
 #[derive(Debug, Clone)]
 pub struct PlainSettings {
     /// How long an answer takes.
-    pub answer_us: SpanUs,
+    pub response_us: SpanUs,
 }
 
 impl Default for PlainSettings {
     fn default() -> Self {
         Self {
-            answer_us: SpanUs::from_ms(5),
+            response_us: SpanUs::from_ms(5),
         }
     }
 }
@@ -83,8 +83,8 @@
 
     /// How long an answer takes.
     #[must_use]
-    pub const fn answer_delay(&self) -> SpanUs {
-        self.settings.answer_us
+    pub const fn response_delay(&self) -> SpanUs {
+        self.settings.response_us
     }
 
     /// Refuses everything with 503 until `until`.
@@ -100,7 +100,7 @@
 
     /// The ids that ran more than once.
     #[must_use]
-    pub fn doubled(&self) -> Vec<&str> {
+    pub fn duplicate_executions(&self) -> Vec<&str> {
         let doubled = self.executions.iter().filter(|(_, count)| **count > 1);
         doubled.map(|(id, _)| id.as_str()).collect()
     }
--- a/standins/src/platform_backend.rs
+++ b/standins/src/platform_backend.rs
@@ -9,7 +9,7 @@
 
 use crate::http::lock;
 use crate::wire_server::{
-    Script, Step, WireRequest, WireServer, chunk, chunked_head, last_chunk, whole,
+    Script, Step, WireRequest, WireServer, chunk, chunked_head, full_response, last_chunk,
 };
 
 /// What becomes of one request instead of an orderly answer.
@@ -18,7 +18,7 @@
     /// It is refused and not run.
     Refuse,
     /// It is run, and the connection is closed without an answer.
-    LoseAnswer,
+    LoseResponse,
     /// It is run, and nothing is said.
     Silence,
     /// The stream breaks off in the middle of the event after so many.
@@ -26,9 +26,9 @@
     /// The stream falls silent after so many events.
     SilentAfter(u64),
     /// A second answer follows the first on the same connection, with the same bytes.
-    ExtraAnswer,
+    ExtraResponse,
     /// A second answer follows the first on the same connection, this much later.
-    LateExtraAnswer(Duration),
+    LateExtraResponse(Duration),
     /// The answer is the one to another request, and says so.
     WrongId,
     /// The answer has no length and ends with its connection.
@@ -108,13 +108,13 @@
     }
 
     /// Gives the next request this fault; several apply to requests one after the other.
-    pub fn spoil(&self, fault: BackendFault) {
+    pub fn inject_fault(&self, fault: BackendFault) {
         lock(&self.core).faults.push(fault);
     }
 
     /// Whether a fault still waits for its request.
     #[must_use]
-    pub fn has_faults(&self) -> bool {
+    pub fn has_pending_faults(&self) -> bool {
         !lock(&self.core).faults.is_empty()
     }
 
@@ -145,7 +145,7 @@
         let expected = header(request, "expect-instance");
         if expected != self.settings.id {
             let headers = [("instance-id", self.settings.id.as_str())];
-            return vec![Step::Write(whole(421, &headers, b""))];
+            return vec![Step::Write(full_response(421, &headers, b""))];
         }
         let fault = if self.faults.is_empty() {
             None
@@ -154,14 +154,14 @@
         };
         if fault == Some(BackendFault::Refuse) {
             let headers = [("not-executed", "1"), ("request-id", id.as_str())];
-            return vec![Step::Write(whole(503, &headers, b""))];
+            return vec![Step::Write(full_response(503, &headers, b""))];
         }
         self.executions.push(Execution {
             request: request.clone(),
             id: id.clone(),
         });
         match fault {
-            Some(BackendFault::LoseAnswer) => return vec![Step::Close],
+            Some(BackendFault::LoseResponse) => return vec![Step::Close],
             Some(BackendFault::Silence) => return vec![Step::Silence],
             _ => {}
         }
@@ -180,7 +180,7 @@
     fn plain(&self, id: &str, fault: Option<BackendFault>) -> Script {
         let headers = stamp(id);
         let body = format!("answer to {id}");
-        let answer = whole(200, &headers, body.as_bytes());
+        let answer = full_response(200, &headers, body.as_bytes());
         let mut script = vec![Step::Pause(self.settings.pause)];
         match fault {
             Some(BackendFault::Unframed) => {
@@ -193,14 +193,14 @@
                 script.push(Step::Write(answer.slice(..answer.len() - 2)));
                 script.push(Step::Close);
             }
-            Some(BackendFault::ExtraAnswer) => {
-                let extra = whole(200, &stamp("late"), b"extra");
+            Some(BackendFault::ExtraResponse) => {
+                let extra = full_response(200, &stamp("late"), b"extra");
                 script.push(Step::Write([answer, extra].concat().into()));
             }
-            Some(BackendFault::LateExtraAnswer(pause)) => {
+            Some(BackendFault::LateExtraResponse(pause)) => {
                 script.push(Step::Write(answer));
                 script.push(Step::Pause(pause));
-                script.push(Step::Write(whole(200, &stamp("late"), b"extra")));
+                script.push(Step::Write(full_response(200, &stamp("late"), b"extra")));
             }
             _ => script.push(Step::Write(answer)),
         }
--- a/standins/src/platform_caller.rs
+++ b/standins/src/platform_caller.rs
@@ -12,7 +12,7 @@
 
 /// What a caller got.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct CallerAnswer {
+pub struct CallerResponse {
     /// The status.
     pub status: u16,
     /// The headers by lower-case name.
@@ -93,7 +93,7 @@
     /// # Errors
     ///
     /// No connection, or no head of an answer.
-    pub fn send(&self, address: SocketAddr) -> io::Result<CallerAnswer> {
+    pub fn send(&self, address: SocketAddr) -> io::Result<CallerResponse> {
         exchange(address, &self.bytes())
     }
 }
@@ -103,11 +103,11 @@
 /// # Errors
 ///
 /// No connection, or no head of an answer.
-pub fn exchange(address: SocketAddr, bytes: &[u8]) -> io::Result<CallerAnswer> {
+pub fn exchange(address: SocketAddr, bytes: &[u8]) -> io::Result<CallerResponse> {
     let mut connection = TcpStream::connect(address)?;
     connection.set_nodelay(true)?;
     connection.write_all(bytes)?;
-    read_answer(&mut connection)
+    read_response(&mut connection)
 }
 
 /// Reads one answer from a connection.
@@ -115,7 +115,7 @@
 /// # Errors
 ///
 /// The connection ends before the head of an answer does.
-pub fn read_answer(connection: &mut TcpStream) -> io::Result<CallerAnswer> {
+pub fn read_response(connection: &mut TcpStream) -> io::Result<CallerResponse> {
     let begun = Instant::now();
     connection.set_read_timeout(Some(PATIENCE))?;
     let mut bytes = Vec::new();
@@ -164,18 +164,18 @@
         .position(|window| window == wanted)
 }
 
-fn parse_head(head: &str) -> io::Result<CallerAnswer> {
+fn parse_head(head: &str) -> io::Result<CallerResponse> {
     let mut lines = head.lines();
     let status = lines
         .next()
         .and_then(|line| line.split(' ').nth(1)?.parse().ok());
     let headers = lines.filter_map(|line| line.split_once(':'));
-    Ok(CallerAnswer {
+    Ok(CallerResponse {
         status: status.ok_or(io::ErrorKind::InvalidData)?,
         headers: headers
             .map(|(name, value)| (name.to_ascii_lowercase(), value.trim().to_owned()))
             .collect(),
-        ..CallerAnswer::default()
+        ..CallerResponse::default()
     })
 }
 
--- a/standins/src/platform_run.rs
+++ b/standins/src/platform_run.rs
@@ -13,7 +13,7 @@
 use tokio::sync::oneshot;
 
 use crate::platform_backend::{BackendSettings, PlatformBackend};
-use crate::platform_store::{PlatformStore, StoreDoor};
+use crate::platform_store::{PlatformStore, StoreEndpoint};
 
 /// The service that runs turns.
 pub const MODEL_SERVICE: &str = "models";
@@ -127,7 +127,7 @@
     /// The store.
     pub store: PlatformStore,
     /// The store's address for each gateway.
-    pub doors: Vec<StoreDoor>,
+    pub store_endpoints: Vec<StoreEndpoint>,
     /// The engines.
     pub engines: Vec<PlatformBackend>,
     /// The plain servers.
@@ -149,7 +149,7 @@
         let plains = start_backends("p", PLAIN_SERVICE, &store)?;
         let mut run = Self {
             store,
-            doors: Vec::new(),
+            store_endpoints: Vec::new(),
             engines,
             plains,
             gateways: Vec::new(),
@@ -205,7 +205,7 @@
         let door = self.store.open()?;
         let seeds = self.gateways.iter().map(|g| g.addresses.peers).collect();
         let settings = self.settings(door.address, seeds);
-        self.doors.push(door);
+        self.store_endpoints.push(door);
         Ok(settings)
     }
 
--- a/standins/src/platform_store.rs
+++ b/standins/src/platform_store.rs
@@ -12,7 +12,7 @@
 use serde_json::json;
 
 use crate::http::lock;
-use crate::wire_server::{Script, Step, WireRequest, WireServer, whole};
+use crate::wire_server::{Script, Step, WireRequest, WireServer, full_response};
 
 /// How often a read that waits looks for something new.
 const LOOK: Duration = Duration::from_millis(10);
@@ -37,9 +37,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AppendFault {
     /// It is done, and the connection falls silent.
-    LoseAnswer,
+    LoseResponse,
     /// It is done when the next call comes, if its condition still holds, and is not answered.
-    DoLater,
+    Postpone,
 }
 
 #[derive(Debug, Clone)]
@@ -95,14 +95,14 @@
 
 /// One address of the store.
 #[derive(Debug)]
-pub struct StoreDoor {
+pub struct StoreEndpoint {
     /// Where it listens.
     pub address: SocketAddr,
     mode: Arc<Mutex<StoreMode>>,
     _server: WireServer,
 }
 
-impl StoreDoor {
+impl StoreEndpoint {
     /// Sets how calls at this address are treated.
     pub fn set_mode(&self, mode: StoreMode) {
         *lock(&self.mode) = mode;
@@ -127,7 +127,7 @@
     /// # Errors
     ///
     /// No port or thread can be had.
-    pub fn open(&self) -> io::Result<StoreDoor> {
+    pub fn open(&self) -> io::Result<StoreEndpoint> {
         let mode = Arc::new(Mutex::new(StoreMode::Serving));
         let (core, current) = (Arc::clone(&self.core), Arc::clone(&mode));
         let server = WireServer::start(Arc::new(move |request| {
@@ -140,7 +140,7 @@
                 StoreMode::Silent => vec![Step::Silence],
             }
         }))?;
-        Ok(StoreDoor {
+        Ok(StoreEndpoint {
             address: server.address,
             mode,
             _server: server,
@@ -169,7 +169,7 @@
     }
 
     /// Gives the next append this fault; several apply to appends one after the other.
-    pub fn spoil_append(&self, fault: AppendFault) {
+    pub fn inject_append_fault(&self, fault: AppendFault) {
         lock(&self.core).faults.push(fault);
     }
 
@@ -189,7 +189,7 @@
     }
 
     /// Drops the history of all topics; the newest record of each key stays.
-    pub fn forget_history(&self) {
+    pub fn discard_history(&self) {
         for partition in lock(&self.core).partitions.values_mut() {
             partition.first = partition.end();
         }
@@ -234,28 +234,28 @@
                     Some(self.faults.remove(0))
                 };
                 match fault {
-                    Some(AppendFault::DoLater) => {
+                    Some(AppendFault::Postpone) => {
                         self.later.push(request.clone());
                         return vec![Step::Silence];
                     }
-                    Some(AppendFault::LoseAnswer) => {
+                    Some(AppendFault::LoseResponse) => {
                         self.append(request);
                         return vec![Step::Silence];
                     }
                     None => script.push(Step::Write(self.append(request))),
                 }
             }
-            Some("log-read") if self.has_to_wait(request) => return vec![Step::Again(LOOK)],
+            Some("log-read") if self.has_to_wait(request) => return vec![Step::Retry(LOOK)],
             Some("log-read") => script.push(Step::Write(self.read(request))),
             Some("log-newest") => script.push(Step::Write(self.newest(request))),
-            _ => script.push(Step::Write(whole(404, &[], b""))),
+            _ => script.push(Step::Write(full_response(404, &[], b""))),
         }
         script
     }
 
     fn append(&mut self, request: &WireRequest) -> Bytes {
         let Some(id) = partition_id(request) else {
-            return whole(400, &[], b"");
+            return full_response(400, &[], b"");
         };
         let partition = self.partitions.entry(id).or_default();
         let end = partition.end();
@@ -264,7 +264,7 @@
             return json_answer(412, &json!({ "End": end }));
         }
         let Some(records) = split_records(&request.body) else {
-            return whole(400, &[], b"");
+            return full_response(400, &[], b"");
         };
         partition.records.extend(records);
         json_answer(200, &json!({ "Offset": end, "End": partition.end() }))
@@ -298,7 +298,7 @@
             body.put_slice(record.key.as_bytes());
             body.put_slice(&record.value);
         }
-        whole(200, &[("content-type", "application/octet-stream")], &body)
+        full_response(200, &[("content-type", "application/octet-stream")], &body)
     }
 
     fn newest(&self, request: &WireRequest) -> Bytes {
@@ -350,9 +350,9 @@
 
 fn json_answer(status: u16, value: &serde_json::Value) -> Bytes {
     let headers = [("content-type", "application/json")];
-    whole(status, &headers, value.to_string().as_bytes())
+    full_response(status, &headers, value.to_string().as_bytes())
 }
 
 fn refuse(status: u16) -> Script {
-    vec![Step::Write(whole(status, &[], b""))]
+    vec![Step::Write(full_response(status, &[], b""))]
 }
--- a/standins/src/serve.rs
+++ b/standins/src/serve.rs
@@ -71,7 +71,7 @@
         };
         let log = LogSettings {
             retention_us: self.retention,
-            lost_answers: self.lost_answers,
+            lost_responses: self.lost_answers,
             ..LogSettings::default()
         };
         Ok(ServerSettings {
--- a/standins/src/soak_callers.rs
+++ b/standins/src/soak_callers.rs
@@ -11,7 +11,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::http::lock;
-use crate::platform_caller::{CallerAnswer, CallerRequest, read_answer};
+use crate::platform_caller::{CallerRequest, CallerResponse, read_response};
 use crate::soak_history::{Attempt, AttemptKind, BUDGET_TOKENS, History};
 use crate::soak_world::{GATEWAYS, GatewayNow, SoakWorld};
 
@@ -183,9 +183,9 @@
             connection.write_all(&request.bytes())?;
             if leaves {
                 sleep(Duration::from_millis(10));
-                return Ok(CallerAnswer::default());
+                return Ok(CallerResponse::default());
             }
-            read_answer(&mut connection)
+            read_response(&mut connection)
         });
         let after = self.shared.world.gateway(gateway);
         let is_owed = is_connected && !leaves && is_well(before, after) && !after.is_ending;
@@ -203,7 +203,7 @@
         program: &str,
         kind: AttemptKind,
         gateway: (usize, u32),
-        answer: CallerAnswer,
+        answer: CallerResponse,
         is_owed: bool,
         took: Duration,
     ) {
@@ -233,7 +233,7 @@
             let before = self.shared.world.gateway(gateway);
             let begun = Instant::now();
             let sent = connection.write_all(&request.bytes());
-            let answer = sent.and_then(|()| read_answer(&mut connection));
+            let answer = sent.and_then(|()| read_response(&mut connection));
             let after = self.shared.world.gateway(gateway);
             let answer = answer.unwrap_or_default();
             let closes = answer
--- a/standins/src/soak_world.rs
+++ b/standins/src/soak_world.rs
@@ -12,7 +12,7 @@
 use crate::http::lock;
 use crate::platform_backend::{BackendFault, BackendSettings, PlatformBackend};
 use crate::platform_run::{HOST, MODEL_SERVICE, PLAIN_SERVICE, is_ready};
-use crate::platform_store::{AppendFault, PlatformStore, StoreDoor, StoreMode};
+use crate::platform_store::{AppendFault, PlatformStore, StoreEndpoint, StoreMode};
 use crate::soak_faults::{Fault, PlannedFault};
 use crate::soak_history::{EVENT_TOKENS, EVENTS, Ran};
 use crate::soak_process::{GatewayProcess, ProcessPorts, wait_end};
@@ -67,7 +67,7 @@
 #[derive(Debug)]
 pub struct SoakWorld {
     store: PlatformStore,
-    doors: Vec<StoreDoor>,
+    doors: Vec<StoreEndpoint>,
     servers: Vec<Server>,
     gateways: Vec<Mutex<Gateway>>,
     version: Mutex<u64>,
@@ -213,15 +213,15 @@
                 Ok(())
             }
             Fault::LostAppends => {
-                self.spoil_appends(AppendFault::LoseAnswer, draw);
+                self.spoil_appends(AppendFault::LoseResponse, draw);
                 Ok(())
             }
             Fault::LateAppends => {
-                self.spoil_appends(AppendFault::DoLater, draw);
+                self.spoil_appends(AppendFault::Postpone, draw);
                 Ok(())
             }
             Fault::ForgetHistory => {
-                self.store.forget_history();
+                self.store.discard_history();
                 Ok(())
             }
             Fault::ServerLink => {
@@ -234,7 +234,7 @@
             Fault::ServerAnswers => {
                 let server = self.server(draw);
                 for number in 0..=draw % 4 {
-                    server.backend.spoil(answer_fault(draw / 8 + number));
+                    server.backend.inject_fault(answer_fault(draw / 8 + number));
                 }
                 Ok(())
             }
@@ -278,7 +278,7 @@
 
     fn spoil_appends(&self, fault: AppendFault, draw: u64) {
         for _ in 0..=draw % 3 {
-            self.store.spoil_append(fault);
+            self.store.inject_append_fault(fault);
         }
     }
 
@@ -362,7 +362,7 @@
 }
 
 /// Makes the store unreachable at some of its addresses for a while, in a way that is drawn.
-fn close_doors(doors: &[StoreDoor], draw: u64, span: Duration) {
+fn close_doors(doors: &[StoreEndpoint], draw: u64, span: Duration) {
     let modes = [
         StoreMode::Busy,
         StoreMode::Limited,
@@ -391,11 +391,11 @@
 fn answer_fault(draw: u64) -> BackendFault {
     match draw % 8 {
         0 => BackendFault::Refuse,
-        1 => BackendFault::LoseAnswer,
+        1 => BackendFault::LoseResponse,
         2 => BackendFault::Silence,
         3 => BackendFault::CutAfter(draw / 8 % EVENTS),
         4 => BackendFault::SilentAfter(draw / 8 % EVENTS),
-        5 => BackendFault::ExtraAnswer,
+        5 => BackendFault::ExtraResponse,
         6 => BackendFault::WrongId,
         _ => BackendFault::Unframed,
     }
--- a/standins/src/wire_server.rs
+++ b/standins/src/wire_server.rs
@@ -44,7 +44,7 @@
     /// Wait.
     Pause(Duration),
     /// Wait, and ask the handler again.
-    Again(Duration),
+    Retry(Duration),
     /// Close the connection.
     Close,
     /// Say nothing more, and keep the connection open.
@@ -145,7 +145,7 @@
                         return;
                     }
                 }
-                Step::Again(span) => {
+                Step::Retry(span) => {
                     if closed_within(&mut stream, &mut buffer, span).await {
                         return;
                     }
@@ -226,7 +226,7 @@
 
 /// The bytes of a whole answer with a length.
 #[must_use]
-pub fn whole(status: u16, headers: &[(&str, &str)], body: &[u8]) -> Bytes {
+pub fn full_response(status: u16, headers: &[(&str, &str)], body: &[u8]) -> Bytes {
     let mut bytes = head(status, headers);
     bytes.extend_from_slice(format!("content-length: {}\r\n\r\n", body.len()).as_bytes());
     bytes.extend_from_slice(body);
--- a/standins/tests/daemons.rs
+++ b/standins/tests/daemons.rs
@@ -40,7 +40,7 @@
 fn running(deployment: &Deployment) -> u32 {
     let engines = deployment.servers.engines.iter();
     engines
-        .map(|engine| engine.inspect(|engine| engine.load_now().running))
+        .map(|engine| engine.inspect(|engine| engine.current_load().running))
         .sum()
 }
 
@@ -120,7 +120,7 @@
 fn an_entry_leaves_after_its_last_answer() {
     let shape = Shape {
         plain: PlainSettings {
-            answer_us: SpanUs::from_s(1),
+            response_us: SpanUs::from_s(1),
         },
         ..Shape::default()
     };
@@ -215,7 +215,7 @@
 fn a_sidecar_leaves_after_its_last_call() {
     let shape = Shape {
         plain: PlainSettings {
-            answer_us: SpanUs::from_s(1),
+            response_us: SpanUs::from_s(1),
         },
         ..Shape::default()
     };
@@ -249,7 +249,7 @@
 fn a_forced_end_answers_what_is_unfinished_truthfully() {
     let shape = Shape {
         plain: PlainSettings {
-            answer_us: SpanUs::from_s(20),
+            response_us: SpanUs::from_s(20),
         },
         shutdown: ShutdownSettings {
             limit_us: SpanUs::from_ms(500),
@@ -336,7 +336,7 @@
 fn the_outcome_of_a_hold_whose_caller_left_is_fetched_later() {
     let shape = Shape {
         plain: PlainSettings {
-            answer_us: SpanUs::from_ms(300),
+            response_us: SpanUs::from_ms(300),
         },
         ..Shape::default()
     };
--- a/standins/tests/engine.rs
+++ b/standins/tests/engine.rs
@@ -89,7 +89,7 @@
         let expected = answer_text(body.prompt.chain(), Tokens(10 + at as u64));
         assert_eq!(answers[&body.attempt].text, expected);
     }
-    assert_eq!(engine.load_now().running, 0);
+    assert_eq!(engine.current_load().running, 0);
 }
 
 #[test]
@@ -162,7 +162,7 @@
         engine.submit(at, body(n as u128, prompt, 20)).expect("up");
         drain(&mut engine);
     }
-    assert!(engine.load_now().cache_used_tokens <= Tokens(900));
+    assert!(engine.current_load().cache_used_tokens <= Tokens(900));
     let kept = |n: usize| {
         let chain = Prompt::of_messages(&prompts[n]).chain();
         !engine.export(chain).segments.is_empty()
@@ -190,7 +190,7 @@
     assert_eq!(engine.export(chains(1)[0]).segments.len(), 1);
     assert!(engine.export(chains(0)[1]).segments.is_empty());
     engine.release(now, &chains(1));
-    assert_eq!(engine.load_now().cache_used_tokens, Tokens(0));
+    assert_eq!(engine.current_load().cache_used_tokens, Tokens(0));
 }
 
 /// The caller sees its answer go on without a hole after a cut link. The sidecar asks again from
@@ -253,14 +253,14 @@
     }
     engine.advance(TimeUs(100_000));
     assert_eq!(
-        (engine.load_now().running, engine.load_now().waiting),
+        (engine.current_load().running, engine.current_load().waiting),
         (2, 2)
     );
     for n in [0, 3] {
         engine.cancel(TimeUs(100_000), AttemptId(n));
     }
     assert_eq!(
-        (engine.load_now().running, engine.load_now().waiting),
+        (engine.current_load().running, engine.current_load().waiting),
         (2, 0)
     );
     let mut ended = Vec::new();
@@ -319,16 +319,16 @@
     };
     let now = TimeUs(1_000_000);
     engine.order(now, order.clone()).expect("new");
-    assert!(engine.weights_wanted(now).is_some());
-    assert!(engine.weights_wanted(now).is_none());
-    engine.weights_answer(now, Err(SpanUs(500)));
-    assert!(engine.weights_wanted(now).is_none());
-    assert!(engine.weights_wanted(TimeUs(1_000_500)).is_some());
-    engine.weights_answer(TimeUs(1_000_500), Ok(SpanUs(100)));
+    assert!(engine.take_weight_request(now).is_some());
+    assert!(engine.take_weight_request(now).is_none());
+    engine.complete_weight_fetch(now, Err(SpanUs(500)));
+    assert!(engine.take_weight_request(now).is_none());
+    assert!(engine.take_weight_request(TimeUs(1_000_500)).is_some());
+    engine.complete_weight_fetch(TimeUs(1_000_500), Ok(SpanUs(100)));
     engine.advance(TimeUs(1_000_600));
     assert_eq!(engine.state().busy, None);
     assert_eq!(engine.state().models.len(), 1);
-    assert_eq!(engine.load_now().cache_used_tokens, Tokens(0));
+    assert_eq!(engine.current_load().cache_used_tokens, Tokens(0));
     let again = engine.order(TimeUs(1_000_600), order).expect("seen");
     assert_eq!(again.busy, None);
 }
--- a/standins/tests/gateway.rs
+++ b/standins/tests/gateway.rs
@@ -6,7 +6,7 @@
 use std::io::Write;
 
 use standins::platform_backend::{BackendFault, PlatformBackend, body_text, event_data};
-use standins::platform_caller::{CallerRequest, exchange, read_answer};
+use standins::platform_caller::{CallerRequest, exchange, read_response};
 use standins::platform_run::{PlatformRun, config, wait_until};
 
 fn run() -> PlatformRun {
@@ -183,7 +183,7 @@
     assert!(!standins::platform_run::is_ready(
         run.gateways[0].addresses.ready
     ));
-    let answer = read_answer(&mut caller).expect("an answer");
+    let answer = read_response(&mut caller).expect("an answer");
     assert_eq!((answer.status, answer.is_complete), (200, true));
     assert_eq!(answer.body, events("t1", 1..=4));
     wait_until(|| run.gateways[0].has_ended()).expect("the end");
@@ -204,7 +204,7 @@
     caller.write_all(first).expect("sent");
     std::thread::sleep(Duration::from_millis(200));
     caller.write_all(rest).expect("sent");
-    let answer = read_answer(&mut caller).expect("an answer");
+    let answer = read_response(&mut caller).expect("an answer");
     assert_eq!((answer.status, answer.is_complete), (200, true));
     wait_until(|| run.gateways[0].has_ended()).expect("the end");
 }
@@ -215,8 +215,8 @@
 fn a_refusal_that_says_not_run_is_true() {
     let run = run();
     let at = run.callers(0);
-    run.plains[0].spoil(BackendFault::Refuse);
-    run.plains[1].spoil(BackendFault::Refuse);
+    run.plains[0].inject_fault(BackendFault::Refuse);
+    run.plains[1].inject_fault(BackendFault::Refuse);
     let request = CallerRequest::new("POST", "/book/1", "r1");
     let answer = request.send(at).expect("an answer");
     assert_eq!(answer.status, 503);
@@ -233,7 +233,7 @@
 fn a_booking_is_never_sent_twice() {
     let run = run();
     for plain in &run.plains {
-        plain.spoil(BackendFault::LoseAnswer);
+        plain.inject_fault(BackendFault::LoseResponse);
     }
     let request = CallerRequest::new("POST", "/book/1", "r1");
     let answer = request.send(run.callers(0)).expect("an answer");
@@ -247,7 +247,7 @@
 fn a_silent_booking_ends_at_the_timeout_without_a_promise() {
     let run = run();
     for plain in &run.plains {
-        plain.spoil(BackendFault::Silence);
+        plain.inject_fault(BackendFault::Silence);
     }
     let request = CallerRequest::new("POST", "/book/1", "r1");
     let answer = request.send(run.callers(0)).expect("an answer");
@@ -266,19 +266,19 @@
 fn a_lookup_survives_bad_answers() {
     let run = run();
     let faults = [
-        BackendFault::LoseAnswer,
+        BackendFault::LoseResponse,
         BackendFault::Silence,
         BackendFault::CutAfter(0),
         BackendFault::WrongId,
         BackendFault::Unframed,
-        BackendFault::ExtraAnswer,
+        BackendFault::ExtraResponse,
     ];
     for fault in faults {
-        run.plains[0].spoil(fault);
+        run.plains[0].inject_fault(fault);
         let mut number = 0;
         // A server that failed is passed over for a while, so that it may take some lookups until
         // the next fault is met.
-        while run.plains[0].has_faults() {
+        while run.plains[0].has_pending_faults() {
             let id = format!("{fault:?}-{number}");
             let request = CallerRequest::new("GET", "/look/1", &id);
             let answer = request.send(run.callers(0)).expect("an answer");
@@ -297,7 +297,7 @@
     let run = run();
     let at = run.callers(0);
     for number in 0..12 {
-        run.plains[number % 2].spoil(BackendFault::ExtraAnswer);
+        run.plains[number % 2].inject_fault(BackendFault::ExtraResponse);
     }
     for number in 0..24 {
         let id = format!("r{number}");
@@ -317,7 +317,7 @@
     for number in 0..12 {
         let pause = Duration::from_millis(1 + number % 4);
         let plain = usize::from(number % 2 == 1);
-        run.plains[plain].spoil(BackendFault::LateExtraAnswer(pause));
+        run.plains[plain].inject_fault(BackendFault::LateExtraResponse(pause));
     }
     for number in 0..24 {
         let id = format!("r{number}");
@@ -354,7 +354,7 @@
             ran.iter()
                 .any(|execution| execution.id == format!("{id}-first"))
         });
-        run.engines[holder.expect("an engine")].spoil(fault);
+        run.engines[holder.expect("an engine")].inject_fault(fault);
         let answer = CallerRequest::turn("/draft/1", id, id, "x").send(at);
         let answer = answer.expect("an answer");
         assert_eq!(
@@ -373,7 +373,7 @@
 fn another_stream_ends_early_and_does_not_look_complete() {
     let run = run();
     for engine in &run.engines {
-        engine.spoil(BackendFault::CutAfter(2));
+        engine.inject_fault(BackendFault::CutAfter(2));
     }
     let turn = CallerRequest::turn("/chat/1", "t1", "p1", "x");
     let answer = turn.send(run.callers(0)).expect("an answer");
@@ -415,7 +415,7 @@
 fn a_silent_server_is_passed_over() {
     let run = run();
     for _ in 0..100 {
-        run.plains[0].spoil(BackendFault::Silence);
+        run.plains[0].inject_fault(BackendFault::Silence);
     }
     for number in 0..100 {
         let request = CallerRequest::new("GET", "/look/1", &format!("r{number}"));
--- a/standins/tests/gateway_bounds.rs
+++ b/standins/tests/gateway_bounds.rs
@@ -73,7 +73,7 @@
     added.expect("a gateway");
     let at = run.callers(0);
     for plain in &run.plains {
-        plain.spoil(BackendFault::Silence);
+        plain.inject_fault(BackendFault::Silence);
     }
     let booking = |id: &str| CallerRequest {
         body: "x".repeat(40_000),
@@ -105,7 +105,7 @@
     let run = PlatformRun::start(1).expect("a run");
     for plain in &run.plains {
         for _ in 0..2 * LOOKUPS {
-            plain.spoil(BackendFault::LoseAnswer);
+            plain.inject_fault(BackendFault::LoseResponse);
         }
     }
     for number in 0..LOOKUPS {
--- a/standins/tests/gateway_homes.rs
+++ b/standins/tests/gateway_homes.rs
@@ -27,7 +27,7 @@
 
 /// Lets the store fall silent for all gateways.
 fn silence_store(run: &PlatformRun) {
-    for door in &run.doors {
+    for door in &run.store_endpoints {
         door.set_mode(StoreMode::Silent);
     }
 }
@@ -37,8 +37,8 @@
 fn lose_first(run: &mut PlatformRun) {
     silence_store(run);
     drop(run.gateways.remove(0));
-    run.doors.remove(0);
-    run.doors[0].set_mode(StoreMode::Serving);
+    run.store_endpoints.remove(0);
+    run.store_endpoints[0].set_mode(StoreMode::Serving);
 }
 
 /// The partitions of the process that is the home of most.
@@ -219,7 +219,7 @@
         assert_eq!(turn(&run, 1, program, &format!("{program}-first")), 200);
     }
     drop(run.gateways.remove(0));
-    run.doors.remove(0);
+    run.store_endpoints.remove(0);
     assert!(homes(&run) < 96, "the home's records are gone");
     for program in &programs {
         let served = 1 + serve_all(&run, 0, program);
@@ -261,7 +261,7 @@
         most_homes_of_one(&run) == 96
     })
     .expect("new homes of the lost gateway's partitions");
-    run.doors[0].set_mode(StoreMode::Silent);
+    run.store_endpoints[0].set_mode(StoreMode::Silent);
     for number in 0..12 {
         let program = format!("p{number}");
         assert_eq!(turn(&run, 0, &program, &program), 200, "{program}");
--- a/standins/tests/gateway_ledger.rs
+++ b/standins/tests/gateway_ledger.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use standins::platform_backend::{PlatformBackend, body_text};
-use standins::platform_caller::{CallerAnswer, CallerRequest};
+use standins::platform_caller::{CallerRequest, CallerResponse};
 use standins::platform_run::PlatformRun;
 use standins::platform_store::{AppendFault, StoreMode};
 
@@ -18,7 +18,7 @@
     path: &str,
     id: &str,
     previous: Option<&str>,
-) -> CallerAnswer {
+) -> CallerResponse {
     let turn = CallerRequest::turn(path, id, "p1", id).with("Token-Budget", "400");
     let turn = match previous {
         Some(previous) => turn.with("Previous-Turn", previous),
@@ -95,7 +95,7 @@
 fn an_unknown_turn_is_only_denied_when_that_is_certain() {
     let run = run(1);
     assert_eq!(turn(&run, 0, "/chat/1", "t1", Some("never")).status, 404);
-    run.doors[0].set_mode(StoreMode::Busy);
+    run.store_endpoints[0].set_mode(StoreMode::Busy);
     let answer = turn(&run, 0, "/chat/1", "t2", Some("never"));
     assert_eq!(answer.status, 503);
     assert!(answer.headers.contains_key("retry-after"));
@@ -108,11 +108,11 @@
 fn the_end_of_a_turn_waits_for_its_record() {
     let run = run(1);
     assert_eq!(turn(&run, 0, "/chat/1", "t1", None).status, 200);
-    run.doors[0].set_mode(StoreMode::Silent);
+    run.store_endpoints[0].set_mode(StoreMode::Silent);
     let answer = turn(&run, 0, "/chat/1", "t2", Some("t1"));
     assert_eq!((answer.status, answer.is_complete), (200, false));
     assert_eq!(answer.body.matches("data:").count(), 4);
-    run.doors[0].set_mode(StoreMode::Serving);
+    run.store_endpoints[0].set_mode(StoreMode::Serving);
     let answer = turn(&run, 0, "/chat/1", "t3", Some("t1"));
     assert_eq!((answer.status, answer.is_complete), (200, true));
 }
@@ -123,11 +123,11 @@
 fn a_lost_answer_of_the_store_changes_nothing() {
     let run = run(1);
     for fault in [
-        AppendFault::LoseAnswer,
-        AppendFault::DoLater,
-        AppendFault::LoseAnswer,
+        AppendFault::LoseResponse,
+        AppendFault::Postpone,
+        AppendFault::LoseResponse,
     ] {
-        run.store.spoil_append(fault);
+        run.store.inject_append_fault(fault);
     }
     assert_eq!(turn(&run, 0, "/chat/1", "t1", None).status, 200);
     assert_eq!(turn(&run, 0, "/chat/1", "t2", Some("t1")).status, 200);
@@ -141,7 +141,7 @@
 fn a_peer_reaches_the_store_for_a_gateway_that_does_not() {
     let run = run(2);
     for mode in [StoreMode::Busy, StoreMode::Reset, StoreMode::Silent] {
-        run.doors[1].set_mode(mode);
+        run.store_endpoints[1].set_mode(mode);
         let id = format!("t-{mode:?}");
         let answer = turn(&run, 1, "/chat/1", &id, None);
         assert_eq!((answer.status, answer.is_complete), (200, true), "{mode:?}");
@@ -155,7 +155,7 @@
     let run = run(2);
     run.store.set_page_items(1);
     assert_eq!(turn(&run, 0, "/chat/1", "t1", None).status, 200);
-    run.store.forget_history();
+    run.store.discard_history();
     assert_eq!(turn(&run, 1, "/chat/1", "t2", Some("t1")).status, 200);
     assert!(prompt(&run, "t2").starts_with("t1t1-1\n"));
     let slices = run.store.keys("keyed.budgets").len();
@@ -212,7 +212,7 @@
 fn a_program_goes_on_elsewhere_while_the_store_is_away() {
     let run = run(2);
     assert_eq!(turn(&run, 0, "/draft/1", "t1", None).status, 200);
-    for door in &run.doors {
+    for door in &run.store_endpoints {
         door.set_mode(StoreMode::Busy);
     }
     let is_served =
--- a/standins/tests/gateway_lists.rs
+++ b/standins/tests/gateway_lists.rs
@@ -93,7 +93,7 @@
     let run = PlatformRun::start(2).expect("a run");
     // The second one knows its peer as a seed.
     sleep(Duration::from_millis(500));
-    run.doors[1].set_mode(StoreMode::Silent);
+    run.store_endpoints[1].set_mode(StoreMode::Silent);
     run.store.put("keyed.op", "config", &moved_config(2));
     let begun = Instant::now();
     wait_until(|| knows_move(&run, 1)).expect("the new configuration");
@@ -111,7 +111,7 @@
     let run = PlatformRun::start(1).expect("a run");
     sleep(Duration::from_millis(500));
     run.store.put("keyed.servers", "gone", "");
-    run.store.forget_history();
+    run.store.discard_history();
     run.store.put("keyed.op", "config", &moved_config(2));
     wait_until(|| knows_move(&run, 0)).expect("the new configuration");
 }
@@ -194,12 +194,12 @@
 #[test]
 fn servers_that_lapse_with_the_store_are_used_on_its_return() {
     let run = PlatformRun::start(1).expect("a run");
-    run.doors[0].set_mode(StoreMode::Busy);
+    run.store_endpoints[0].set_mode(StoreMode::Busy);
     sleep(Duration::from_secs(3));
     for server in ["p-1", "p-2"] {
         run.store.remove("keyed.servers", server);
     }
-    run.doors[0].set_mode(StoreMode::Serving);
+    run.store_endpoints[0].set_mode(StoreMode::Serving);
     let returned_at = Instant::now();
     while returned_at.elapsed() < Duration::from_secs(1) {
         let request = CallerRequest::new("GET", "/look/1", "r");
--- a/standins/tests/log_service.rs
+++ b/standins/tests/log_service.rs
@@ -27,13 +27,13 @@
 fn after_a_lost_answer_the_record_may_be_there() {
     let mut log = LogService::new(LogSettings::default());
     log.script([
-        Some(AppendFault::LostAnswer),
+        Some(AppendFault::LostResponse),
         Some(AppendFault::LostRequest),
         Some(AppendFault::LateWrite(SpanUs::from_ms(50))),
         None,
     ]);
     for text in ["kept", "lost", "late"] {
-        assert_eq!(append(&mut log, TimeUs(0), text), Err(LogError::NoAnswer));
+        assert_eq!(append(&mut log, TimeUs(0), text), Err(LogError::NoResponse));
     }
     assert_eq!(append(&mut log, TimeUs(0), "plain"), Ok(Offset(1)));
     assert_eq!(texts(&mut log, TimeUs(49_999)), ["kept", "plain"]);
--- a/standins/tests/platform.rs
+++ b/standins/tests/platform.rs
@@ -75,11 +75,11 @@
     };
     let hold = post("/holds", r#"{"id":"h1","slot":"dome-1"}"#);
     assert_eq!(service.handle(TimeUs(0), &hold).status, 201);
-    assert!(service.doubled().is_empty());
+    assert!(service.duplicate_executions().is_empty());
     let cancel = post("/cancellations", r#"{"id":"c1","hold":"h1"}"#);
     service.handle(TimeUs(0), &cancel);
     let again = service.handle(TimeUs(0), &cancel);
     assert!(again.body.contains("not held"), "{}", again.body);
-    assert_eq!(service.doubled(), ["c1"]);
+    assert_eq!(service.duplicate_executions(), ["c1"]);
     assert_eq!(service.handle(TimeUs(0), &post("/holds", "{")).status, 400);
 }
