--- a/standins/src/clock.rs
+++ b/standins/src/clock.rs
@@ -1,17 +1,17 @@
-//! The real clock of the stand-ins behind HTTP, as time since their start.
+//! Provides the monotonic clock of the HTTP stand-ins, measured from their start.
 
 use std::time::Instant;
 
 use clementinepick::units::TimeUs;
 
-/// Reads the time since it was made.
+/// A monotonic clock that starts at zero.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     start: Instant,
 }
 
 impl Clock {
-    /// A clock that begins at zero now.
+    /// Starts a clock at zero.
     #[must_use]
     pub fn start() -> Self {
         Self {
@@ -19,13 +19,13 @@
         }
     }
 
-    /// The time since the start.
+    /// Returns the time since the start.
     #[must_use]
     pub fn now(&self) -> TimeUs {
         TimeUs(u64::try_from(self.start.elapsed().as_micros()).unwrap_or(u64::MAX))
     }
 
-    /// The instant of a time.
+    /// Converts a time of this clock to an [`Instant`].
     #[must_use]
     pub fn instant(&self, at: TimeUs) -> Instant {
         self.start + std::time::Duration::from_micros(at.0)
--- a/standins/src/engine.rs
+++ b/standins/src/engine.rs
@@ -1,8 +1,7 @@
-//! The model engine: continuous batching, a prefix cache, orders, and failures on demand.
+//! Simulates a model engine with continuous batching, a prefix cache, orders and injected failures.
 //!
-//! Time moves only by [`Engine::advance`]. Between two events the batch is constant, so that a
-//! decode step costs nothing until some sequence has text to send: a virtual-time run pays for
-//! lines, not for tokens.
+//! Time passes only through the `now` arguments of the calls. The batch is constant between two
+//! events, so a run in virtual time does work per output line rather than per token.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -20,38 +19,38 @@
 use crate::sequence::{Phase, Sequence, text_after, text_line, tokens_of};
 use crate::step_clock::StepClock;
 
-/// How an engine behaves.
+/// Settings of a simulated engine.
 #[derive(Debug, Clone)]
 pub struct EngineSettings {
-    /// The most sequences in the running batch.
+    /// Maximum number of sequences in the running batch.
     pub max_running: u32,
-    /// The cache memory.
+    /// Capacity of the prefix cache.
     pub cache_size_tokens: Tokens,
-    /// The size of one token's cached state.
+    /// Size of the cached state of one token.
     pub cache_bytes_per_token: Bytes,
-    /// The time of a decode step with an empty batch.
+    /// Duration of a decode step with an empty batch.
     pub step_base_us: SpanUs,
-    /// What each running sequence adds to a decode step.
+    /// Time that each decoding sequence adds to a decode step.
     pub step_per_sequence_us: SpanUs,
-    /// How fast prompts are prefilled, one after the other.
+    /// Prefill rate; prompts are prefilled one at a time.
     pub prefill_tokens_per_s: u64,
-    /// The time that a prefill takes beside its tokens.
+    /// Fixed overhead of each prefill.
     pub prefill_base_us: SpanUs,
-    /// The tokens in one line of text; the first line has one token.
+    /// Tokens per text line, after a first line of one token.
     pub chunk_tokens: Tokens,
-    /// How old the load reports are that it gives out.
+    /// Age of the load reports that the engine publishes.
     pub load_lag_us: SpanUs,
-    /// How late cache events can be read.
+    /// Delay until a cache event can be read.
     pub event_lag_us: SpanUs,
-    /// The share of cache events that are never seen.
+    /// Probability that a run of lost cache events starts at an event.
     pub event_loss: Percent,
-    /// Whether it refuses orders that carry an old fencing number.
+    /// Whether the engine rejects orders that carry an old fencing number.
     pub checks_fencing: bool,
-    /// What it serves after a start; empty: any model.
+    /// Models served after a start; if empty, every model is served.
     pub models: BTreeMap<ModelName, VersionName>,
-    /// The part it plays after a start.
+    /// Role after a start.
     pub role: EngineRole,
-    /// Seeds the loss of events.
+    /// Seed for the loss of cache events.
     pub seed: u64,
 }
 
@@ -77,35 +76,34 @@
     }
 }
 
-/// Why an engine does not do what it is asked.
+/// Reason why an engine rejects a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum EngineError {
-    /// The process is down.
-    #[error("the engine is down")]
+    /// The engine process is down.
+    #[error("engine is down")]
     Down,
-    /// An attempt with this id came before.
-    #[error("this attempt came before")]
+    /// An attempt with this id was submitted before.
+    #[error("duplicate attempt id")]
     DuplicateAttempt,
-    /// No such attempt, or its answer is no longer kept.
-    #[error("no such attempt")]
+    /// The attempt is unknown, or its output is no longer retained.
+    #[error("unknown attempt id")]
     UnknownAttempt,
-    /// The cache can't take it.
-    #[error("it does not fit into the cache")]
+    /// The prefix does not fit into the free cache memory.
+    #[error("prefix does not fit into the free cache memory")]
     CacheFull,
 }
 
-/// An answer that was generated whole, kept for resumes.
+/// The output of a completed attempt, retained so that a client can resume reading it.
 #[derive(Debug, Clone)]
-struct Ended {
+struct CompletedAttempt {
     chain: ChainHash,
     count: Tokens,
     done: GenerateLine,
 }
 
-/// How many ended answers are kept.
-const MAX_ENDED: usize = 4_096;
+const MAX_COMPLETED_ATTEMPTS: usize = 4_096;
 
-/// One model engine.
+/// A simulated model engine.
 #[derive(Debug)]
 pub struct Engine {
     pub(crate) settings: EngineSettings,
@@ -114,14 +112,14 @@
     pub(crate) waiting: VecDeque<AttemptId>,
     prefills: VecDeque<AttemptId>,
     prefill_ends_us: Option<TimeUs>,
-    /// The steps at which decoding sequences have a line to send.
+    /// Step at which each decoding sequence emits its next line.
     due: BTreeSet<(u64, AttemptId)>,
     decoding: u64,
     pub(crate) running: u32,
     clock: StepClock,
     speed: Percent,
-    ended: BTreeMap<AttemptId, Ended>,
-    ended_order: VecDeque<AttemptId>,
+    completed: BTreeMap<AttemptId, CompletedAttempt>,
+    completion_order: VecDeque<AttemptId>,
     lines: Vec<(AttemptId, GenerateLine)>,
     pub(crate) loads: LoadHistory,
     pub(crate) feed: EventFeed,
@@ -132,7 +130,7 @@
 }
 
 impl Engine {
-    /// An engine that has just started.
+    /// Creates a running engine with an empty cache.
     #[must_use]
     pub fn new(settings: EngineSettings) -> Self {
         Self {
@@ -146,8 +144,8 @@
             running: 0,
             clock: StepClock::new(TimeUs(0), settings.step_base_us),
             speed: Percent::new(100).unwrap_or_default(),
-            ended: BTreeMap::new(),
-            ended_order: VecDeque::new(),
+            completed: BTreeMap::new(),
+            completion_order: VecDeque::new(),
             lines: Vec::new(),
             loads: LoadHistory::new(settings.load_lag_us),
             feed: EventFeed::new(settings.event_lag_us, settings.event_loss, settings.seed),
@@ -159,27 +157,28 @@
         }
     }
 
-    /// Takes a request into the engine's own queue, which knows no priorities.
+    /// Adds a request to the engine's queue, which is first-in, first-out.
     ///
     /// # Errors
     ///
-    /// [`EngineError::Down`] and [`EngineError::DuplicateAttempt`]; it did not run then.
+    /// [`EngineError::Down`] or [`EngineError::DuplicateAttempt`]; the request was not executed.
     pub fn submit(&mut self, now: TimeUs, body: GenerateBody) -> Result<(), EngineError> {
         if !self.up {
             return Err(EngineError::Down);
         }
         self.run_until(now);
-        if self.sequences.contains_key(&body.attempt) || self.ended.contains_key(&body.attempt) {
+        if self.sequences.contains_key(&body.attempt) || self.completed.contains_key(&body.attempt)
+        {
             return Err(EngineError::DuplicateAttempt);
         }
         let attempt = body.attempt;
         if !self.orders.serves(&body.model) {
-            self.fail(attempt, "the model is not loaded");
+            self.emit_failure(attempt, "the model is not loaded");
             return Ok(());
         }
         let sequence = Sequence::new(body);
         if sequence.most_memory() > self.settings.cache_size_tokens {
-            self.fail(attempt, "the prompt and answer are larger than the cache");
+            self.emit_failure(attempt, "the prompt and answer are larger than the cache");
             return Ok(());
         }
         self.sequences.insert(attempt, sequence);
@@ -189,7 +188,7 @@
         Ok(())
     }
 
-    /// When something will happen by itself next.
+    /// Returns the time of the next event that occurs without a further call.
     #[must_use]
     pub fn next_event_at(&self) -> Option<TimeUs> {
         if !self.up {
@@ -200,7 +199,7 @@
         work.into_iter().flatten().min()
     }
 
-    /// Moves on to `now` and returns what was generated, in order.
+    /// Advances to `now` and returns the lines generated so far, in order.
     pub fn advance(&mut self, now: TimeUs) -> Vec<(AttemptId, GenerateLine)> {
         if self.up {
             self.run_until(now);
@@ -208,12 +207,11 @@
         std::mem::take(&mut self.lines)
     }
 
-    /// What has been generated of an attempt after `position`; what is generated from now on comes
-    /// by [`Engine::advance`].
+    /// Returns the output of an attempt after `position`; [`Engine::advance`] returns later lines.
     ///
     /// # Errors
     ///
-    /// [`EngineError::Down`] and [`EngineError::UnknownAttempt`].
+    /// [`EngineError::Down`] or [`EngineError::UnknownAttempt`].
     pub fn resume(
         &self,
         attempt: AttemptId,
@@ -222,9 +220,9 @@
         if !self.up {
             return Err(EngineError::Down);
         }
-        if let Some(ended) = self.ended.get(&attempt) {
-            let mut lines = text_after(ended.chain, ended.count, position);
-            lines.push(ended.done.clone());
+        if let Some(completed) = self.completed.get(&attempt) {
+            let mut lines = text_after(completed.chain, completed.count, position);
+            lines.push(completed.done.clone());
             return Ok(lines);
         }
         let sequence = self.sequences.get(&attempt);
@@ -232,7 +230,7 @@
         Ok(text_after(sequence.chain, sequence.sent, position))
     }
 
-    /// Ends an attempt, wherever it is; nothing more comes of it.
+    /// Cancels a queued or running attempt and discards its undelivered lines.
     pub fn cancel(&mut self, now: TimeUs, attempt: AttemptId) {
         if !self.up {
             return;
@@ -242,46 +240,46 @@
         let Some(sequence) = self.sequences.remove(&attempt) else {
             return;
         };
-        self.leave(now, attempt, &sequence);
+        self.remove_from_batch(now, attempt, &sequence);
         self.admit(now);
         self.after_change(now);
     }
 
-    /// All tokens that were generated.
+    /// Returns the total number of generated tokens.
     #[must_use]
     pub const fn generated(&self) -> Tokens {
         self.generated
     }
 
-    /// All prompt tokens that were prefilled and not taken from the cache.
+    /// Returns the total number of prompt tokens prefilled, excluding cache hits.
     #[must_use]
     pub const fn prefilled(&self) -> Tokens {
         self.prefilled
     }
 
-    /// Whether the process runs.
+    /// Returns whether the engine process is running.
     #[must_use]
     pub const fn is_up(&self) -> bool {
         self.up
     }
 
-    /// The process dies: sequences, answers and cache are gone. Returns the attempts cut off.
+    /// Stops the process, losing sequences, output and cache; returns the interrupted attempts.
     pub fn crash(&mut self, now: TimeUs) -> Vec<AttemptId> {
-        let cut = self.sequences.keys().copied().collect();
+        let interrupted = self.sequences.keys().copied().collect();
         let feed = std::mem::replace(&mut self.feed, EventFeed::empty());
-        let fresh = Self::new(self.settings.clone());
+        let initial = Self::new(self.settings.clone());
         *self = Self {
             feed: feed.restarted(),
             up: false,
             clock: StepClock::new(now, self.settings.step_base_us),
             generated: self.generated,
             prefilled: self.prefilled,
-            ..fresh
+            ..initial
         };
-        cut
+        interrupted
     }
 
-    /// The process starts anew, with nothing but its settings.
+    /// Starts the process again after a crash, with only its settings.
     pub fn restart(&mut self, now: TimeUs) {
         if !self.up {
             self.up = true;
@@ -289,7 +287,7 @@
         }
     }
 
-    /// Nothing moves for `span`; the process stays up and takes requests.
+    /// Suspends all progress for `span`; the process stays up and accepts requests.
     pub fn hang(&mut self, now: TimeUs, span: SpanUs) {
         self.run_until(now);
         self.move_clock(now);
@@ -297,7 +295,7 @@
         self.prefill_ends_us = self.prefill_ends_us.map(|at| at.after(span));
     }
 
-    /// From now on decoding runs at this share of its speed.
+    /// Sets the decoding speed as a percentage of the configured speed.
     pub fn set_speed(&mut self, now: TimeUs, speed: Percent) {
         self.run_until(now);
         self.speed = speed;
@@ -319,7 +317,7 @@
             self.after_change(at);
         }
         if self.orders.advance(now) {
-            // Cached state belongs to the version that made it.
+            // Cached state is valid only for the model version that produced it.
             self.cache.clear_idle(now);
             self.after_change(now);
         }
@@ -346,20 +344,20 @@
         self.decoding += 1;
     }
 
-    /// Sends the lines that are due at the end of `step`.
+    /// Emits the lines that are due at the end of `step`.
     fn end_step(&mut self, now: TimeUs, step: u64) {
         self.clock.end_step(now, step);
-        let mut left = false;
+        let mut has_completed = false;
         while let Some(&(due, attempt)) = self.due.first().filter(|(due, _)| *due == step) {
             self.due.remove(&(due, attempt));
-            left |= self.emit(now, step, attempt);
+            has_completed |= self.emit(now, step, attempt);
         }
-        if left {
+        if has_completed {
             self.admit(now);
         }
     }
 
-    /// Sends one sequence's line; true when that ended it.
+    /// Emits the next line of a sequence; returns true if the sequence is complete.
     fn emit(&mut self, now: TimeUs, step: u64, attempt: AttemptId) -> bool {
         let Some(sequence) = self.sequences.get_mut(&attempt) else {
             return false;
@@ -375,24 +373,24 @@
         }
         sequence.sent = reached;
         self.lines.push((attempt, line));
-        let left = sequence.wanted - reached;
-        if left.0 > 0 {
-            let chunk = self.settings.chunk_tokens.0.clamp(1, left.0);
+        let remaining = sequence.wanted - reached;
+        if remaining.0 > 0 {
+            let chunk = self.settings.chunk_tokens.0.clamp(1, remaining.0);
             self.due.insert((step + chunk, attempt));
             return false;
         }
         if let Some(sequence) = self.sequences.remove(&attempt) {
-            self.end(now, attempt, sequence);
+            self.complete(now, attempt, sequence);
         }
         true
     }
 
-    fn end(&mut self, now: TimeUs, attempt: AttemptId, mut sequence: Sequence) {
+    fn complete(&mut self, now: TimeUs, attempt: AttemptId, mut sequence: Sequence) {
         let segment = answer_segment(sequence.chain, &sequence.text);
         sequence.segments.push(segment);
         self.store(&sequence.segments, sequence.segments.len() - 1);
         sequence.reserved = sequence.reserved.saturating_sub(segment.length_tokens);
-        self.leave(now, attempt, &sequence);
+        self.remove_from_batch(now, attempt, &sequence);
         let done = GenerateLine::Done {
             usage: Usage {
                 prompt_tokens: sequence.prompt,
@@ -403,22 +401,22 @@
             cached: sequence.segments,
         };
         self.lines.push((attempt, done.clone()));
-        let ended = Ended {
+        let completed = CompletedAttempt {
             chain: sequence.chain,
             count: sequence.wanted,
             done,
         };
-        self.ended.insert(attempt, ended);
-        self.ended_order.push_back(attempt);
-        if self.ended_order.len() > MAX_ENDED
-            && let Some(oldest) = self.ended_order.pop_front()
+        self.completed.insert(attempt, completed);
+        self.completion_order.push_back(attempt);
+        if self.completion_order.len() > MAX_COMPLETED_ATTEMPTS
+            && let Some(oldest) = self.completion_order.pop_front()
         {
-            self.ended.remove(&oldest);
+            self.completed.remove(&oldest);
         }
     }
 
-    /// Takes a sequence that ended or was cancelled out of the batch.
-    fn leave(&mut self, now: TimeUs, attempt: AttemptId, sequence: &Sequence) {
+    /// Releases the resources of a completed or cancelled sequence.
+    fn remove_from_batch(&mut self, now: TimeUs, attempt: AttemptId, sequence: &Sequence) {
         self.cache.unreserve(sequence.reserved);
         match sequence.phase {
             Phase::Waiting => {
@@ -443,7 +441,7 @@
         self.running -= 1;
     }
 
-    /// Admits from the queue in order of arrival while batch and memory have room.
+    /// Admits queued sequences in arrival order while batch slots and cache memory are available.
     pub(crate) fn admit(&mut self, now: TimeUs) {
         while self.running < self.settings.max_running
             && let Some(attempt) = self.waiting.front().copied()
@@ -475,12 +473,12 @@
         }
     }
 
-    fn fail(&mut self, attempt: AttemptId, detail: &str) {
+    fn emit_failure(&mut self, attempt: AttemptId, detail: &str) {
         let detail = detail.to_owned();
         self.lines.push((attempt, GenerateLine::Failed { detail }));
     }
 
-    /// Starts the next prefill, sets the step's length by the batch, and notes what is published.
+    /// Starts the next prefill, updates the step duration, and records cache events and load.
     pub(crate) fn after_change(&mut self, now: TimeUs) {
         self.start_prefill(now);
         let batch = self.settings.step_per_sequence_us.0 * self.decoding;
@@ -491,7 +489,7 @@
         let events = self.cache.take_events();
         self.feed.push(now, events);
         if self.loads.is_due(now) {
-            self.loads.note(now, self.current_load());
+            self.loads.record_sample(now, self.current_load());
         }
     }
 
@@ -508,11 +506,11 @@
         let missing = sequence.prompt - sequence.cached;
         let rate = self.settings.prefill_tokens_per_s.max(1);
         let span = SpanUs(missing.0 * 1_000_000 / rate) + self.settings.prefill_base_us;
-        // During a hang the present step begins only later.
+        // While the engine hangs, the clock's base lies in the future.
         self.prefill_ends_us = Some(now.max(self.clock.base_us()).after(span));
     }
 
-    /// Moves the count of steps on to `now`.
+    /// Advances the step counter to `now`.
     fn move_clock(&mut self, now: TimeUs) {
         if self.decoding == 0 {
             self.clock.idle_to(now);
--- a/standins/src/engine_memory.rs
+++ b/standins/src/engine_memory.rs
@@ -1,4 +1,4 @@
-//! What an engine tells and lets others do about its memory: release, export, import, reports.
+//! Manages the cache memory of a simulated engine: release, export, import, events and load.
 
 use clementinepick::platform::{CacheEventsResponse, CacheImage, LoadReport};
 use clementinepick::prompt::ChainHash;
@@ -9,7 +9,8 @@
 use crate::sequence::tokens_of;
 
 impl Engine {
-    /// Frees cached prefixes; what others share or a running sequence uses stays.
+    /// Frees cached prefixes, except segments shared with other prefixes or used by a running
+    /// sequence.
     pub fn release(&mut self, now: TimeUs, chains: &[ChainHash]) -> Tokens {
         if !self.is_up() {
             return Tokens(0);
@@ -21,7 +22,7 @@
         freed
     }
 
-    /// Frees all cached prefixes but those that end in `chains`; what runs stays.
+    /// Frees all cached prefixes except those that end in `chains` and those of running sequences.
     pub fn retain(&mut self, now: TimeUs, chains: &[ChainHash]) -> Tokens {
         if !self.is_up() {
             return Tokens(0);
@@ -33,7 +34,7 @@
         freed
     }
 
-    /// The cached state of a prefix; it stays cached here too.
+    /// Returns the cached state of a prefix, which also stays in this cache.
     #[must_use]
     pub fn export(&self, chain: ChainHash) -> CacheImage {
         let segments = self.cache.path(chain);
@@ -44,11 +45,11 @@
         }
     }
 
-    /// Takes a prefix that another engine exported.
+    /// Stores a prefix that another engine exported.
     ///
     /// # Errors
     ///
-    /// [`EngineError::Down`] and [`EngineError::CacheFull`].
+    /// [`EngineError::Down`] or [`EngineError::CacheFull`].
     pub fn import(&mut self, now: TimeUs, image: &CacheImage) -> Result<(), EngineError> {
         if !self.is_up() {
             return Err(EngineError::Down);
@@ -72,20 +73,20 @@
         }
     }
 
-    /// The cache events from number `after` on that can be read by now.
+    /// Returns the cache events from number `after` on that are readable at `now`.
     #[must_use]
     pub fn cache_events(&self, now: TimeUs, after: u64) -> CacheEventsResponse {
         self.feed.read(now, after)
     }
 
-    /// The engine's word of its load, as old as its settings say.
+    /// Returns a load report that is as old as the configured lag.
     pub fn load(&mut self, now: TimeUs) -> LoadReport {
         let report = self.current_load();
-        self.loads.note(now, report);
+        self.loads.record_sample(now, report);
         self.loads.report(now)
     }
 
-    /// The load without lag, for checks.
+    /// Returns the load without lag, for checks in tests.
     #[must_use]
     pub fn current_load(&self) -> LoadReport {
         LoadReport {
@@ -98,7 +99,7 @@
         }
     }
 
-    /// What idle cache memory was spent on, up to `now`.
+    /// Returns how idle cache memory was used up to `now`.
     #[must_use]
     pub fn cache_spend(&self, now: TimeUs) -> CacheSpend {
         self.cache.spend(now)
--- a/standins/src/engine_orders.rs
+++ b/standins/src/engine_orders.rs
@@ -1,7 +1,7 @@
-//! The orders of an engine: what it serves, and its check of fencing numbers.
+//! Executes orders that change what a simulated engine serves, and checks their fencing numbers.
 //!
-//! A load needs its weights from the weight store. The core has no way there: whoever drives it
-//! asks [`Engine::take_weight_request`], fetches, and says [`Engine::complete_weight_fetch`].
+//! Loading a model needs its weights from the weight store. The engine does no I/O: its driver calls
+//! [`Engine::take_weight_request`], fetches, and reports by [`Engine::complete_weight_fetch`].
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -12,36 +12,36 @@
 
 use crate::engine::{Engine, EngineSettings};
 
-/// How long a change takes that needs no weights.
+/// Duration of an order that needs no weights.
 const CHANGE_US: SpanUs = SpanUs::from_ms(200);
 
-/// Why an order is refused.
+/// Reason why an order is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum OrderError {
-    /// The engine has seen a higher fencing number.
-    #[error("the fencing number is below {0}")]
+    /// The engine has accepted a higher fencing number.
+    #[error("fencing number is below {0}")]
     Fenced(FencingNumber),
-    /// The process is down.
-    #[error("the engine is down")]
+    /// The engine process is down.
+    #[error("engine is down")]
     Down,
 }
 
-/// Weights that a load waits for.
+/// A request for the weights that an order needs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WeightRequest {
-    /// The model or adapter.
+    /// Model or adapter.
     pub model: ModelName,
-    /// The version.
+    /// Version of the model or adapter.
     pub version: VersionName,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Progress {
-    /// Weights are to be fetched, not before this time.
-    Fetch(TimeUs),
-    /// The fetch is under way.
+    /// The weights must be fetched, at this time at the earliest.
+    FetchPending(TimeUs),
+    /// The fetch is in progress.
     Fetching,
-    /// The order is carried out at this time.
+    /// The order takes effect at this time.
     Ready(TimeUs),
 }
 
@@ -51,8 +51,8 @@
     adapters: BTreeMap<ModelName, (ModelName, VersionName)>,
     role: EngineRole,
     checks_fencing: bool,
-    highest: Option<FencingNumber>,
-    seen: BTreeSet<OrderId>,
+    highest_fencing: Option<FencingNumber>,
+    accepted_ids: BTreeSet<OrderId>,
     queue: VecDeque<OrderBody>,
     progress: Progress,
 }
@@ -64,8 +64,8 @@
             adapters: BTreeMap::new(),
             role: settings.role,
             checks_fencing: settings.checks_fencing,
-            highest: None,
-            seen: BTreeSet::new(),
+            highest_fencing: None,
+            accepted_ids: BTreeSet::new(),
             queue: VecDeque::new(),
             progress: Progress::Fetching,
         }
@@ -81,23 +81,23 @@
         match self.progress {
             _ if self.queue.is_empty() => None,
             Progress::Ready(at) => Some(at),
-            Progress::Fetch(_) | Progress::Fetching => None,
+            Progress::FetchPending(_) | Progress::Fetching => None,
         }
     }
 
-    /// Carries out the orders that are ready by `now`; true when what is served has changed.
+    /// Executes the orders that are ready by `now`; returns true if the served models changed.
     pub(crate) fn advance(&mut self, now: TimeUs) -> bool {
         let mut changed = false;
         while let Some(at) = self.next_event_at().filter(|at| *at <= now)
             && let Some(body) = self.queue.pop_front()
         {
-            changed |= self.carry_out(body.order);
-            self.begin(at);
+            changed |= self.execute(body.order);
+            self.start_next(at);
         }
         changed
     }
 
-    fn carry_out(&mut self, order: EngineOrder) -> bool {
+    fn execute(&mut self, order: EngineOrder) -> bool {
         match order {
             EngineOrder::LoadModel { model, version } => {
                 self.models.insert(model, version);
@@ -123,13 +123,15 @@
         }
     }
 
-    /// Begins the first order of the queue.
-    fn begin(&mut self, now: TimeUs) {
+    /// Starts the first order of the queue.
+    fn start_next(&mut self, now: TimeUs) {
         let Some(body) = self.queue.front() else {
             return;
         };
         self.progress = match body.order {
-            EngineOrder::LoadModel { .. } | EngineOrder::LoadAdapter { .. } => Progress::Fetch(now),
+            EngineOrder::LoadModel { .. } | EngineOrder::LoadAdapter { .. } => {
+                Progress::FetchPending(now)
+            }
             EngineOrder::Unload { .. } | EngineOrder::SetRole { .. } => {
                 Progress::Ready(now.after(CHANGE_US))
             }
@@ -138,15 +140,18 @@
 
     fn accept(&mut self, now: TimeUs, body: OrderBody) -> Result<(), OrderError> {
         if self.checks_fencing {
-            if let Some(highest) = self.highest.filter(|highest| body.fencing < *highest) {
+            if let Some(highest) = self
+                .highest_fencing
+                .filter(|highest| body.fencing < *highest)
+            {
                 return Err(OrderError::Fenced(highest));
             }
-            self.highest = Some(body.fencing);
+            self.highest_fencing = Some(body.fencing);
         }
-        if self.seen.insert(body.id) {
+        if self.accepted_ids.insert(body.id) {
             self.queue.push_back(body);
             if self.queue.len() == 1 {
-                self.begin(now);
+                self.start_next(now);
             }
         }
         Ok(())
@@ -160,18 +165,18 @@
                 .map(|(name, (_, version))| (name.clone(), version.clone()))
                 .collect(),
             role: self.role,
-            fencing: self.highest,
+            fencing: self.highest_fencing,
             busy: self.queue.front().map(|body| body.id),
         }
     }
 }
 
 impl Engine {
-    /// Takes an order; the same order id is carried out once.
+    /// Accepts an order; an order id is executed only once.
     ///
     /// # Errors
     ///
-    /// [`OrderError::Fenced`] when the engine checks and has seen a higher number, and
+    /// [`OrderError::Fenced`] if fencing is checked and a higher number was accepted, or
     /// [`OrderError::Down`].
     pub fn order(&mut self, now: TimeUs, body: OrderBody) -> Result<EngineState, OrderError> {
         if !self.is_up() {
@@ -181,19 +186,19 @@
         Ok(self.orders.state())
     }
 
-    /// What the engine serves as of its last [`Engine::advance`].
+    /// Returns what the engine serves as of its last [`Engine::advance`].
     #[must_use]
     pub fn state(&self) -> EngineState {
         self.orders.state()
     }
 
-    /// The weights to fetch now; the fetch counts as begun.
+    /// Returns the weights to fetch now, if any, and marks their fetch as in progress.
     pub fn take_weight_request(&mut self, now: TimeUs) -> Option<WeightRequest> {
         match self.orders.progress {
-            Progress::Fetch(at) if at <= now => {}
-            Progress::Fetch(_) | Progress::Fetching | Progress::Ready(_) => return None,
+            Progress::FetchPending(at) if at <= now => {}
+            Progress::FetchPending(_) | Progress::Fetching | Progress::Ready(_) => return None,
         }
-        let wanted = match &self.orders.queue.front()?.order {
+        let request = match &self.orders.queue.front()?.order {
             EngineOrder::LoadModel { model, version }
             | EngineOrder::LoadAdapter {
                 adapter: model,
@@ -206,15 +211,15 @@
             EngineOrder::Unload { .. } | EngineOrder::SetRole { .. } => return None,
         };
         self.orders.progress = Progress::Fetching;
-        Some(wanted)
+        Some(request)
     }
 
-    /// The weights come after a span, or the store said when to ask again.
-    pub fn complete_weight_fetch(&mut self, now: TimeUs, answer: Result<SpanUs, SpanUs>) {
+    /// Records the result of a fetch: the remaining transfer time, or the time before a retry.
+    pub fn complete_weight_fetch(&mut self, now: TimeUs, result: Result<SpanUs, SpanUs>) {
         if self.orders.progress == Progress::Fetching && !self.orders.queue.is_empty() {
-            self.orders.progress = match answer {
+            self.orders.progress = match result {
                 Ok(transfer) => Progress::Ready(now.after(transfer)),
-                Err(retry_after) => Progress::Fetch(now.after(retry_after)),
+                Err(retry_after) => Progress::FetchPending(now.after(retry_after)),
             };
         }
     }
--- a/standins/src/engine_reports.rs
+++ b/standins/src/engine_reports.rs
@@ -1,5 +1,4 @@
-//! What an engine publishes of itself: a load report that lags, and cache events that come late
-//! and with gaps.
+//! Publishes the load and the cache events of a simulated engine, with a lag and with lost events.
 
 use std::collections::VecDeque;
 
@@ -8,14 +7,14 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha12Rng;
 
-/// The time between two samples of the load.
+/// Interval between samples of the load.
 const SAMPLE_US: SpanUs = SpanUs::from_ms(100);
-/// How many cache events are kept for readers.
+/// Maximum number of cache events retained for readers.
 const MAX_EVENTS: usize = 100_000;
-/// How many events in a row are lost at once, at most.
+/// Maximum number of consecutive events lost in one run.
 const MAX_LOST_RUN: u64 = 8;
 
-/// Samples of the load, from which a lagging report is read.
+/// Samples of the load from which lagging reports are taken.
 #[derive(Debug, Clone)]
 pub(crate) struct LoadHistory {
     lag: SpanUs,
@@ -30,23 +29,23 @@
         }
     }
 
-    /// Whether the last sample is old enough for another.
+    /// Returns whether the sampling interval has passed since the last sample.
     pub(crate) fn is_due(&self, now: TimeUs) -> bool {
         let last = self.samples.back();
         last.is_none_or(|(at, _)| now.since(*at) >= SAMPLE_US)
     }
 
-    /// Takes a sample, and forgets those that no report needs any more.
-    pub(crate) fn note(&mut self, now: TimeUs, report: LoadReport) {
+    /// Records a sample and drops those that no later report needs.
+    pub(crate) fn record_sample(&mut self, now: TimeUs, report: LoadReport) {
         self.samples.push_back((now, report));
-        while self.samples.len() > 1 && self.is_old(now, self.samples[1].0) {
+        while self.samples.len() > 1 && self.is_past_lag(now, self.samples[1].0) {
             self.samples.pop_front();
         }
     }
 
-    /// The newest sample that is as old as the lag, or the oldest there is.
+    /// Returns the newest sample that is at least as old as the lag, or else the oldest sample.
     pub(crate) fn report(&self, now: TimeUs) -> LoadReport {
-        let old = |(at, _): &&(TimeUs, LoadReport)| self.is_old(now, *at);
+        let old = |(at, _): &&(TimeUs, LoadReport)| self.is_past_lag(now, *at);
         let sample = self.samples.iter().rev().find(old);
         let Some((at, report)) = sample.or(self.samples.front()) else {
             return LoadReport::default();
@@ -57,28 +56,28 @@
         }
     }
 
-    fn is_old(&self, now: TimeUs, at: TimeUs) -> bool {
+    fn is_past_lag(&self, now: TimeUs, at: TimeUs) -> bool {
         at.after(self.lag) <= now
     }
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Numbered {
+struct NumberedEvent {
     number: u64,
     readable_us: TimeUs,
     event: CacheEvent,
 }
 
-/// The cache events as others read them.
+/// The published sequence of cache events.
 #[derive(Debug, Clone)]
 pub(crate) struct EventFeed {
     lag: SpanUs,
     loss: Percent,
     rng: ChaCha12Rng,
     next: u64,
-    /// Events that are still to be lost in the present run of losses.
-    losing: u64,
-    kept: VecDeque<Numbered>,
+    /// Events still to be dropped in the current run of losses.
+    remaining_losses: u64,
+    retained: VecDeque<NumberedEvent>,
 }
 
 impl EventFeed {
@@ -88,8 +87,8 @@
             loss,
             rng: ChaCha12Rng::seed_from_u64(seed),
             next: 0,
-            losing: 0,
-            kept: VecDeque::new(),
+            remaining_losses: 0,
+            retained: VecDeque::new(),
         }
     }
 
@@ -97,9 +96,10 @@
         Self::new(SpanUs(0), Percent::default(), 0)
     }
 
-    /// The feed after a crash: numbers go on, so that readers see a gap and not a fresh start.
+    /// Returns the feed after a crash. Numbering continues with a gap, so that readers notice that
+    /// events are missing instead of taking it for a new feed.
     pub(crate) fn restarted(mut self) -> Self {
-        self.kept.clear();
+        self.retained.clear();
         self.next += 1;
         self
     }
@@ -108,46 +108,46 @@
         for event in events {
             let number = self.next;
             self.next += 1;
-            if self.is_lost() {
+            if self.draw_loss() {
                 continue;
             }
             let readable_us = now.after(self.lag);
-            self.kept.push_back(Numbered {
+            self.retained.push_back(NumberedEvent {
                 number,
                 readable_us,
                 event,
             });
-            if self.kept.len() > MAX_EVENTS {
-                self.kept.pop_front();
+            if self.retained.len() > MAX_EVENTS {
+                self.retained.pop_front();
             }
         }
     }
 
-    fn is_lost(&mut self) -> bool {
-        if self.losing > 0 {
-            self.losing -= 1;
+    fn draw_loss(&mut self) -> bool {
+        if self.remaining_losses > 0 {
+            self.remaining_losses -= 1;
             return true;
         }
         let loss = u8::from(self.loss);
         if loss == 0 || self.rng.random_range(0..100) >= loss {
             return false;
         }
-        self.losing = self.rng.random_range(0..MAX_LOST_RUN);
+        self.remaining_losses = self.rng.random_range(0..MAX_LOST_RUN);
         true
     }
 
-    /// The readable events from `after` on, up to the next gap.
+    /// Returns the readable events from `after` on, up to the next gap.
     pub(crate) fn read(&self, now: TimeUs, after: u64) -> CacheEventsResponse {
-        let from = self.kept.partition_point(|kept| kept.number < after);
-        let first = self.kept.get(from).map_or(after, |kept| kept.number);
+        let from = self.retained.partition_point(|kept| kept.number < after);
+        let first = self.retained.get(from).map_or(after, |kept| kept.number);
         let events: Vec<CacheEvent> = self
-            .kept
+            .retained
             .range(from..)
             .zip(first..)
             .take_while(|(kept, expected)| kept.number == *expected && kept.readable_us <= now)
             .map(|(kept, _)| kept.event)
             .collect();
-        // A gap shows only once the event behind it can be read.
+        // A gap becomes visible only when the event after it is readable.
         let first = if events.is_empty() { after } else { first };
         CacheEventsResponse { first, events }
     }
--- a/standins/src/http.rs
+++ b/standins/src/http.rs
@@ -1,4 +1,4 @@
-//! What the HTTP sides of all stand-ins share.
+//! Reads requests and builds responses for the HTTP stand-ins.
 
 use std::convert::Infallible;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -13,28 +13,26 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// The largest body that a stand-in reads.
 const MAX_BODY_BYTES: usize = 64_000_000;
 
-/// An answer of a stand-in.
+/// A response of a stand-in.
 pub(crate) type HttpResponse = Response<BoxBody>;
 
-/// What a handler gives to the server.
+/// Result of a request handler.
 pub(crate) type HandlerResult = Result<HttpResponse, Infallible>;
 
-/// Locks a core; a handler that panicked leaves it as it was.
+/// Locks a mutex, ignoring poisoning by a handler that panicked.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Sleeps for a span.
 pub(crate) async fn sleep(span: SpanUs) {
     if span.0 > 0 {
         actix_rt::time::sleep(Duration::from_micros(span.0)).await;
     }
 }
 
-/// The parts of a request's path.
+/// Returns the non-empty segments of the request path.
 pub(crate) fn path_parts(request: &Request) -> Vec<String> {
     let parts = request.path().split('/');
     parts
@@ -43,7 +41,7 @@
         .collect()
 }
 
-/// A number of the query.
+/// Returns a query parameter as a number.
 pub(crate) fn query_number(request: &Request, name: &str) -> Option<u64> {
     let query = request.uri().query()?;
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -51,7 +49,7 @@
     named.next()?.1.parse().ok()
 }
 
-/// The whole body; absent when it breaks off or is too large.
+/// Reads the whole body; returns `None` if it is truncated or larger than [`MAX_BODY_BYTES`].
 pub(crate) async fn read_body(request: &mut Request) -> Option<Bytes> {
     let mut body = BytesMut::new();
     let mut payload = request.take_payload();
@@ -64,11 +62,11 @@
     Some(body.freeze())
 }
 
-/// The body as JSON.
+/// Reads the body as JSON.
 ///
 /// # Errors
 ///
-/// An answer with status 400.
+/// A response with status 400.
 pub(crate) async fn read_json<T: DeserializeOwned>(
     request: &mut Request,
 ) -> Result<T, HttpResponse> {
@@ -76,17 +74,17 @@
     serde_json::from_slice(&body).map_err(|err| text(StatusCode::BAD_REQUEST, err.to_string()))
 }
 
-/// An answer without a body.
+/// Builds a response without a body.
 pub(crate) fn empty(status: StatusCode) -> HttpResponse {
     Response::with_body(status, BoxBody::new(()))
 }
 
-/// An answer with a line of text.
+/// Builds a plain-text response.
 pub(crate) fn text(status: StatusCode, text: impl Into<String>) -> HttpResponse {
     Response::with_body(status, BoxBody::new(text.into()))
 }
 
-/// An answer in JSON.
+/// Builds a JSON response.
 pub(crate) fn json<T: Serialize>(value: &T) -> HttpResponse {
     match serde_json::to_string(value) {
         Ok(body) => json_text(StatusCode::OK, body),
@@ -94,21 +92,21 @@
     }
 }
 
-/// An answer whose JSON is there already.
+/// Builds a response from serialized JSON.
 pub(crate) fn json_text(status: StatusCode, body: String) -> HttpResponse {
-    let mut answer = Response::build(status);
-    answer.insert_header((CONTENT_TYPE, "application/json"));
-    answer.body(body).map_into_boxed_body()
+    let mut response = Response::build(status);
+    response.insert_header((CONTENT_TYPE, "application/json"));
+    response.body(body).map_into_boxed_body()
 }
 
-/// Refuses for now, and says when to come back, in whole seconds.
+/// Builds a response with a `retry-after` header, rounded up to whole seconds.
 pub(crate) fn retry_later(status: StatusCode, after: SpanUs) -> HttpResponse {
-    let mut answer = Response::build(status);
-    answer.insert_header((RETRY_AFTER, after.0.div_ceil(1_000_000).max(1).to_string()));
-    answer.body(()).map_into_boxed_body()
+    let mut response = Response::build(status);
+    response.insert_header((RETRY_AFTER, after.0.div_ceil(1_000_000).max(1).to_string()));
+    response.body(()).map_into_boxed_body()
 }
 
-/// No such path or method.
+/// Builds the response for an unknown path or method.
 pub(crate) fn not_found() -> HttpResponse {
     empty(StatusCode::NOT_FOUND)
 }
--- a/standins/src/http_engine.rs
+++ b/standins/src/http_engine.rs
@@ -1,6 +1,6 @@
-//! The model engine behind HTTP.
+//! Serves a simulated model engine over HTTP.
 //!
-//! Beside the paths of the platform's table it takes `POST /control/hang/{ms}`,
+//! Besides the paths of the platform API it accepts `POST /control/hang/{ms}`,
 //! `/control/speed/{percent}`, `/control/crash` and `/control/restart`.
 
 use std::collections::BTreeMap;
@@ -31,26 +31,26 @@
     sleep, text,
 };
 
-/// The wait after a weight store that gave no usable answer.
-const WEIGHTS_RETRY: SpanUs = SpanUs::from_s(1);
-/// The longest that the driver sleeps when nothing is due.
-const IDLE: Duration = Duration::from_millis(200);
+/// Retry interval if the weight store gives no usable response.
+const WEIGHTS_RETRY_INTERVAL: SpanUs = SpanUs::from_s(1);
+/// Maximum time that the driver sleeps between two advances.
+const IDLE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The core, and who reads which attempt's lines.
-struct Hosted {
+/// An engine and the receivers of each attempt's lines.
+struct HostedEngine {
     engine: Engine,
     readers: BTreeMap<AttemptId, UnboundedSender<GenerateLine>>,
 }
 
-impl Hosted {
-    /// Moves on to now and passes the lines to their readers; lines without a reader stay in the
-    /// engine's memory for a resume.
+impl HostedEngine {
+    /// Advances to now and sends the lines to their readers. Lines without a reader are retained by
+    /// the engine for a resume.
     fn advance(&mut self, clock: Clock) {
         for (attempt, line) in self.engine.advance(clock.now()) {
-            let last = !matches!(line, GenerateLine::Text { .. });
+            let is_last = !matches!(line, GenerateLine::Text { .. });
             if let Some(reader) = self.readers.get(&attempt) {
-                let gone = reader.send(line).is_err();
-                if last || gone {
+                let is_disconnected = reader.send(line).is_err();
+                if is_last || is_disconnected {
                     self.readers.remove(&attempt);
                 }
             }
@@ -65,20 +65,20 @@
     }
 }
 
-/// One engine behind HTTP.
+/// An engine served over HTTP.
 #[derive(Clone)]
 pub struct EngineHost {
-    hosted: Arc<Mutex<Hosted>>,
+    hosted: Arc<Mutex<HostedEngine>>,
     clock: Clock,
     wake: Arc<Notify>,
     weights: Option<SocketAddr>,
 }
 
 impl EngineHost {
-    /// An engine that loads from the weight store at `weights`.
+    /// Creates an engine that loads from the weight store at `weights`, or at once without one.
     #[must_use]
     pub fn new(settings: EngineSettings, clock: Clock, weights: Option<SocketAddr>) -> Self {
-        let hosted = Hosted {
+        let hosted = HostedEngine {
             engine: Engine::new(settings),
             readers: BTreeMap::new(),
         };
@@ -90,27 +90,27 @@
         }
     }
 
-    /// Looks at the core as it is now.
+    /// Advances the engine to now and runs `look` on it.
     pub fn inspect<T>(&self, look: impl FnOnce(&Engine) -> T) -> T {
         let mut hosted = lock(&self.hosted);
         hosted.advance(self.clock);
         look(&hosted.engine)
     }
 
-    /// Moves the engine on as time passes; it never ends by itself.
+    /// Advances the engine as time passes; never returns.
     pub(crate) async fn drive(self) {
         loop {
-            let (next, wanted) = {
+            let (next, weight_request) = {
                 let mut hosted = lock(&self.hosted);
                 hosted.advance(self.clock);
-                let wanted = hosted.engine.take_weight_request(self.clock.now());
-                (hosted.engine.next_event_at(), wanted)
+                let weight_request = hosted.engine.take_weight_request(self.clock.now());
+                (hosted.engine.next_event_at(), weight_request)
             };
-            if let Some(wanted) = wanted {
-                actix_rt::spawn(self.clone().fetch(wanted));
+            if let Some(weight_request) = weight_request {
+                actix_rt::spawn(self.clone().fetch_and_report(weight_request));
             }
-            let pause = next.map_or(IDLE, |at| {
-                Duration::from_micros(at.since(self.clock.now()).0).min(IDLE)
+            let pause = next.map_or(IDLE_INTERVAL, |at| {
+                Duration::from_micros(at.since(self.clock.now()).0).min(IDLE_INTERVAL)
             });
             tokio::select! {
                 () = actix_rt::time::sleep(pause) => {}
@@ -119,22 +119,22 @@
         }
     }
 
-    async fn fetch(self, wanted: WeightRequest) {
-        let answer = match self.weights {
-            Some(store) => fetch_weights(store, &wanted).await,
+    async fn fetch_and_report(self, weight_request: WeightRequest) {
+        let result = match self.weights {
+            Some(store) => fetch_weights(store, &weight_request).await,
             None => Ok(SpanUs(0)),
         };
         let now = self.clock.now();
-        lock(&self.hosted).engine.complete_weight_fetch(now, answer);
+        lock(&self.hosted).engine.complete_weight_fetch(now, result);
         self.wake.notify_one();
     }
 
-    /// Answers one request.
+    /// Handles one request.
     pub(crate) async fn handle(self, mut request: Request) -> HandlerResult {
         let parts = path_parts(&request);
         let parts: Vec<&str> = parts.iter().map(String::as_str).collect();
         let method = request.method().as_str().to_owned();
-        let answer = match (method.as_str(), &parts[..]) {
+        let response = match (method.as_str(), &parts[..]) {
             ("POST", ["v1", "generate"]) => self.generate(&mut request).await,
             ("POST", ["v1", "resume"]) => self.resume(&mut request).await,
             ("POST", ["v1", "cancel"]) => self.cancel(&mut request).await,
@@ -157,11 +157,11 @@
             _ => Ok(not_found()),
         };
         self.wake.notify_one();
-        Ok(answer.unwrap_or_else(|refused| refused))
+        Ok(response.unwrap_or_else(|rejected| rejected))
     }
 
-    /// Runs `act` on the core as of now.
-    fn with<T>(&self, act: impl FnOnce(&mut Hosted) -> T) -> T {
+    /// Advances the engine to now and runs `act` on it.
+    fn with<T>(&self, act: impl FnOnce(&mut HostedEngine) -> T) -> T {
         let mut hosted = lock(&self.hosted);
         hosted.advance(self.clock);
         act(&mut hosted)
@@ -172,7 +172,7 @@
             if hosted.engine.is_up() {
                 act(&mut hosted.engine)
             } else {
-                refusal(EngineError::Down)
+                error_response(EngineError::Down)
             }
         })
     }
@@ -181,7 +181,7 @@
         let body: GenerateBody = read_json(request).await?;
         let (attempt, now) = (body.attempt, self.clock.now());
         let lines = self.with(|hosted| {
-            hosted.engine.submit(now, body).map_err(refusal)?;
+            hosted.engine.submit(now, body).map_err(error_response)?;
             Ok::<_, HttpResponse>(hosted.read(attempt))
         })?;
         Ok(line_stream(Vec::new(), lines))
@@ -189,9 +189,12 @@
 
     async fn resume(&self, request: &mut Request) -> Result<HttpResponse, HttpResponse> {
         let ResumeBody { attempt, position } = read_json(request).await?;
-        // One lock over both steps: a line generated between them would be lost or come twice.
+        // Both steps hold one lock: a line generated between them would be lost or sent twice.
         let (before, lines) = self.with(|hosted| {
-            let before = hosted.engine.resume(attempt, position).map_err(refusal)?;
+            let before = hosted
+                .engine
+                .resume(attempt, position)
+                .map_err(error_response)?;
             Ok::<_, HttpResponse>((before, hosted.read(attempt)))
         })?;
         Ok(line_stream(before, lines))
@@ -235,7 +238,7 @@
         let image: CacheImage = read_json(request).await?;
         let now = self.clock.now();
         self.with(|hosted| hosted.engine.import(now, &image))
-            .map_err(refusal)?;
+            .map_err(error_response)?;
         Ok(empty(StatusCode::NO_CONTENT))
     }
 
@@ -244,7 +247,7 @@
         let now = self.clock.now();
         match self.with(|hosted| hosted.engine.order(now, body)) {
             Ok(state) => Ok(json(&state)),
-            Err(OrderError::Down) => Err(refusal(EngineError::Down)),
+            Err(OrderError::Down) => Err(error_response(EngineError::Down)),
             Err(err @ OrderError::Fenced(_)) => Err(text(StatusCode::CONFLICT, err.to_string())),
         }
     }
@@ -263,7 +266,7 @@
                 },
                 ["crash"] => {
                     hosted.engine.crash(now);
-                    // Without their readers the streams end before their turns do.
+                    // Dropping the senders truncates the open streams.
                     hosted.readers.clear();
                 }
                 ["restart"] => hosted.engine.restart(now),
@@ -274,7 +277,7 @@
     }
 }
 
-fn refusal(error: EngineError) -> HttpResponse {
+fn error_response(error: EngineError) -> HttpResponse {
     let status = match error {
         EngineError::Down => StatusCode::SERVICE_UNAVAILABLE,
         EngineError::DuplicateAttempt => StatusCode::CONFLICT,
@@ -284,7 +287,7 @@
     text(status, error.to_string())
 }
 
-/// A body of one JSON line each; it ends after the turn's last line, or when the reader is dropped.
+/// Streams lines as JSON, one per line, until the turn's last line or until the sender is dropped.
 fn line_stream(before: Vec<GenerateLine>, lines: UnboundedReceiver<GenerateLine>) -> HttpResponse {
     let state = (before.into_iter(), lines, false);
     let chunks = stream::unfold(state, |(mut before, mut lines, ended)| async move {
@@ -305,13 +308,16 @@
     Response::with_body(StatusCode::OK, body)
 }
 
-/// Fetches weights and says how long they took to come, as zero more to wait.
-async fn fetch_weights(store: SocketAddr, wanted: &WeightRequest) -> Result<SpanUs, SpanUs> {
-    let WeightRequest { model, version } = wanted;
+/// Fetches weights. Returns the remaining transfer time, which is zero, or the time before a retry.
+async fn fetch_weights(
+    store: SocketAddr,
+    weight_request: &WeightRequest,
+) -> Result<SpanUs, SpanUs> {
+    let WeightRequest { model, version } = weight_request;
     let url = format!("http://{store}/v1/weights/{model}/{version}");
     let client = Client::builder().disable_timeout().finish();
     let Ok(response) = client.get(url).send().await else {
-        sleep(WEIGHTS_RETRY).await;
+        sleep(WEIGHTS_RETRY_INTERVAL).await;
         return Err(SpanUs(0));
     };
     if response.status().is_success() {
@@ -319,10 +325,10 @@
     }
     let after = response.headers().get("retry-after");
     let seconds = after.and_then(|value| value.to_str().ok()?.parse().ok());
-    Err(seconds.map_or(WEIGHTS_RETRY, SpanUs::from_s))
+    Err(seconds.map_or(WEIGHTS_RETRY_INTERVAL, SpanUs::from_s))
 }
 
-/// The tokens that an engine holds, with what runs.
+/// Returns the cache memory in use, including that of running sequences, in tokens.
 #[must_use]
 pub fn used_tokens(host: &EngineHost) -> Tokens {
     host.inspect(|engine| engine.current_load().cache_used_tokens)
--- a/standins/src/http_plain.rs
+++ b/standins/src/http_plain.rs
@@ -1,4 +1,6 @@
-//! The plain service behind HTTP. Beside its own paths it takes `POST /control/down/{ms}`.
+//! Serves the plain bookings service over HTTP.
+//!
+//! Besides the paths of the service it accepts `POST /control/down/{ms}`.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -10,7 +12,7 @@
 use crate::http::{HandlerResult, empty, json_text, lock, path_parts, read_body, sleep};
 use crate::plain_service::{PlainRequest, PlainService, PlainSettings};
 
-/// A plain service behind HTTP.
+/// A plain service served over HTTP.
 #[derive(Clone)]
 pub struct PlainHost {
     service: Arc<Mutex<PlainService>>,
@@ -18,7 +20,7 @@
 }
 
 impl PlainHost {
-    /// A service without holds.
+    /// Creates a service without holds.
     #[must_use]
     pub fn new(settings: PlainSettings, clock: Clock) -> Self {
         Self {
@@ -27,7 +29,7 @@
         }
     }
 
-    /// How often each hold and cancellation ran, by the caller's id.
+    /// Returns how often each hold and cancellation was executed, by the caller's id.
     #[must_use]
     pub fn executions(&self) -> BTreeMap<String, u64> {
         lock(&self.service).executions().clone()
--- a/standins/src/http_platform.rs
+++ b/standins/src/http_platform.rs
@@ -1,6 +1,6 @@
-//! The platform's log, VM list and weight store behind HTTP, and the tools of the programs.
+//! Serves the platform's log, VM list and weight store over HTTP, and the tools of the programs.
 //!
-//! Beside the paths of the platform's table: `POST /control/outage/{ms}`,
+//! Besides the paths of the platform API: `POST /control/outage/{ms}`,
 //! `/control/slowness/{ms}` and `/control/lose-answers/{count}` at the log;
 //! `PUT` and `DELETE /v1/vms/{id}` and `POST /v1/vms/{id}/leaving` at the VM list;
 //! `POST /tools/{tool}` at the tools.
@@ -22,10 +22,10 @@
 use crate::vm_list::VmList;
 use crate::weight_store::{WeightSettings, WeightStore};
 
-/// The most records in one answer to a read.
+/// Maximum number of records in the response to a read.
 const MAX_READ: u64 = 4_096;
 
-/// The log service behind HTTP.
+/// A log service served over HTTP.
 #[derive(Clone)]
 pub struct LogHost {
     log: Arc<Mutex<LogService>>,
@@ -33,7 +33,7 @@
 }
 
 impl LogHost {
-    /// A log without records.
+    /// Creates an empty log.
     #[must_use]
     pub fn new(settings: LogSettings, clock: Clock) -> Self {
         Self {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The batches and the records that were written.
+    /// Returns the numbers of batches and of records written.
     #[must_use]
     pub fn written(&self) -> (u64, u64) {
         lock(&self.log).written()
@@ -52,8 +52,8 @@
         let parts = path_parts(&request);
         let parts: Vec<&str> = parts.iter().map(String::as_str).collect();
         let method = request.method().as_str().to_owned();
-        let answer = match (method.as_str(), &parts[..]) {
-            (method, ["v1", "streams", name]) => match (method, stream_of(name)) {
+        let response = match (method.as_str(), &parts[..]) {
+            (method, ["v1", "streams", name]) => match (method, parse_stream(name)) {
                 ("GET", Some(stream)) => self.read(&request, stream).await,
                 ("POST", Some(stream)) => self.append(&mut request, stream).await,
                 _ => not_found(),
@@ -61,7 +61,7 @@
             ("POST", ["control", command, number]) => self.control(command, number),
             _ => not_found(),
         };
-        Ok(answer)
+        Ok(response)
     }
 
     async fn read(&self, request: &Request, stream: StreamName) -> HttpResponse {
@@ -70,27 +70,27 @@
             .unwrap_or(MAX_READ)
             .min(MAX_READ);
         let max = usize::try_from(max).unwrap_or(usize::MAX);
-        let (answer, delay) = {
+        let (response, delay) = {
             let mut log = lock(&self.log);
-            let answer = log.read(self.clock.now(), stream, from, max);
-            (answer, log.response_delay())
+            let response = log.read(self.clock.now(), stream, from, max);
+            (response, log.response_delay())
         };
         sleep(delay).await;
-        answer.map_or_else(refusal, |answer| json(&answer))
+        response.map_or_else(error_response, |response| json(&response))
     }
 
     async fn append(&self, request: &mut Request, stream: StreamName) -> HttpResponse {
         let body: AppendBody = match read_json(request).await {
             Ok(body) => body,
-            Err(refused) => return refused,
+            Err(rejected) => return rejected,
         };
-        let (answer, delay) = {
+        let (response, delay) = {
             let mut log = lock(&self.log);
-            let answer = log.append(self.clock.now(), stream, body.records);
-            (answer, log.response_delay())
+            let response = log.append(self.clock.now(), stream, body.records);
+            (response, log.response_delay())
         };
         sleep(delay).await;
-        answer.map_or_else(refusal, |answer| json(&answer))
+        response.map_or_else(error_response, |response| json(&response))
     }
 
     fn control(&self, command: &str, number: &str) -> HttpResponse {
@@ -109,13 +109,14 @@
     }
 }
 
-fn stream_of(name: &str) -> Option<StreamName> {
+fn parse_stream(name: &str) -> Option<StreamName> {
     let mut all = StreamName::ALL.into_iter();
     all.find(|stream| stream.to_string() == name)
 }
 
-/// Only 429 and 503 say that nothing was appended; a lost answer shows as a gateway's timeout.
-fn refusal(error: LogError) -> HttpResponse {
+/// Maps an error to a status. Only 429 and 503 mean that nothing was appended; a lost response
+/// becomes 504, after which the records may be in the log.
+fn error_response(error: LogError) -> HttpResponse {
     match error {
         LogError::RateLimited(after) => retry_later(StatusCode::TOO_MANY_REQUESTS, after),
         LogError::Down => text(StatusCode::SERVICE_UNAVAILABLE, error.to_string()),
@@ -123,7 +124,7 @@
     }
 }
 
-/// The list of VMs behind HTTP.
+/// A VM list served over HTTP.
 #[derive(Clone)]
 pub struct VmHost {
     list: Arc<Mutex<VmList>>,
@@ -131,7 +132,7 @@
 }
 
 impl VmHost {
-    /// An empty list that shows changes after `lag`.
+    /// Creates an empty list that shows changes after `lag`.
     #[must_use]
     pub fn new(lag: SpanUs, clock: Clock) -> Self {
         Self {
@@ -140,7 +141,7 @@
         }
     }
 
-    /// Adds a VM or changes it.
+    /// Adds or replaces a VM.
     pub fn set(&self, vm: Vm) {
         lock(&self.list).set(self.clock.now(), vm);
     }
@@ -150,7 +151,7 @@
         lock(&self.list).set_leaving(self.clock.now(), id);
     }
 
-    /// Takes a VM off.
+    /// Removes a VM.
     pub fn remove(&self, id: VmId) {
         lock(&self.list).remove(self.clock.now(), id);
     }
@@ -159,24 +160,24 @@
         let parts = path_parts(&request);
         let parts: Vec<&str> = parts.iter().map(String::as_str).collect();
         let method = request.method().as_str().to_owned();
-        let answer = match (method.as_str(), &parts[..]) {
+        let response = match (method.as_str(), &parts[..]) {
             ("GET", ["v1", "vms"]) => json(&lock(&self.list).list(self.clock.now())),
             ("PUT", ["v1", "vms", _]) => match read_json(&mut request).await {
                 Ok(vm) => {
                     self.set(vm);
                     empty(StatusCode::NO_CONTENT)
                 }
-                Err(refused) => refused,
+                Err(rejected) => rejected,
             },
-            ("DELETE", ["v1", "vms", id]) => change(id, |id| self.remove(id)),
-            ("POST", ["v1", "vms", id, "leaving"]) => change(id, |id| self.set_leaving(&id)),
+            ("DELETE", ["v1", "vms", id]) => apply_to_vm(id, |id| self.remove(id)),
+            ("POST", ["v1", "vms", id, "leaving"]) => apply_to_vm(id, |id| self.set_leaving(&id)),
             _ => not_found(),
         };
-        Ok(answer)
+        Ok(response)
     }
 }
 
-fn change(id: &str, change: impl FnOnce(VmId)) -> HttpResponse {
+fn apply_to_vm(id: &str, change: impl FnOnce(VmId)) -> HttpResponse {
     let Ok(id) = id.parse() else {
         return empty(StatusCode::BAD_REQUEST);
     };
@@ -184,7 +185,7 @@
     empty(StatusCode::NO_CONTENT)
 }
 
-/// The weight store behind HTTP.
+/// A weight store served over HTTP.
 #[derive(Clone)]
 pub struct WeightHost {
     store: Arc<Mutex<WeightStore>>,
@@ -192,7 +193,7 @@
 }
 
 impl WeightHost {
-    /// A store that has started no transfer yet.
+    /// Creates a store without transfers.
     #[must_use]
     pub fn new(settings: WeightSettings, clock: Clock) -> Self {
         Self {
@@ -211,8 +212,8 @@
         let (Ok(model), Ok(version)) = names else {
             return Ok(empty(StatusCode::BAD_REQUEST));
         };
-        let answer = lock(&self.store).fetch(self.clock.now(), &model, &version);
-        match answer {
+        let response = lock(&self.store).fetch(self.clock.now(), &model, &version);
+        match response {
             Ok(transfer) => {
                 sleep(transfer).await;
                 Ok(empty(StatusCode::OK))
@@ -222,14 +223,14 @@
     }
 }
 
-/// The tools behind HTTP.
+/// The tool service served over HTTP.
 #[derive(Clone)]
 pub struct ToolHost {
     tools: Arc<Mutex<ToolService>>,
 }
 
 impl ToolHost {
-    /// These tools.
+    /// Creates a host of `tools`.
     #[must_use]
     pub fn new(tools: ToolService) -> Self {
         Self {
--- a/standins/src/log_service.rs
+++ b/standins/src/log_service.rs
@@ -1,5 +1,5 @@
-//! The append-only log service: offsets, an append rate limit, limited retention, outages,
-//! slowness, and answers that are lost although the write took effect.
+//! Simulates the append-only log service: offsets, rate limit, retention, outages and delays, and
+//! responses that are lost although the write took effect.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,22 +10,22 @@
 use rand_chacha::ChaCha12Rng;
 use thiserror::Error;
 
-/// How a log behaves.
+/// Settings of a simulated log.
 #[derive(Debug, Clone)]
 pub struct LogSettings {
-    /// How many appends it takes, over all streams and writers.
+    /// Rate limit of appends over all streams and writers.
     pub append_rate: MilliPerS,
-    /// How many appends above the rate it takes at once after a pause.
+    /// Capacity of the rate limiter's token bucket, in appends.
     pub append_burst: u32,
-    /// How long a record is kept.
+    /// Retention period of a record.
     pub retention_us: SpanUs,
-    /// How long an answer takes.
+    /// Delay of a response.
     pub response_us: SpanUs,
-    /// The share of appends whose answer is lost after the write.
+    /// Percentage of appends whose response is lost after the write.
     pub lost_responses: Percent,
-    /// The share of appends that are lost before the write.
+    /// Percentage of appends that are lost before the write.
     pub lost_requests: Percent,
-    /// Seeds the losses.
+    /// Seed for the losses.
     pub seed: u64,
 }
 
@@ -43,33 +43,33 @@
     }
 }
 
-/// What becomes of an append, beyond success.
+/// A fault injected into an append.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AppendFault {
-    /// It is not written, and the writer is not told.
+    /// The records are not written, and the writer gets no response.
     LostRequest,
-    /// It is written, and the writer is not told.
+    /// The records are written, and the writer gets no response.
     LostResponse,
-    /// It is written only after this time, and the writer is not told.
+    /// The records are written after this time, and the writer gets no response.
     LateWrite(SpanUs),
 }
 
-/// Why the log gives no answer.
+/// Reason why a request to the log failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum LogError {
-    /// Nothing was appended: the rate is used up; there will be room after the span.
-    #[error("over the append rate")]
+    /// Nothing was appended: the rate limit is exceeded; retry after this time.
+    #[error("append rate limit exceeded")]
     RateLimited(SpanUs),
-    /// Nothing was appended or read: an outage.
-    #[error("the log is down")]
+    /// Nothing was appended or read because of an outage.
+    #[error("log is down")]
     Down,
-    /// The answer does not come; the records may be in the log, now or a little later.
-    #[error("the answer was lost")]
+    /// The response was lost; the records may be in the log, now or later.
+    #[error("response was lost")]
     NoResponse,
 }
 
 #[derive(Debug, Clone)]
-struct Kept {
+struct RetainedRecord {
     at_us: TimeUs,
     text: String,
 }
@@ -77,7 +77,7 @@
 #[derive(Debug, Clone, Default)]
 struct Stream {
     earliest: u64,
-    kept: VecDeque<Kept>,
+    kept: VecDeque<RetainedRecord>,
 }
 
 impl Stream {
@@ -86,7 +86,7 @@
     }
 
     fn trim(&mut self, now: TimeUs, retention: SpanUs) {
-        let old = |kept: &Kept| kept.at_us.after(retention) <= now;
+        let old = |kept: &RetainedRecord| kept.at_us.after(retention) <= now;
         while self.kept.front().is_some_and(old) {
             self.kept.pop_front();
             self.earliest += 1;
@@ -95,7 +95,9 @@
 
     fn push(&mut self, now: TimeUs, records: Vec<String>) -> Offset {
         let first = Offset(self.end());
-        let kept = records.into_iter().map(|text| Kept { at_us: now, text });
+        let kept = records
+            .into_iter()
+            .map(|text| RetainedRecord { at_us: now, text });
         self.kept.extend(kept);
         first
     }
@@ -108,35 +110,35 @@
     records: Vec<String>,
 }
 
-/// The log service.
+/// A simulated log service.
 #[derive(Debug)]
 pub struct LogService {
     settings: LogSettings,
     streams: BTreeMap<StreamName, Stream>,
-    /// Appends that may be made now, in thousandths.
-    credit_milli: u64,
-    credit_us: TimeUs,
+    /// Fill level of the rate limiter's token bucket, in thousandths of an append.
+    tokens_milli: u64,
+    refilled_us: TimeUs,
     outages: Vec<(TimeUs, TimeUs)>,
-    extra_delay: SpanUs,
-    script: VecDeque<Option<AppendFault>>,
-    late: Vec<LateWrite>,
+    additional_delay: SpanUs,
+    scripted_faults: VecDeque<Option<AppendFault>>,
+    late_writes: Vec<LateWrite>,
     rng: ChaCha12Rng,
     appends: u64,
     records: u64,
 }
 
 impl LogService {
-    /// A log without records.
+    /// Creates an empty log.
     #[must_use]
     pub fn new(settings: LogSettings) -> Self {
         Self {
             streams: BTreeMap::new(),
-            credit_milli: u64::from(settings.append_burst.max(1)) * 1_000,
-            credit_us: TimeUs(0),
+            tokens_milli: u64::from(settings.append_burst.max(1)) * 1_000,
+            refilled_us: TimeUs(0),
             outages: Vec::new(),
-            extra_delay: SpanUs(0),
-            script: VecDeque::new(),
-            late: Vec::new(),
+            additional_delay: SpanUs(0),
+            scripted_faults: VecDeque::new(),
+            late_writes: Vec::new(),
             rng: ChaCha12Rng::seed_from_u64(settings.seed),
             appends: 0,
             records: 0,
@@ -144,29 +146,29 @@
         }
     }
 
-    /// Adds an outage from `from` to `until`, not included.
+    /// Adds an outage from `from` (inclusive) to `until` (exclusive).
     pub fn add_outage(&mut self, from: TimeUs, until: TimeUs) {
         self.outages.push((from, until));
     }
 
-    /// Adds to the time that answers take, until set anew.
+    /// Sets an additional delay of all responses.
     pub fn set_slowness(&mut self, extra: SpanUs) {
-        self.extra_delay = extra;
+        self.additional_delay = extra;
     }
 
-    /// Fixes what becomes of the next appends; `None` lets one succeed. Later ones follow the
-    /// settings again.
+    /// Queues the faults of the next appends; `None` lets one succeed. After them the configured
+    /// loss rates apply again.
     pub fn script(&mut self, faults: impl IntoIterator<Item = Option<AppendFault>>) {
-        self.script.extend(faults);
+        self.scripted_faults.extend(faults);
     }
 
-    /// How long the answer to a request takes that comes now.
+    /// Returns the delay of a response to a request that arrives now.
     #[must_use]
     pub fn response_delay(&self) -> SpanUs {
-        self.settings.response_us + self.extra_delay
+        self.settings.response_us + self.additional_delay
     }
 
-    /// The batches and the records that were written.
+    /// Returns the numbers of batches and of records written.
     #[must_use]
     pub const fn written(&self) -> (u64, u64) {
         (self.appends, self.records)
@@ -176,18 +178,18 @@
     ///
     /// # Errors
     ///
-    /// Any [`LogError`]; only after [`LogError::NoResponse`] may the records be in the log.
+    /// Any [`LogError`]; the records can be in the log only after [`LogError::NoResponse`].
     pub fn append(
         &mut self,
         now: TimeUs,
         stream: StreamName,
         records: Vec<String>,
     ) -> Result<AppendResponse, LogError> {
-        self.settle(now);
+        self.apply_due(now);
         if self.is_down(now) {
             return Err(LogError::Down);
         }
-        self.spend_credit(now)?;
+        self.take_append_token(now)?;
         match self.next_fault() {
             None => {
                 let first_offset = self.write(now, stream, records);
@@ -199,7 +201,7 @@
                 Err(LogError::NoResponse)
             }
             Some(AppendFault::LateWrite(span)) => {
-                self.late.push(LateWrite {
+                self.late_writes.push(LateWrite {
                     due_us: now.after(span),
                     stream,
                     records,
@@ -209,11 +211,11 @@
         }
     }
 
-    /// Reads at most `max` records from `from` on.
+    /// Reads up to `max` records, starting at offset `from`.
     ///
     /// # Errors
     ///
-    /// [`LogError::Down`] in an outage.
+    /// [`LogError::Down`] during an outage.
     pub fn read(
         &mut self,
         now: TimeUs,
@@ -221,7 +223,7 @@
         from: Offset,
         max: usize,
     ) -> Result<ReadResponse, LogError> {
-        self.settle(now);
+        self.apply_due(now);
         if self.is_down(now) {
             return Err(LogError::Down);
         }
@@ -248,12 +250,12 @@
             .any(|(from, until)| (*from..*until).contains(&now))
     }
 
-    /// Makes the late writes whose time has come and drops what is too old.
-    fn settle(&mut self, now: TimeUs) {
-        let (due, later) = std::mem::take(&mut self.late)
+    /// Applies the late writes that are due, and drops expired records and past outages.
+    fn apply_due(&mut self, now: TimeUs) {
+        let (due, later) = std::mem::take(&mut self.late_writes)
             .into_iter()
             .partition(|write: &LateWrite| write.due_us <= now);
-        self.late = later;
+        self.late_writes = later;
         for write in due {
             self.write(write.due_us, write.stream, write.records);
         }
@@ -270,25 +272,25 @@
         self.streams.entry(stream).or_default().push(now, records)
     }
 
-    fn spend_credit(&mut self, now: TimeUs) -> Result<(), LogError> {
+    fn take_append_token(&mut self, now: TimeUs) -> Result<(), LogError> {
         let rate_milli = self.settings.append_rate.0;
-        let most = u64::from(self.settings.append_burst.max(1)) * 1_000;
-        let earned = now.since(self.credit_us).0 * rate_milli / 1_000_000;
-        if earned > 0 {
-            self.credit_milli = (self.credit_milli + earned).min(most);
-            self.credit_us = now;
+        let capacity = u64::from(self.settings.append_burst.max(1)) * 1_000;
+        let refill = now.since(self.refilled_us).0 * rate_milli / 1_000_000;
+        if refill > 0 {
+            self.tokens_milli = (self.tokens_milli + refill).min(capacity);
+            self.refilled_us = now;
         }
-        if self.credit_milli < 1_000 {
-            let missing = (1_000 - self.credit_milli) * 1_000_000;
+        if self.tokens_milli < 1_000 {
+            let missing = (1_000 - self.tokens_milli) * 1_000_000;
             let wait = missing.div_ceil(rate_milli.max(1));
             return Err(LogError::RateLimited(SpanUs(wait)));
         }
-        self.credit_milli -= 1_000;
+        self.tokens_milli -= 1_000;
         Ok(())
     }
 
     fn next_fault(&mut self) -> Option<AppendFault> {
-        if let Some(scripted) = self.script.pop_front() {
+        if let Some(scripted) = self.scripted_faults.pop_front() {
             return scripted;
         }
         let requests = u8::from(self.settings.lost_requests);
