--- a/standins/src/chaos_world.rs
+++ b/standins/src/chaos_world.rs
@@ -502,7 +502,7 @@
     match answer {
         Ok(answer) => AppendOutcome::Appended(answer.first_offset),
         Err(LogError::RateLimited(_) | LogError::Down) => AppendOutcome::Refused,
-        Err(LogError::NoAnswer) => AppendOutcome::Unknown,
+        Err(LogError::NoResponse) => AppendOutcome::Unknown,
     }
 }
 
--- a/standins/src/http_engine.rs
+++ b/standins/src/http_engine.rs
@@ -1,6 +1,6 @@
-//! The model engine behind HTTP.
+//! Serves a simulated model engine over HTTP.
 //!
-//! Beside the paths of the platform's table it takes `POST /control/hang/{ms}`,
+//! Besides the paths of the platform API it accepts `POST /control/hang/{ms}`,
 //! `/control/speed/{percent}`, `/control/crash` and `/control/restart`.
 
 use std::collections::BTreeMap;
@@ -25,31 +25,32 @@
 
 use crate::clock::Clock;
 use crate::engine::{Engine, EngineError, EngineSettings};
-use crate::engine_orders::{OrderError, WeightsWanted};
+use crate::engine_orders::{OrderError, WeightRequest};
 use crate::http::{
-    Answer, Handled, empty, json, lock, not_found, path_parts, query_number, read_json, sleep, text,
+    HandlerResult, HttpResponse, empty, json, lock, not_found, path_parts, query_number, read_json,
+    sleep, text,
 };
 
-/// The wait after a weight store that gave no usable answer.
-const WEIGHTS_RETRY: SpanUs = SpanUs::from_s(1);
-/// The longest that the driver sleeps when nothing is due.
-const IDLE: Duration = Duration::from_millis(200);
+/// Retry interval if the weight store gives no usable response.
+const WEIGHTS_RETRY_INTERVAL: SpanUs = SpanUs::from_s(1);
+/// Maximum time that the driver sleeps between two advances.
+const IDLE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The core, and who reads which attempt's lines.
-struct Hosted {
+/// An engine and the receivers of each attempt's lines.
+struct HostedEngine {
     engine: Engine,
     readers: BTreeMap<AttemptId, UnboundedSender<GenerateLine>>,
 }
 
-impl Hosted {
-    /// Moves on to now and passes the lines to their readers; lines without a reader stay in the
-    /// engine's memory for a resume.
+impl HostedEngine {
+    /// Advances to now and sends the lines to their readers. Lines without a reader are retained by
+    /// the engine for a resume.
     fn advance(&mut self, clock: Clock) {
         for (attempt, line) in self.engine.advance(clock.now()) {
-            let last = !matches!(line, GenerateLine::Text { .. });
+            let is_last = !matches!(line, GenerateLine::Text { .. });
             if let Some(reader) = self.readers.get(&attempt) {
-                let gone = reader.send(line).is_err();
-                if last || gone {
+                let is_disconnected = reader.send(line).is_err();
+                if is_last || is_disconnected {
                     self.readers.remove(&attempt);
                 }
             }
@@ -64,20 +65,20 @@
     }
 }
 
-/// One engine behind HTTP.
+/// An engine served over HTTP.
 #[derive(Clone)]
 pub struct EngineHost {
-    hosted: Arc<Mutex<Hosted>>,
+    hosted: Arc<Mutex<HostedEngine>>,
     clock: Clock,
     wake: Arc<Notify>,
     weights: Option<SocketAddr>,
 }
 
 impl EngineHost {
-    /// An engine that loads from the weight store at `weights`.
+    /// Creates an engine that loads from the weight store at `weights`, or at once without one.
     #[must_use]
     pub fn new(settings: EngineSettings, clock: Clock, weights: Option<SocketAddr>) -> Self {
-        let hosted = Hosted {
+        let hosted = HostedEngine {
             engine: Engine::new(settings),
             readers: BTreeMap::new(),
         };
@@ -89,27 +90,27 @@
         }
     }
 
-    /// Looks at the core as it is now.
+    /// Advances the engine to now and runs `look` on it.
     pub fn inspect<T>(&self, look: impl FnOnce(&Engine) -> T) -> T {
         let mut hosted = lock(&self.hosted);
         hosted.advance(self.clock);
         look(&hosted.engine)
     }
 
-    /// Moves the engine on as time passes; it never ends by itself.
+    /// Advances the engine as time passes; never returns.
     pub(crate) async fn drive(self) {
         loop {
-            let (next, wanted) = {
+            let (next, weight_request) = {
                 let mut hosted = lock(&self.hosted);
                 hosted.advance(self.clock);
-                let wanted = hosted.engine.weights_wanted(self.clock.now());
-                (hosted.engine.next_event_at(), wanted)
+                let weight_request = hosted.engine.take_weight_request(self.clock.now());
+                (hosted.engine.next_event_at(), weight_request)
             };
-            if let Some(wanted) = wanted {
-                actix_rt::spawn(self.clone().fetch(wanted));
+            if let Some(weight_request) = weight_request {
+                actix_rt::spawn(self.clone().fetch_and_report(weight_request));
             }
-            let pause = next.map_or(IDLE, |at| {
-                Duration::from_micros(at.since(self.clock.now()).0).min(IDLE)
+            let pause = next.map_or(IDLE_INTERVAL, |at| {
+                Duration::from_micros(at.since(self.clock.now()).0).min(IDLE_INTERVAL)
             });
             tokio::select! {
                 () = actix_rt::time::sleep(pause) => {}
@@ -118,22 +119,22 @@
         }
     }
 
-    async fn fetch(self, wanted: WeightsWanted) {
-        let answer = match self.weights {
-            Some(store) => fetch_weights(store, &wanted).await,
+    async fn fetch_and_report(self, weight_request: WeightRequest) {
+        let result = match self.weights {
+            Some(store) => fetch_weights(store, &weight_request).await,
             None => Ok(SpanUs(0)),
         };
         let now = self.clock.now();
-        lock(&self.hosted).engine.weights_answer(now, answer);
+        lock(&self.hosted).engine.complete_weight_fetch(now, result);
         self.wake.notify_one();
     }
 
-    /// Answers one request.
-    pub(crate) async fn handle(self, mut request: Request) -> Handled {
+    /// Handles one request.
+    pub(crate) async fn handle(self, mut request: Request) -> HandlerResult {
         let parts = path_parts(&request);
         let parts: Vec<&str> = parts.iter().map(String::as_str).collect();
         let method = request.method().as_str().to_owned();
-        let answer = match (method.as_str(), &parts[..]) {
+        let response = match (method.as_str(), &parts[..]) {
             ("POST", ["v1", "generate"]) => self.generate(&mut request).await,
             ("POST", ["v1", "resume"]) => self.resume(&mut request).await,
             ("POST", ["v1", "cancel"]) => self.cancel(&mut request).await,
@@ -156,47 +157,50 @@
             _ => Ok(not_found()),
         };
         self.wake.notify_one();
-        Ok(answer.unwrap_or_else(|refused| refused))
+        Ok(response.unwrap_or_else(|rejected| rejected))
     }
 
-    /// Runs `act` on the core as of now.
-    fn with<T>(&self, act: impl FnOnce(&mut Hosted) -> T) -> T {
+    /// Advances the engine to now and runs `act` on it.
+    fn with<T>(&self, act: impl FnOnce(&mut HostedEngine) -> T) -> T {
         let mut hosted = lock(&self.hosted);
         hosted.advance(self.clock);
         act(&mut hosted)
     }
 
-    fn with_up(&self, act: impl FnOnce(&mut Engine) -> Answer) -> Answer {
+    fn with_up(&self, act: impl FnOnce(&mut Engine) -> HttpResponse) -> HttpResponse {
         self.with(|hosted| {
             if hosted.engine.is_up() {
                 act(&mut hosted.engine)
             } else {
-                refusal(EngineError::Down)
+                error_response(EngineError::Down)
             }
         })
     }
 
-    async fn generate(&self, request: &mut Request) -> Result<Answer, Answer> {
+    async fn generate(&self, request: &mut Request) -> Result<HttpResponse, HttpResponse> {
         let body: GenerateBody = read_json(request).await?;
         let (attempt, now) = (body.attempt, self.clock.now());
         let lines = self.with(|hosted| {
-            hosted.engine.submit(now, body).map_err(refusal)?;
-            Ok::<_, Answer>(hosted.read(attempt))
+            hosted.engine.submit(now, body).map_err(error_response)?;
+            Ok::<_, HttpResponse>(hosted.read(attempt))
         })?;
         Ok(line_stream(Vec::new(), lines))
     }
 
-    async fn resume(&self, request: &mut Request) -> Result<Answer, Answer> {
+    async fn resume(&self, request: &mut Request) -> Result<HttpResponse, HttpResponse> {
         let ResumeBody { attempt, position } = read_json(request).await?;
-        // One lock over both steps: a line generated between them would be lost or come twice.
+        // Both steps hold one lock: a line generated between them would be lost or sent twice.
         let (before, lines) = self.with(|hosted| {
-            let before = hosted.engine.resume(attempt, position).map_err(refusal)?;
-            Ok::<_, Answer>((before, hosted.read(attempt)))
+            let before = hosted
+                .engine
+                .resume(attempt, position)
+                .map_err(error_response)?;
+            Ok::<_, HttpResponse>((before, hosted.read(attempt)))
         })?;
         Ok(line_stream(before, lines))
     }
 
-    async fn cancel(&self, request: &mut Request) -> Result<Answer, Answer> {
+    async fn cancel(&self, request: &mut Request) -> Result<HttpResponse, HttpResponse> {
         let CancelBody { attempt } = read_json(request).await?;
         let now = self.clock.now();
         self.with(|hosted| {
@@ -206,7 +210,7 @@
         Ok(empty(StatusCode::NO_CONTENT))
     }
 
-    async fn release(&self, request: &mut Request) -> Result<Answer, Answer> {
+    async fn release(&self, request: &mut Request) -> Result<HttpResponse, HttpResponse> {
         let ReleaseBody { chains } = read_json(request).await?;
         let now = self.clock.now();
         Ok(self.with_up(|engine| {
@@ -215,7 +219,7 @@
         }))
     }
 
-    async fn retain(&self, request: &mut Request) -> Result<Answer, Answer> {
+    async fn retain(&self, request: &mut Request) -> Result<HttpResponse, HttpResponse> {
         let RetainBody { chains } = read_json(request).await?;
         let now = self.clock.now();
         Ok(self.with_up(|engine| {
@@ -224,31 +228,31 @@
         }))
     }
 
-    async fn export(&self, request: &mut Request) -> Result<Answer, Answer> {
+    async fn export(&self, request: &mut Request) -> Result<HttpResponse, HttpResponse> {
         let ReleaseBody { chains } = read_json(request).await?;
         let last = chains.last().copied().unwrap_or_default();
         Ok(self.with_up(|engine| json(&engine.export(last))))
     }
 
-    async fn import(&self, request: &mut Request) -> Result<Answer, Answer> {
+    async fn import(&self, request: &mut Request) -> Result<HttpResponse, HttpResponse> {
         let image: CacheImage = read_json(request).await?;
         let now = self.clock.now();
         self.with(|hosted| hosted.engine.import(now, &image))
-            .map_err(refusal)?;
+            .map_err(error_response)?;
         Ok(empty(StatusCode::NO_CONTENT))
     }
 
-    async fn order(&self, request: &mut Request) -> Result<Answer, Answer> {
+    async fn order(&self, request: &mut Request) -> Result<HttpResponse, HttpResponse> {
         let body: OrderBody = read_json(request).await?;
         let now = self.clock.now();
         match self.with(|hosted| hosted.engine.order(now, body)) {
             Ok(state) => Ok(json(&state)),
-            Err(OrderError::Down) => Err(refusal(EngineError::Down)),
+            Err(OrderError::Down) => Err(error_response(EngineError::Down)),
             Err(err @ OrderError::Fenced(_)) => Err(text(StatusCode::CONFLICT, err.to_string())),
         }
     }
 
-    fn control(&self, command: &[&str]) -> Answer {
+    fn control(&self, command: &[&str]) -> HttpResponse {
         let now = self.clock.now();
         self.with(|hosted| {
             match command {
@@ -262,7 +266,7 @@
                 },
                 ["crash"] => {
                     hosted.engine.crash(now);
-                    // Without their readers the streams end before their turns do.
+                    // Dropping the senders truncates the open streams.
                     hosted.readers.clear();
                 }
                 ["restart"] => hosted.engine.restart(now),
@@ -273,18 +277,18 @@
     }
 }
 
-fn refusal(error: EngineError) -> Answer {
+fn error_response(error: EngineError) -> HttpResponse {
     let status = match error {
         EngineError::Down => StatusCode::SERVICE_UNAVAILABLE,
-        EngineError::Repeated => StatusCode::CONFLICT,
+        EngineError::DuplicateAttempt => StatusCode::CONFLICT,
         EngineError::UnknownAttempt => StatusCode::NOT_FOUND,
-        EngineError::NoRoom => StatusCode::INSUFFICIENT_STORAGE,
+        EngineError::CacheFull => StatusCode::INSUFFICIENT_STORAGE,
     };
     text(status, error.to_string())
 }
 
-/// A body of one JSON line each; it ends after the turn's last line, or when the reader is dropped.
-fn line_stream(before: Vec<GenerateLine>, lines: UnboundedReceiver<GenerateLine>) -> Answer {
+/// Streams lines as JSON, one per line, until the turn's last line or until the sender is dropped.
+fn line_stream(before: Vec<GenerateLine>, lines: UnboundedReceiver<GenerateLine>) -> HttpResponse {
     let state = (before.into_iter(), lines, false);
     let chunks = stream::unfold(state, |(mut before, mut lines, ended)| async move {
         if ended {
@@ -304,13 +308,16 @@
     Response::with_body(StatusCode::OK, body)
 }
 
-/// Fetches weights and says how long they took to come, as zero more to wait.
-async fn fetch_weights(store: SocketAddr, wanted: &WeightsWanted) -> Result<SpanUs, SpanUs> {
-    let WeightsWanted { model, version } = wanted;
+/// Fetches weights. Returns the remaining transfer time, which is zero, or the time before a retry.
+async fn fetch_weights(
+    store: SocketAddr,
+    weight_request: &WeightRequest,
+) -> Result<SpanUs, SpanUs> {
+    let WeightRequest { model, version } = weight_request;
     let url = format!("http://{store}/v1/weights/{model}/{version}");
     let client = Client::builder().disable_timeout().finish();
     let Ok(response) = client.get(url).send().await else {
-        sleep(WEIGHTS_RETRY).await;
+        sleep(WEIGHTS_RETRY_INTERVAL).await;
         return Err(SpanUs(0));
     };
     if response.status().is_success() {
@@ -318,11 +325,11 @@
     }
     let after = response.headers().get("retry-after");
     let seconds = after.and_then(|value| value.to_str().ok()?.parse().ok());
-    Err(seconds.map_or(WEIGHTS_RETRY, SpanUs::from_s))
+    Err(seconds.map_or(WEIGHTS_RETRY_INTERVAL, SpanUs::from_s))
 }
 
-/// The tokens that an engine holds, with what runs.
+/// Returns the cache memory in use, including that of running sequences, in tokens.
 #[must_use]
 pub fn used_tokens(host: &EngineHost) -> Tokens {
-    host.inspect(|engine| engine.load_now().cache_used_tokens)
+    host.inspect(|engine| engine.current_load().cache_used_tokens)
 }
--- a/standins/src/http_plain.rs
+++ b/standins/src/http_plain.rs
@@ -1,4 +1,6 @@
-//! The plain service behind HTTP. Beside its own paths it takes `POST /control/down/{ms}`.
+//! Serves the plain bookings service over HTTP.
+//!
+//! Besides the paths of the service it accepts `POST /control/down/{ms}`.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -7,10 +9,10 @@
 use clementinepick::units::SpanUs;
 
 use crate::clock::Clock;
-use crate::http::{Handled, empty, json_text, lock, path_parts, read_body, sleep};
+use crate::http::{HandlerResult, empty, json_text, lock, path_parts, read_body, sleep};
 use crate::plain_service::{PlainRequest, PlainService, PlainSettings};
 
-/// A plain service behind HTTP.
+/// A plain service served over HTTP.
 #[derive(Clone)]
 pub struct PlainHost {
     service: Arc<Mutex<PlainService>>,
@@ -18,7 +20,7 @@
 }
 
 impl PlainHost {
-    /// A service without holds.
+    /// Creates a service without holds.
     #[must_use]
     pub fn new(settings: PlainSettings, clock: Clock) -> Self {
         Self {
@@ -27,13 +29,13 @@
         }
     }
 
-    /// How often each hold and cancellation ran, by the caller's id.
+    /// Returns how often each hold and cancellation was executed, by the caller's id.
     #[must_use]
     pub fn executions(&self) -> BTreeMap<String, u64> {
         lock(&self.service).executions().clone()
     }
 
-    pub(crate) async fn handle(self, mut request: Request) -> Handled {
+    pub(crate) async fn handle(self, mut request: Request) -> HandlerResult {
         let parts = path_parts(&request);
         if let [control, down, ms] = &parts[..]
             && (control.as_str(), down.as_str()) == ("control", "down")
@@ -57,7 +59,7 @@
             let mut service = lock(&self.service);
             (
                 service.handle(self.clock.now(), &plain),
-                service.answer_delay(),
+                service.response_delay(),
             )
         };
         sleep(delay).await;
--- a/standins/src/soak_callers.rs
+++ b/standins/src/soak_callers.rs
@@ -11,7 +11,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::http::lock;
-use crate::platform_caller::{CallerAnswer, CallerRequest, read_answer};
+use crate::platform_caller::{CallerRequest, CallerResponse, read_response};
 use crate::soak_history::{BUDGET_TOKENS, History, RequestKind, RequestRecord};
 use crate::soak_world::{GATEWAYS, GatewayStatus, SoakWorld};
 
@@ -184,9 +184,9 @@
             connection.write_all(&request.bytes())?;
             if disconnects {
                 sleep(Duration::from_millis(10));
-                return Ok(CallerAnswer::default());
+                return Ok(CallerResponse::default());
             }
-            read_answer(&mut connection)
+            read_response(&mut connection)
         });
         let after = self.shared.world.gateway_status(gateway);
         let requires_response =
@@ -213,7 +213,7 @@
         program: &str,
         kind: RequestKind,
         gateway: (usize, u32),
-        answer: CallerAnswer,
+        answer: CallerResponse,
         requires_response: bool,
         duration: Duration,
     ) {
@@ -244,7 +244,7 @@
             let before = self.shared.world.gateway_status(gateway);
             let sent_at = Instant::now();
             let sent = connection.write_all(&request.bytes());
-            let answer = sent.and_then(|()| read_answer(&mut connection));
+            let answer = sent.and_then(|()| read_response(&mut connection));
             let after = self.shared.world.gateway_status(gateway);
             let answer = answer.unwrap_or_default();
             let closes = answer
--- a/standins/src/soak_world.rs
+++ b/standins/src/soak_world.rs
@@ -12,7 +12,7 @@
 use crate::http::lock;
 use crate::platform_backend::{BackendFault, BackendSettings, PlatformBackend};
 use crate::platform_run::{HOST, MODEL_SERVICE, PLAIN_SERVICE, is_ready};
-use crate::platform_store::{AppendFault, PlatformStore, StoreDoor, StoreMode};
+use crate::platform_store::{AppendFault, PlatformStore, StoreEndpoint, StoreMode};
 use crate::soak_faults::{Fault, PlannedFault};
 use crate::soak_history::{EVENTS_PER_STREAM, ExecutedRequest, TOKENS_PER_EVENT};
 use crate::soak_process::{GatewayProcess, ProcessPorts, wait_for_exit};
@@ -67,7 +67,7 @@
 #[derive(Debug)]
 pub struct SoakWorld {
     store: PlatformStore,
-    doors: Vec<StoreDoor>,
+    doors: Vec<StoreEndpoint>,
     servers: Vec<Server>,
     gateways: Vec<Mutex<Gateway>>,
     version: Mutex<u64>,
@@ -218,15 +218,15 @@
                 Ok(())
             }
             Fault::LostAppendResponses => {
-                self.fail_appends(AppendFault::LoseAnswer, random_value);
+                self.fail_appends(AppendFault::LoseResponse, random_value);
                 Ok(())
             }
             Fault::DelayedAppends => {
-                self.fail_appends(AppendFault::DoLater, random_value);
+                self.fail_appends(AppendFault::Postpone, random_value);
                 Ok(())
             }
             Fault::ForgetHistory => {
-                self.store.forget_history();
+                self.store.discard_history();
                 Ok(())
             }
             Fault::ServerLink => {
@@ -241,7 +241,7 @@
                 for number in 0..=random_value % 4 {
                     server
                         .backend
-                        .spoil(backend_fault(random_value / 8 + number));
+                        .inject_fault(backend_fault(random_value / 8 + number));
                 }
                 Ok(())
             }
@@ -285,7 +285,7 @@
 
     fn fail_appends(&self, fault: AppendFault, random_value: u64) {
         for _ in 0..=random_value % 3 {
-            self.store.spoil_append(fault);
+            self.store.inject_append_fault(fault);
         }
     }
 
@@ -369,7 +369,7 @@
 }
 
 /// Makes the store unavailable at some of its addresses, in one of four ways.
-fn interrupt_store(doors: &[StoreDoor], random_value: u64, duration: Duration) {
+fn interrupt_store(doors: &[StoreEndpoint], random_value: u64, duration: Duration) {
     let modes = [
         StoreMode::Busy,
         StoreMode::Limited,
@@ -398,11 +398,11 @@
 fn backend_fault(random_value: u64) -> BackendFault {
     match random_value % 8 {
         0 => BackendFault::Refuse,
-        1 => BackendFault::LoseAnswer,
+        1 => BackendFault::LoseResponse,
         2 => BackendFault::Silence,
         3 => BackendFault::CutAfter(random_value / 8 % EVENTS_PER_STREAM),
         4 => BackendFault::SilentAfter(random_value / 8 % EVENTS_PER_STREAM),
-        5 => BackendFault::ExtraAnswer,
+        5 => BackendFault::ExtraResponse,
         6 => BackendFault::WrongId,
         _ => BackendFault::Unframed,
     }
--- a/standins/tests/daemons.rs
+++ b/standins/tests/daemons.rs
@@ -47,7 +47,7 @@
 fn running_sequences(deployment: &Deployment) -> u32 {
     let engines = deployment.servers.engines.iter();
     engines
-        .map(|engine| engine.inspect(|engine| engine.load_now().running))
+        .map(|engine| engine.inspect(|engine| engine.current_load().running))
         .sum()
 }
 
@@ -126,7 +126,7 @@
 fn an_entry_exits_after_its_last_response() {
     let options = DeploymentOptions {
         plain: PlainSettings {
-            answer_us: SpanUs::from_s(1),
+            response_us: SpanUs::from_s(1),
         },
         ..DeploymentOptions::default()
     };
@@ -219,7 +219,7 @@
 fn a_sidecar_exits_after_its_last_call() {
     let options = DeploymentOptions {
         plain: PlainSettings {
-            answer_us: SpanUs::from_s(1),
+            response_us: SpanUs::from_s(1),
         },
         ..DeploymentOptions::default()
     };
@@ -253,7 +253,7 @@
 fn a_forced_shutdown_reports_unfinished_calls_truthfully() {
     let options = DeploymentOptions {
         plain: PlainSettings {
-            answer_us: SpanUs::from_s(20),
+            response_us: SpanUs::from_s(20),
         },
         shutdown: ShutdownSettings {
             limit_us: SpanUs::from_ms(500),
@@ -346,7 +346,7 @@
 fn the_outcome_of_a_hold_is_fetched_after_a_disconnect() {
     let options = DeploymentOptions {
         plain: PlainSettings {
-            answer_us: SpanUs::from_ms(300),
+            response_us: SpanUs::from_ms(300),
         },
         ..DeploymentOptions::default()
     };
--- a/standins/tests/engine.rs
+++ b/standins/tests/engine.rs
@@ -89,7 +89,7 @@
         let expected = answer_text(body.prompt.chain(), Tokens(10 + at as u64));
         assert_eq!(outputs[&body.attempt].text, expected);
     }
-    assert_eq!(engine.load_now().running, 0);
+    assert_eq!(engine.current_load().running, 0);
 }
 
 #[test]
@@ -170,7 +170,7 @@
             .expect("the engine is available");
         drain(&mut engine);
     }
-    assert!(engine.load_now().cache_used_tokens <= Tokens(900));
+    assert!(engine.current_load().cache_used_tokens <= Tokens(900));
     let is_cached = |n: usize| {
         let chain = Prompt::of_messages(&prompts[n]).chain();
         !engine.export(chain).segments.is_empty()
@@ -201,7 +201,7 @@
     assert_eq!(engine.export(chains(1)[0]).segments.len(), 1);
     assert!(engine.export(chains(0)[1]).segments.is_empty());
     engine.release(now, &chains(1));
-    assert_eq!(engine.load_now().cache_used_tokens, Tokens(0));
+    assert_eq!(engine.current_load().cache_used_tokens, Tokens(0));
 }
 
 /// After a link failure the sidecar resumes from the position it has; the engine sends what was
@@ -266,14 +266,14 @@
     }
     engine.advance(TimeUs(100_000));
     assert_eq!(
-        (engine.load_now().running, engine.load_now().waiting),
+        (engine.current_load().running, engine.current_load().waiting),
         (2, 2)
     );
     for n in [0, 3] {
         engine.cancel(TimeUs(100_000), AttemptId(n));
     }
     assert_eq!(
-        (engine.load_now().running, engine.load_now().waiting),
+        (engine.current_load().running, engine.current_load().waiting),
         (2, 0)
     );
     let mut ended = Vec::new();
@@ -334,16 +334,16 @@
     engine
         .order(now, order.clone())
         .expect("a new order is accepted");
-    assert!(engine.weights_wanted(now).is_some());
-    assert!(engine.weights_wanted(now).is_none());
-    engine.weights_answer(now, Err(SpanUs(500)));
-    assert!(engine.weights_wanted(now).is_none());
-    assert!(engine.weights_wanted(TimeUs(1_000_500)).is_some());
-    engine.weights_answer(TimeUs(1_000_500), Ok(SpanUs(100)));
+    assert!(engine.take_weight_request(now).is_some());
+    assert!(engine.take_weight_request(now).is_none());
+    engine.complete_weight_fetch(now, Err(SpanUs(500)));
+    assert!(engine.take_weight_request(now).is_none());
+    assert!(engine.take_weight_request(TimeUs(1_000_500)).is_some());
+    engine.complete_weight_fetch(TimeUs(1_000_500), Ok(SpanUs(100)));
     engine.advance(TimeUs(1_000_600));
     assert_eq!(engine.state().busy, None);
     assert_eq!(engine.state().models.len(), 1);
-    assert_eq!(engine.load_now().cache_used_tokens, Tokens(0));
+    assert_eq!(engine.current_load().cache_used_tokens, Tokens(0));
     let again = engine
         .order(TimeUs(1_000_600), order)
         .expect("a repeated order is accepted");
--- a/standins/tests/gateway.rs
+++ b/standins/tests/gateway.rs
@@ -6,7 +6,7 @@
 use std::io::Write;
 
 use standins::platform_backend::{BackendFault, PlatformBackend, body_text, event_data};
-use standins::platform_caller::{CallerRequest, exchange, read_answer};
+use standins::platform_caller::{CallerRequest, exchange, read_response};
 use standins::platform_run::{PlatformRun, config, wait_until};
 
 fn run() -> PlatformRun {
@@ -192,7 +192,7 @@
     assert!(!standins::platform_run::is_ready(
         run.gateways[0].addresses.ready
     ));
-    let response = read_answer(&mut caller).expect("a response");
+    let response = read_response(&mut caller).expect("a response");
     assert_eq!((response.status, response.is_complete), (200, true));
     assert_eq!(response.body, events("t1", 1..=4));
     wait_until(|| run.gateways[0].has_ended()).expect("the process exits");
@@ -213,7 +213,7 @@
     caller.write_all(first).expect("request sent");
     std::thread::sleep(Duration::from_millis(200));
     caller.write_all(rest).expect("request sent");
-    let response = read_answer(&mut caller).expect("a response");
+    let response = read_response(&mut caller).expect("a response");
     assert_eq!((response.status, response.is_complete), (200, true));
     wait_until(|| run.gateways[0].has_ended()).expect("the process exits");
 }
@@ -224,8 +224,8 @@
 fn a_503_with_retry_after_means_the_request_has_not_run() {
     let run = run();
     let address = run.callers(0);
-    run.plains[0].spoil(BackendFault::Refuse);
-    run.plains[1].spoil(BackendFault::Refuse);
+    run.plains[0].inject_fault(BackendFault::Refuse);
+    run.plains[1].inject_fault(BackendFault::Refuse);
     let request = CallerRequest::new("POST", "/book/1", "r1");
     let response = request.send(address).expect("a response");
     assert_eq!(response.status, 503);
@@ -242,7 +242,7 @@
 fn a_booking_is_not_retried_after_a_lost_response() {
     let run = run();
     for plain in &run.plains {
-        plain.spoil(BackendFault::LoseAnswer);
+        plain.inject_fault(BackendFault::LoseResponse);
     }
     let request = CallerRequest::new("POST", "/book/1", "r1");
     let response = request.send(run.callers(0)).expect("a response");
@@ -256,7 +256,7 @@
 fn a_booking_without_a_response_gets_504_at_the_timeout() {
     let run = run();
     for plain in &run.plains {
-        plain.spoil(BackendFault::Silence);
+        plain.inject_fault(BackendFault::Silence);
     }
     let request = CallerRequest::new("POST", "/book/1", "r1");
     let response = request.send(run.callers(0)).expect("a response");
@@ -275,18 +275,18 @@
 fn a_lookup_survives_bad_responses() {
     let run = run();
     let faults = [
-        BackendFault::LoseAnswer,
+        BackendFault::LoseResponse,
         BackendFault::Silence,
         BackendFault::CutAfter(0),
         BackendFault::WrongId,
         BackendFault::Unframed,
-        BackendFault::ExtraAnswer,
+        BackendFault::ExtraResponse,
     ];
     for fault in faults {
-        run.plains[0].spoil(fault);
+        run.plains[0].inject_fault(fault);
         let mut number = 0;
         // A server that failed is skipped for a while, so the next fault may take several lookups.
-        while run.plains[0].has_faults() {
+        while run.plains[0].has_pending_faults() {
             let id = format!("{fault:?}-{number}");
             let request = CallerRequest::new("GET", "/look/1", &id);
             let response = request.send(run.callers(0)).expect("a response");
@@ -305,7 +305,7 @@
     let run = run();
     let address = run.callers(0);
     for number in 0..12 {
-        run.plains[number % 2].spoil(BackendFault::ExtraAnswer);
+        run.plains[number % 2].inject_fault(BackendFault::ExtraResponse);
     }
     for number in 0..24 {
         let id = format!("r{number}");
@@ -325,7 +325,7 @@
     for number in 0..12 {
         let pause = Duration::from_millis(1 + number % 4);
         let plain = usize::from(number % 2 == 1);
-        run.plains[plain].spoil(BackendFault::LateExtraAnswer(pause));
+        run.plains[plain].inject_fault(BackendFault::LateExtraResponse(pause));
     }
     for number in 0..24 {
         let id = format!("r{number}");
@@ -366,7 +366,7 @@
                 .iter()
                 .any(|execution| execution.id == format!("{id}-first"))
         });
-        run.engines[holder.expect("an engine")].spoil(fault);
+        run.engines[holder.expect("an engine")].inject_fault(fault);
         let response = CallerRequest::turn("/draft/1", id, id, "x").send(address);
         let response = response.expect("a response");
         assert_eq!(
@@ -385,7 +385,7 @@
 fn a_non_resumable_stream_ends_visibly_incomplete() {
     let run = run();
     for engine in &run.engines {
-        engine.spoil(BackendFault::CutAfter(2));
+        engine.inject_fault(BackendFault::CutAfter(2));
     }
     let turn = CallerRequest::turn("/chat/1", "t1", "p1", "x");
     let response = turn.send(run.callers(0)).expect("a response");
@@ -426,7 +426,7 @@
 fn an_unresponsive_server_is_skipped() {
     let run = run();
     for _ in 0..100 {
-        run.plains[0].spoil(BackendFault::Silence);
+        run.plains[0].inject_fault(BackendFault::Silence);
     }
     for number in 0..100 {
         let request = CallerRequest::new("GET", "/look/1", &format!("r{number}"));
--- a/standins/tests/gateway_bounds.rs
+++ b/standins/tests/gateway_bounds.rs
@@ -74,7 +74,7 @@
     added.expect("a gateway");
     let address = run.callers(0);
     for plain in &run.plains {
-        plain.spoil(BackendFault::Silence);
+        plain.inject_fault(BackendFault::Silence);
     }
     let booking = |id: &str| CallerRequest {
         body: "x".repeat(40_000),
@@ -106,7 +106,7 @@
     let run = PlatformRun::start(1).expect("a platform run");
     for plain in &run.plains {
         for _ in 0..2 * LOOKUPS {
-            plain.spoil(BackendFault::LoseAnswer);
+            plain.inject_fault(BackendFault::LoseResponse);
         }
     }
     for number in 0..LOOKUPS {
--- a/standins/tests/gateway_homes.rs
+++ b/standins/tests/gateway_homes.rs
@@ -28,7 +28,7 @@
 
 /// Makes the store unresponsive for all gateways.
 fn silence_store(run: &PlatformRun) {
-    for door in &run.doors {
+    for door in &run.store_endpoints {
         door.set_mode(StoreMode::Silent);
     }
 }
@@ -38,8 +38,8 @@
 fn lose_first_gateway(run: &mut PlatformRun) {
     silence_store(run);
     drop(run.gateways.remove(0));
-    run.doors.remove(0);
-    run.doors[0].set_mode(StoreMode::Serving);
+    run.store_endpoints.remove(0);
+    run.store_endpoints[0].set_mode(StoreMode::Serving);
 }
 
 /// Returns the largest number of partitions that one process is the home of.
@@ -227,7 +227,7 @@
         assert_eq!(turn(&run, 1, program, &format!("{program}-first")), 200);
     }
     drop(run.gateways.remove(0));
-    run.doors.remove(0);
+    run.store_endpoints.remove(0);
     assert!(
         home_record_count(&run) < 96,
         "the home's records remain after its shutdown"
@@ -279,7 +279,7 @@
         max_partitions_per_home(&run) == 96
     })
     .expect("new homes of the lost gateway's partitions");
-    run.doors[0].set_mode(StoreMode::Silent);
+    run.store_endpoints[0].set_mode(StoreMode::Silent);
     for number in 0..12 {
         let program = format!("p{number}");
         assert_eq!(turn(&run, 0, &program, &program), 200, "{program}");
--- a/standins/tests/gateway_ledger.rs
+++ b/standins/tests/gateway_ledger.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use standins::platform_backend::{PlatformBackend, body_text};
-use standins::platform_caller::{CallerAnswer, CallerRequest};
+use standins::platform_caller::{CallerRequest, CallerResponse};
 use standins::platform_run::PlatformRun;
 use standins::platform_store::{AppendFault, StoreMode};
 
@@ -18,7 +18,7 @@
     path: &str,
     id: &str,
     previous: Option<&str>,
-) -> CallerAnswer {
+) -> CallerResponse {
     let turn = CallerRequest::turn(path, id, "p1", id).with("Token-Budget", "400");
     let turn = match previous {
         Some(previous) => turn.with("Previous-Turn", previous),
@@ -96,7 +96,7 @@
 fn an_unknown_turn_gets_404_only_while_the_store_is_available() {
     let run = run(1);
     assert_eq!(turn(&run, 0, "/chat/1", "t1", Some("never")).status, 404);
-    run.doors[0].set_mode(StoreMode::Busy);
+    run.store_endpoints[0].set_mode(StoreMode::Busy);
     let response = turn(&run, 0, "/chat/1", "t2", Some("never"));
     assert_eq!(response.status, 503);
     assert!(response.headers.contains_key("retry-after"));
@@ -108,11 +108,11 @@
 fn the_end_of_a_turn_waits_for_its_record() {
     let run = run(1);
     assert_eq!(turn(&run, 0, "/chat/1", "t1", None).status, 200);
-    run.doors[0].set_mode(StoreMode::Silent);
+    run.store_endpoints[0].set_mode(StoreMode::Silent);
     let response = turn(&run, 0, "/chat/1", "t2", Some("t1"));
     assert_eq!((response.status, response.is_complete), (200, false));
     assert_eq!(response.body.matches("data:").count(), 4);
-    run.doors[0].set_mode(StoreMode::Serving);
+    run.store_endpoints[0].set_mode(StoreMode::Serving);
     let response = turn(&run, 0, "/chat/1", "t3", Some("t1"));
     assert_eq!((response.status, response.is_complete), (200, true));
 }
@@ -123,11 +123,11 @@
 fn a_repeated_append_is_idempotent() {
     let run = run(1);
     for fault in [
-        AppendFault::LoseAnswer,
-        AppendFault::DoLater,
-        AppendFault::LoseAnswer,
+        AppendFault::LoseResponse,
+        AppendFault::Postpone,
+        AppendFault::LoseResponse,
     ] {
-        run.store.spoil_append(fault);
+        run.store.inject_append_fault(fault);
     }
     assert_eq!(turn(&run, 0, "/chat/1", "t1", None).status, 200);
     assert_eq!(turn(&run, 0, "/chat/1", "t2", Some("t1")).status, 200);
@@ -141,7 +141,7 @@
 fn a_peer_relays_calls_to_an_unreachable_store() {
     let run = run(2);
     for mode in [StoreMode::Busy, StoreMode::Reset, StoreMode::Silent] {
-        run.doors[1].set_mode(mode);
+        run.store_endpoints[1].set_mode(mode);
         let id = format!("t-{mode:?}");
         let response = turn(&run, 1, "/chat/1", &id, None);
         assert_eq!(
@@ -159,7 +159,7 @@
     let run = run(2);
     run.store.set_page_items(1);
     assert_eq!(turn(&run, 0, "/chat/1", "t1", None).status, 200);
-    run.store.forget_history();
+    run.store.discard_history();
     assert_eq!(turn(&run, 1, "/chat/1", "t2", Some("t1")).status, 200);
     assert!(prompt(&run, "t2").starts_with("t1t1-1\n"));
     let slices = run.store.keys("keyed.budgets").len();
@@ -215,7 +215,7 @@
 fn a_program_goes_on_elsewhere_while_the_store_is_away() {
     let run = run(2);
     assert_eq!(turn(&run, 0, "/draft/1", "t1", None).status, 200);
-    for door in &run.doors {
+    for door in &run.store_endpoints {
         door.set_mode(StoreMode::Busy);
     }
     let is_served =
--- a/standins/tests/gateway_lists.rs
+++ b/standins/tests/gateway_lists.rs
@@ -96,7 +96,7 @@
     let run = PlatformRun::start(2).expect("a run");
     // Lets the second gateway find its peer, which it has as a seed.
     sleep(Duration::from_millis(500));
-    run.doors[1].set_mode(StoreMode::Silent);
+    run.store_endpoints[1].set_mode(StoreMode::Silent);
     run.store.put("keyed.op", "config", &moved_config(2));
     let started_at = Instant::now();
     wait_until(|| has_moved_config(&run, 1)).expect("the new configuration");
@@ -114,7 +114,7 @@
     let run = PlatformRun::start(1).expect("a run");
     sleep(Duration::from_millis(500));
     run.store.put("keyed.servers", "gone", "");
-    run.store.forget_history();
+    run.store.discard_history();
     run.store.put("keyed.op", "config", &moved_config(2));
     wait_until(|| has_moved_config(&run, 0)).expect("the new configuration");
 }
@@ -185,12 +185,12 @@
 #[test]
 fn servers_whose_entries_expire_in_a_store_outage_are_still_used() {
     let run = PlatformRun::start(1).expect("a run");
-    run.doors[0].set_mode(StoreMode::Busy);
+    run.store_endpoints[0].set_mode(StoreMode::Busy);
     sleep(Duration::from_secs(3));
     for server in ["p-1", "p-2"] {
         run.store.remove("keyed.servers", server);
     }
-    run.doors[0].set_mode(StoreMode::Serving);
+    run.store_endpoints[0].set_mode(StoreMode::Serving);
     let returned_at = Instant::now();
     while returned_at.elapsed() < Duration::from_secs(1) {
         let request = CallerRequest::new("GET", "/look/1", "r");
