--- a/clementinepick/tests/server_selection.rs
+++ b/clementinepick/tests/server_selection.rs
@@ -221,7 +221,7 @@
 /// the chain would prefill its 3,000 tokens again and slow down every request of that server's
 /// batch, until all servers are busy with such prefills.
 #[test]
-fn a_full_server_cachings_turn_chains() {
+fn a_full_server_keeps_its_turn_chains() {
     let servers = servers(9);
     let candidates: Vec<&BackendServer> = servers.iter().collect();
     let mut selector = ServerSelector::default();
