--- a/clementinepick/src/answer.rs
+++ b/clementinepick/src/answer.rs
@@ -263,7 +263,7 @@
         let Some(call) = self.calls.get(&id) else {
             return false;
         };
-        let max_attempts = call.in_force.document.retry.max_attempts as usize;
+        let max_attempts = call.active_document.document.retry.max_attempts as usize;
         let is_retryable_kind = matches!(
             error.kind,
             ErrorKind::NoBackend
--- a/clementinepick/src/call_state.rs
+++ b/clementinepick/src/call_state.rs
@@ -79,7 +79,7 @@
     pub(crate) step: Step,
     pub(crate) deadline_us: TimeUs,
     pub(crate) class: ClassName,
-    pub(crate) in_force: ActiveDocument,
+    pub(crate) active_document: ActiveDocument,
     pub(crate) idempotent: bool,
     pub(crate) seq: Option<CallSeq>,
     /// The payload preceded by the recorded history, if the caller sent only new messages.
@@ -120,7 +120,7 @@
             return Tokens(0);
         };
         let limit = self
-            .in_force
+            .active_document
             .document
             .class(&self.class)
             .map_or(Tokens(0), |c| c.max_output_tokens);
--- a/clementinepick/src/entry_config.rs
+++ b/clementinepick/src/entry_config.rs
@@ -71,7 +71,7 @@
         };
         let event = event.with("operation", publication.operation);
         out.push(EntryAction::Event(event.with("service", service)));
-        let Some(in_force) = self.config.service(service) else {
+        let Some(active) = self.config.service(service) else {
             return;
         };
         // Sidecars get the document at once rather than after the next heartbeats. Two entries send
@@ -83,11 +83,11 @@
         let mut notified = Vec::new();
         for (vm, _) in sidecars {
             notified.push(vm.clone());
-            let message = Message::Documents(vec![in_force.published.clone()]);
+            let message = Message::Documents(vec![active.published.clone()]);
             let to = vm.clone();
             out.push(EntryAction::Send { to, message });
         }
-        let key = (service.clone(), in_force.published.revision);
+        let key = (service.clone(), active.published.revision);
         for vm in notified {
             if let Some(peer) = self.peers.get_mut(&vm) {
                 peer.record_sent_document(key.clone());
@@ -117,7 +117,7 @@
         let (Some(peer), Some(call)) = (self.peers.get_mut(to), self.calls.get(&call)) else {
             return;
         };
-        let published = &call.in_force.published;
+        let published = &call.active_document.published;
         let key = (published.service.clone(), published.revision);
         if !peer.has_document(&key) {
             let message = Message::Documents(vec![published.clone()]);
--- a/clementinepick/src/entry_orders.rs
+++ b/clementinepick/src/entry_orders.rs
@@ -128,15 +128,15 @@
         let placed_services: Vec<(ServiceName, ActiveDocument)> = self
             .config
             .services()
-            .filter(|(_, in_force)| needs_placement(in_force))
-            .map(|(service, in_force)| (service.clone(), in_force.clone()))
+            .filter(|(_, active)| needs_placement(active))
+            .map(|(service, active)| (service.clone(), active.clone()))
             .collect();
         self.placements
             .retain(|service, _| placed_services.iter().any(|(name, _)| name == service));
-        for (service, in_force) in placed_services {
+        for (service, active) in placed_services {
             match self.config.decider(&service).cloned() {
                 Some(decider) if self.is_self(&decider) => {
-                    self.send_due_orders(now, &service, &in_force, &decider, out);
+                    self.send_due_orders(now, &service, &active, &decider, out);
                 }
                 decider => {
                     self.placements.remove(&service);
@@ -199,13 +199,13 @@
         &mut self,
         now: TimeUs,
         service: &ServiceName,
-        in_force: &ActiveDocument,
+        active: &ActiveDocument,
         decider: &Decider,
         out: &mut Vec<EntryAction>,
     ) {
         let engines = self.engines_of(service);
         let settle = SpanUs(self.settings.heartbeat_us.0 * DECIDER_SETTLE_HEARTBEATS);
-        let settle = settle.max(in_force.document.placement.load_interval_us);
+        let settle = settle.max(active.document.placement.load_interval_us);
         let placement = self
             .placements
             .entry(service.clone())
@@ -213,7 +213,7 @@
         if placement.fencing != decider.fencing {
             *placement = PlacementPlanner::new(now, decider.fencing, settle);
         }
-        for planned in placement.plan(now, in_force, &engines) {
+        for planned in placement.plan(now, active, &engines) {
             let Some((target, _)) = self.membership.link(&planned.target) else {
                 continue;
             };
@@ -268,10 +268,10 @@
         let Some(service) = self.peers.get(from).and_then(|p| p.peer.service.clone()) else {
             return;
         };
-        let Some(in_force) = self.config.service(&service) else {
+        let Some(active) = self.config.service(&service) else {
             return;
         };
-        let retry_after = in_force.document.placement.retry_after_us;
+        let retry_after = active.document.placement.retry_after_us;
         let Some(placement) = self.placements.get_mut(&service) else {
             return;
         };
@@ -296,8 +296,8 @@
     }
 }
 
-fn needs_placement(in_force: &ActiveDocument) -> bool {
-    let document = &in_force.document;
+fn needs_placement(active: &ActiveDocument) -> bool {
+    let document = &active.document;
     let roles = document.placement.prefill_engines + document.placement.decode_engines;
     document.kind == ServiceKind::Engine && (!document.placed_models.is_empty() || roles > 0)
 }
--- a/clementinepick/src/lib.rs
+++ b/clementinepick/src/lib.rs
@@ -9,7 +9,7 @@
 //! | step | module | rules and state in |
 //! |---|---|---|
 //! | parse the request | [`http_request`] | |
-//! | validate it against the document in force | `step_validate` | [`config`], [`document`] |
+//! | validate it against the active document | `step_validate` | [`config`], [`document`] |
 //! | find the owner of its program | `step_owner` | [`rendezvous`], [`partition_replay`] |
 //! | detect a repeat of an earlier call | `step_dedup` | |
 //! | wait for the program's earlier calls | `step_sequence` | [`sequencer`] |
--- a/clementinepick/src/message.rs
+++ b/clementinepick/src/message.rs
@@ -205,7 +205,7 @@
 /// Status of a process, sent periodically.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Revision in force at the sender, by service.
+    /// Active revision at the sender, by service.
     pub revisions: BTreeMap<ServiceName, Revision>,
     /// Offset up to which the sender has read the configuration.
     pub config_offset: Offset,
--- a/clementinepick/src/partition_replay.rs
+++ b/clementinepick/src/partition_replay.rs
@@ -192,8 +192,8 @@
         // Two entries may claim the partition at the same time. Each names the claim it replaces,
         // so only the first in the log matches; the other sees that it lost and does not act as
         // owner.
-        let in_force = state.owner.as_ref().map(|owner| owner.epoch);
-        if in_force != over && self.safeguards.claim_cas {
+        let owner_epoch = state.owner.as_ref().map(|owner| owner.epoch);
+        if owner_epoch != over && self.safeguards.claim_cas {
             return Effect::ClaimLost(partition);
         }
         state.owner = Some(Owner {
@@ -219,13 +219,13 @@
         // An owner that was paused may write after another took over, and its calls would run
         // beside those of the new owner. Its epoch is no longer current, so every reader ignores
         // the record, and the writer notices when it reads its own record back.
-        let in_force = !state.yielded
+        let is_from_owner = !state.yielded
             && state.owner.as_ref().is_some_and(|owner| {
                 owner.epoch == epoch
                     && owner.vm == record.writer
                     && owner.incarnation == record.incarnation
             });
-        if !in_force {
+        if !is_from_owner {
             return Effect::Stale(partition);
         }
         if let PartitionRecord::ProgramOpened { program, root, .. } = entry
--- a/clementinepick/src/placement.rs
+++ b/clementinepick/src/placement.rs
@@ -102,17 +102,17 @@
     pub fn plan(
         &mut self,
         now: TimeUs,
-        in_force: &ActiveDocument,
+        active: &ActiveDocument,
         engines: &BTreeMap<VmId, Engine>,
     ) -> Vec<PlannedOrder> {
         if now < self.start_us {
             return Vec::new();
         }
-        self.update_revision(in_force.published.revision);
+        self.update_revision(active.published.revision);
         self.outstanding.retain(|vm, order| {
             engines.contains_key(vm) && now.since(order.sent_us) < ORDER_TIMEOUT
         });
-        let document = &in_force.document;
+        let document = &active.document;
         let targets = compute_targets(document, engines);
         let mut budget = ChangeBudget::new(document, engines, |vm| self.is_busy(vm, engines));
         let mut planned = Vec::new();
--- a/clementinepick/src/placement_target.rs
+++ b/clementinepick/src/placement_target.rs
@@ -1,4 +1,4 @@
-//! Computes what each engine of a service should serve according to the document in force.
+//! Computes what each engine of a service should serve according to the active document.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
--- a/clementinepick/src/program_end.rs
+++ b/clementinepick/src/program_end.rs
@@ -346,8 +346,8 @@
 
     fn lease_us(&self, partition: PartitionId, program: &ProgramId) -> SpanUs {
         let state = self.partitions.program(partition, program);
-        let in_force = state.and_then(|state| self.config.service(&state.service));
-        in_force.map_or(SpanUs::from_s(30), |s| s.document.retention.lease_us)
+        let active = state.and_then(|state| self.config.service(&state.service));
+        active.map_or(SpanUs::from_s(30), |s| s.document.retention.lease_us)
     }
 
     /// Ends programs that are idle, past their deadline or out of budget, and refuses calls whose
@@ -360,10 +360,10 @@
             let Some(state) = self.partitions.program(live.partition, program) else {
                 continue;
             };
-            let Some(in_force) = self.config.service(&state.service) else {
+            let Some(active) = self.config.service(&state.service) else {
                 continue;
             };
-            let rules = &in_force.document.program;
+            let rules = &active.document.program;
             let late = live.sequencer.take_overdue(now, rules.gap_us);
             if late.is_empty() && !live.sequencer.is_idle() {
                 unblocked.push(program.clone());
--- a/clementinepick/src/sidecar.rs
+++ b/clementinepick/src/sidecar.rs
@@ -261,10 +261,10 @@
     }
 
     fn apply_document(&mut self) {
-        let Some(in_force) = self.config.service(&self.settings.service) else {
+        let Some(active) = self.config.service(&self.settings.service) else {
             return;
         };
-        let document = &in_force.document;
+        let document = &active.document;
         let engine_limit = match self.load.max_running {
             0 => u32::MAX,
             limit => limit,
@@ -322,7 +322,7 @@
         })
     }
 
-    /// Returns the document revisions in force, by service.
+    /// Returns the revisions of the active documents, by service.
     #[must_use]
     pub fn revisions(&self) -> BTreeMap<ServiceName, Revision> {
         self.config.revisions()
--- a/clementinepick/src/sidecar_cache.rs
+++ b/clementinepick/src/sidecar_cache.rs
@@ -88,8 +88,8 @@
     }
 
     fn idle_limit_us(&self) -> SpanUs {
-        let in_force = self.config.service(&self.settings.service);
-        in_force.map_or(SpanUs(u64::MAX), |s| s.document.program.idle_us)
+        let active = self.config.service(&self.settings.service);
+        active.map_or(SpanUs(u64::MAX), |s| s.document.program.idle_us)
     }
 
     /// Frees the chains that only this program uses.
--- a/clementinepick/src/sidecar_calls.rs
+++ b/clementinepick/src/sidecar_calls.rs
@@ -160,10 +160,10 @@
     pub(crate) fn queued_call(&self, now: TimeUs, dispatch: &Dispatch) -> Option<QueuedCall> {
         // The call keeps the revision under which its owner accepted it. Under the newest one, a
         // call whose class was removed meanwhile would be refused half way.
-        let in_force = self
+        let active = self
             .config
             .document_at(&self.settings.service, dispatch.revision)?;
-        let rules = in_force.document.class(&dispatch.class)?;
+        let rules = active.document.class(&dispatch.class)?;
         let prompt_tokens = match &dispatch.payload {
             Payload::Chat(call) => call.prompt.length_tokens(),
             Payload::Plain(_) => Tokens(0),
--- a/clementinepick/src/step_budget.rs
+++ b/clementinepick/src/step_budget.rs
@@ -23,7 +23,7 @@
         };
         let (tokens, partition) = (call.work_tokens(), call.partition);
         if call.is_unrecorded() {
-            let rules = &call.in_force.document.program;
+            let rules = &call.active_document.document.program;
             let limit = call.request.budget_tokens.unwrap_or(rules.budget_tokens);
             if tokens > limit.min(rules.budget_tokens) {
                 self.fail_call(now, id, budget_exhausted(), out);
--- a/clementinepick/src/step_route.rs
+++ b/clementinepick/src/step_route.rs
@@ -108,7 +108,7 @@
                 .retry_budgets
                 .entry(call.request.service.clone())
                 .or_default();
-            budget.deposit(call.in_force.document.retry.budget);
+            budget.deposit(call.active_document.document.retry.budget);
         }
         call.tried.insert(target.clone());
         self.router.on_sent(target, call.prefill_tokens);
@@ -138,7 +138,7 @@
             partition: call.partition,
             epoch,
             service: call.request.service.clone(),
-            revision: call.in_force.published.revision,
+            revision: call.active_document.published.revision,
             class: call.class.clone(),
             idempotent: call.idempotent,
             deadline_left_us: call.deadline_us.since(now),
--- a/clementinepick/src/step_sequence.rs
+++ b/clementinepick/src/step_sequence.rs
@@ -107,7 +107,7 @@
             return;
         };
         let (program, partition) = (call.request.program.clone(), call.partition);
-        let rules = &call.in_force.document.program;
+        let rules = &call.active_document.document.program;
         let tokens = call.request.budget_tokens.unwrap_or(rules.budget_tokens);
         let budget = Budget {
             tokens: tokens.min(rules.budget_tokens),
@@ -213,7 +213,7 @@
         let Some(call) = self.calls.get(&id) else {
             return false;
         };
-        let max_repeats = call.in_force.document.program.max_repeats;
+        let max_repeats = call.active_document.document.program.max_repeats;
         let digest = crate::step_start::digest_new_messages(&call.request.payload);
         let Some(live) = self.programs.get_mut(&call.request.program) else {
             return false;
--- a/clementinepick/src/step_validate.rs
+++ b/clementinepick/src/step_validate.rs
@@ -1,4 +1,4 @@
-//! Validates parsed requests against the document in force and creates their calls.
+//! Validates parsed requests against the active document and creates their calls.
 
 use std::collections::BTreeSet;
 
@@ -99,7 +99,7 @@
             let detail = "this entry is shutting down";
             return Err(CallError::new(ErrorKind::ShuttingDown, detail));
         }
-        let Some(in_force) = self.config.service(&request.service) else {
+        let Some(active) = self.config.service(&request.service) else {
             let detail = format!("service `{}` has no document in force", request.service);
             return Err(CallError::in_field(
                 ErrorKind::UnknownService,
@@ -107,9 +107,9 @@
                 detail,
             ));
         };
-        let idempotent = is_idempotent(&in_force.document, &request)?;
-        let class = resolve_class(in_force, &request);
-        let Some(rules) = in_force.document.class(&class) else {
+        let idempotent = is_idempotent(&active.document, &request)?;
+        let class = resolve_class(active, &request);
+        let Some(rules) = active.document.class(&class) else {
             let detail = format!(
                 "the document of `{}` has no class `{class}`",
                 request.service
@@ -129,7 +129,7 @@
             step: Step::Own,
             deadline_us: now.after(left_us),
             class,
-            in_force: in_force.clone(),
+            active_document: active.clone(),
             seq: None,
             full_payload: None,
             held_tokens: None,
@@ -164,8 +164,8 @@
     }
 }
 
-fn resolve_class(in_force: &ActiveDocument, request: &Request) -> ClassName {
-    let document = &in_force.document;
+fn resolve_class(active: &ActiveDocument, request: &Request) -> ClassName {
+    let document = &active.document;
     let route_class = match &request.payload {
         Payload::Chat(_) => None,
         Payload::Plain(call) => document
--- a/clementinepick/tests/control_traffic.rs
+++ b/clementinepick/tests/control_traffic.rs
@@ -1,5 +1,5 @@
-//! Measures the control traffic of an idle deployment and the time until a published document is in
-//! force at all processes. `--nocapture` prints the table.
+//! Measures the control traffic of an idle deployment and the time until a published document is
+//! active at all processes. `--nocapture` prints the table.
 
 mod common;
 
--- a/clementinepick/tests/operations.rs
+++ b/clementinepick/tests/operations.rs
@@ -35,7 +35,7 @@
     });
 }
 
-// A sidecar that restarts while the log is unavailable must get the revision in force from the
+// A sidecar that restarts while the log is unavailable must get the active revision from the
 // entries.
 #[test]
 fn sidecar_that_starts_during_a_log_outage_gets_its_document() {
--- a/clementinepick/tests/placement.rs
+++ b/clementinepick/tests/placement.rs
@@ -22,7 +22,7 @@
     "star".parse().expect("valid name")
 }
 
-fn in_force(revision: u64, more: &str) -> ActiveDocument {
+fn active_document(revision: u64, more: &str) -> ActiveDocument {
     let text = format!(
         "[service]\nname = s\nkind = engine\n[class c]\nrank = 1\n{more}\n[placement]\n\
          load_interval = 10 s\nmax_loading = 2\nmin_serving = 70%\nretry_after = 20 s\n"
@@ -40,7 +40,7 @@
 }
 
 fn version(revision: u64, version: &str) -> ActiveDocument {
-    in_force(revision, &format!("[model star]\nversion = {version}"))
+    active_document(revision, &format!("[model star]\nversion = {version}"))
 }
 
 /// Engines that execute the orders of one decider in virtual time.
@@ -330,7 +330,7 @@
 #[test]
 fn models_and_adapters_stay_on_their_engines_when_one_is_lost() {
     let mut simulation = Simulation::new(6, 0);
-    let document = in_force(
+    let document = active_document(
         1,
         "[model star]\nversion = v1\n[model small]\nversion = s1\nmin_engines = 3\n\
          [adapter tone]\nmodel = small\nversion = 7",
--- a/clementinepick/tests/safeguards.rs
+++ b/clementinepick/tests/safeguards.rs
@@ -221,7 +221,7 @@
 /// The call budget of a program of the plain service.
 const PLAIN_BUDGET_CALLS: u32 = 50;
 
-// A lagging entry sends a sidecar a document that is no longer in force.
+// A lagging entry sends a sidecar a document that is no longer active.
 #[test]
 fn without_monotonic_revisions_an_old_document_takes_effect() {
     assert_fails_without("revision_monotonic", 1, 1, 1, |mut world| {
