--- a/clementinepick/src/call_state.rs
+++ b/clementinepick/src/call_state.rs
@@ -254,7 +254,7 @@
     pub(crate) next_us: TimeUs,
 }
 
-/// A request to end a program, repeated until the end is on record.
+/// A request to end a program, repeated until the end is recorded.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct EndRequest {
     pub(crate) reason: EndReason,
--- a/clementinepick/src/entry.rs
+++ b/clementinepick/src/entry.rs
@@ -214,7 +214,7 @@
     pub(crate) kept_answers_until_us: TimeUs,
     /// Forwarded fetches, with the owner that was asked and the recipient of the answer.
     pub(crate) fetches: BTreeMap<RequestId, (VmId, ReplyTo)>,
-    /// Requests made here to end programs whose end is not on record yet.
+    /// Requests made here to end programs whose end is not recorded yet.
     pub(crate) end_requests: BTreeMap<ProgramId, EndRequest>,
     /// Ended programs, remembered for `ended_retention_us`.
     pub(crate) ended: BTreeMap<ProgramId, EndedProgram>,
--- a/clementinepick/src/sequencer.rs
+++ b/clementinepick/src/sequencer.rs
@@ -24,7 +24,7 @@
 }
 
 impl Sequencer {
-    /// Creates a sequencer that continues after the calls on record; `is_lower_bound` if an earlier
+    /// Creates a sequencer that continues after the recorded calls; `is_lower_bound` if an earlier
     /// owner may have run idempotent calls past them.
     #[must_use]
     pub fn resuming_at(next: CallSeq, is_lower_bound: bool) -> Self {
--- a/clementinepick/src/step_start.rs
+++ b/clementinepick/src/step_start.rs
@@ -73,7 +73,7 @@
         let is_own_attempt =
             recorded.is_some_and(|r| r.attempt == start.attempt && r.outcome.is_none());
         if !is_own_attempt {
-            // Another attempt is on record under this sequence number and takes precedence.
+            // Another attempt is recorded under this sequence number and takes precedence.
             let error = CallError::new(
                 ErrorKind::OutOfOrder,
                 format!("another attempt of call {key} is already on record"),
--- a/clementinepick/tests/at_most_once.rs
+++ b/clementinepick/tests/at_most_once.rs
@@ -38,7 +38,7 @@
     (world, name)
 }
 
-// The owner dies with a request that is not on record. The forwarding entry must send the request
+// The owner dies with a request that is not recorded. The forwarding entry must send the request
 // to the next owner, which runs it once.
 #[test]
 fn owner_killed_before_the_call_is_on_record() {
@@ -381,7 +381,7 @@
 }
 
 // The owner is suspended while another entry takes over. When it resumes it must not run the call a
-// second time: calls on record before the claim are fenced, and later records of its own are stale.
+// second time: calls recorded before the claim are fenced, and later records of its own are stale.
 #[test]
 fn an_owner_paused_over_a_take_over_runs_nothing_when_it_resumes() {
     let (mut world, name) = with_owner();
