--- a/clementinepickd/src/control.rs
+++ b/clementinepickd/src/control.rs
@@ -57,7 +57,7 @@
 
 /// The control thread's channels to other threads, and the state that it shares with them.
 pub(crate) struct Outputs {
-    /// Tells the link manager which VMs to keep links to.
+    /// Sends the link manager the VMs to keep links to.
     pub(crate) links: mpsc::UnboundedSender<LinkTargets>,
     /// Sends commands to the thread of the platform clients.
     pub(crate) clients: mpsc::UnboundedSender<ClientCommand>,
--- a/clementinepickd/src/daemon.rs
+++ b/clementinepickd/src/daemon.rs
@@ -52,8 +52,8 @@
 pub enum ShutdownKind {
     /// All calls had finished.
     Graceful,
-    /// It was forced to, or the shutdown limit passed; unfinished calls were answered with what is
-    /// known of them.
+    /// The shutdown was forced or passed its time limit; unfinished calls were answered with their
+    /// known state.
     Forced,
 }
 
--- a/clementinepickd/src/settings.rs
+++ b/clementinepickd/src/settings.rs
@@ -222,8 +222,8 @@
     /// How long the process keeps its links once its peers are notified of the shutdown, so that
     /// calls they had already sent are answered rather than lost.
     pub linger_us: SpanUs,
-    /// The time after which the shutdown is forced and unfinished calls are answered with what is
-    /// known of them.
+    /// The time after which the shutdown is forced and unfinished calls are answered with their
+    /// known state.
     pub limit_us: SpanUs,
 }
 
