--- a/standins/src/answer.rs
+++ b/standins/src/answer.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 
 /// Names the field of a chat body that says how many tokens the model "wants" to generate.
-pub const WANTED_FIELD: &str = "standin_output_tokens";
+pub const OUTPUT_TOKENS_FIELD: &str = "standin_output_tokens";
 /// The characters of one token; all are ASCII.
 pub const CHARS_PER_TOKEN: u64 = 4;
 
@@ -19,12 +19,12 @@
 /// The whole answer to the prompt that ends in `chain`, of `count` tokens.
 #[must_use]
 pub fn answer_text(chain: ChainHash, count: Tokens) -> String {
-    answer_piece(chain, Tokens(0), count)
+    answer_chunk(chain, Tokens(0), count)
 }
 
 /// The answer's tokens from `from` on, without `until`.
 #[must_use]
-pub fn answer_piece(chain: ChainHash, from: Tokens, until: Tokens) -> String {
+pub fn answer_chunk(chain: ChainHash, from: Tokens, until: Tokens) -> String {
     let count = until.saturating_sub(from).0 * CHARS_PER_TOKEN;
     let mut text = Vec::with_capacity(usize::try_from(count).unwrap_or_default());
     for at in from.0..until.0 {
@@ -47,8 +47,8 @@
 
 /// How many tokens the model wants to generate, before any limit.
 #[must_use]
-pub fn wanted_tokens(chain: ChainHash, extra: &BTreeMap<String, Value>) -> Tokens {
-    let named = extra.get(WANTED_FIELD).and_then(Value::as_u64);
+pub fn intended_output_tokens(chain: ChainHash, extra: &BTreeMap<String, Value>) -> Tokens {
+    let named = extra.get(OUTPUT_TOKENS_FIELD).and_then(Value::as_u64);
     Tokens(named.unwrap_or_else(|| 1 + mix(chain.0) % MAX_UNNAMED_TOKENS))
 }
 
@@ -68,7 +68,7 @@
         let chain = ChainHash(7);
         let whole = answer_text(chain, Tokens(20));
         let parts =
-            answer_piece(chain, Tokens(0), Tokens(9)) + &answer_piece(chain, Tokens(9), Tokens(20));
+            answer_chunk(chain, Tokens(0), Tokens(9)) + &answer_chunk(chain, Tokens(9), Tokens(20));
         assert_eq!(whole, parts);
         assert_eq!(whole.len() as u64, 20 * CHARS_PER_TOKEN);
         assert_ne!(whole, answer_text(ChainHash(8), Tokens(20)));
--- a/standins/src/balancer.rs
+++ b/standins/src/balancer.rs
@@ -47,7 +47,7 @@
 
     /// The entries that are ready.
     #[must_use]
-    pub fn ready(&self) -> Vec<SocketAddr> {
+    pub fn ready_entries(&self) -> Vec<SocketAddr> {
         let state = lock(&self.state);
         let ready = state.ready.iter().filter(|(_, ready)| **ready);
         ready.map(|(entry, _)| *entry).collect()
@@ -55,8 +55,8 @@
 
     /// The entry for the next call.
     #[must_use]
-    pub fn pick(&self) -> Option<SocketAddr> {
-        let ready = self.ready();
+    pub fn next_ready(&self) -> Option<SocketAddr> {
+        let ready = self.ready_entries();
         let mut state = lock(&self.state);
         state.turn += 1;
         let at = state.turn.checked_rem(ready.len())?;
@@ -66,13 +66,13 @@
     /// Looks at the entries again and again; it never ends by itself.
     pub async fn watch(self, client: Client) {
         loop {
-            self.look(&client).await;
+            self.check_readiness(&client).await;
             actix_rt::time::sleep(LOOK).await;
         }
     }
 
     /// Looks at each entry once.
-    pub async fn look(&self, client: &Client) {
+    pub async fn check_readiness(&self, client: &Client) {
         let entries: Vec<SocketAddr> = lock(&self.state).ready.keys().copied().collect();
         for entry in entries {
             let url = format!("http://{entry}/readyz");
--- a/standins/src/cache.rs
+++ b/standins/src/cache.rs
@@ -11,7 +11,7 @@
 
 /// What the memory of idle segments was spent on, in tokens times microseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct CacheSpend {
+pub struct IdleCacheUse {
     /// Idle time that ended in a reuse.
     pub reused_token_us: u128,
     /// Idle time of segments that were dropped without ever being reused.
@@ -24,7 +24,7 @@
     pub reused_segments: u64,
 }
 
-impl CacheSpend {
+impl IdleCacheUse {
     /// All idle time that no reuse followed.
     #[must_use]
     pub const fn wasted_token_us(&self) -> u128 {
@@ -64,7 +64,7 @@
     /// The droppable segments, least recently used first.
     droppable: BTreeSet<(u64, ChainHash)>,
     next_touch: u64,
-    spend: CacheSpend,
+    spend: IdleCacheUse,
     events: Vec<CacheEvent>,
 }
 
@@ -92,7 +92,7 @@
 
     /// The count of leading segments that are cached.
     #[must_use]
-    pub fn matched(&self, segments: &[Segment]) -> usize {
+    pub fn count_cached(&self, segments: &[Segment]) -> usize {
         segments
             .iter()
             .take_while(|segment| self.contains(segment.chain))
@@ -106,7 +106,7 @@
 
     /// What idle memory was spent on so far; what is idle now is counted as if dropped at `now`.
     #[must_use]
-    pub fn spend(&self, now: TimeUs) -> CacheSpend {
+    pub fn idle_use(&self, now: TimeUs) -> IdleCacheUse {
         let mut spend = self.spend;
         for entry in self.entries.values().filter(|entry| entry.users == 0) {
             count_drop(&mut spend, entry, now);
@@ -229,7 +229,7 @@
     }
 
     /// Drops everything that no running sequence uses.
-    pub fn clear_idle(&mut self, now: TimeUs) {
+    pub fn evict_idle(&mut self, now: TimeUs) {
         while let Some(&(_, chain)) = self.droppable.first() {
             self.drop_segment(now, chain);
         }
@@ -269,7 +269,7 @@
     }
 }
 
-fn count_drop(spend: &mut CacheSpend, entry: &Entry, now: TimeUs) {
+fn count_drop(spend: &mut IdleCacheUse, entry: &Entry, now: TimeUs) {
     let idle = entry.idle_token_us(now);
     if entry.reuses == 0 {
         spend.never_reused_token_us += idle;
@@ -305,7 +305,7 @@
             cache.release(TimeUs(400), &[first.chain, second.chain]),
             Tokens(30)
         );
-        let spend = cache.spend(TimeUs(400));
+        let spend = cache.idle_use(TimeUs(400));
         assert_eq!(spend.reused_token_us, 10 * 100);
         assert_eq!(spend.after_last_reuse_token_us, 10 * 100);
         assert_eq!(spend.never_reused_token_us, 20 * 300);
--- a/standins/src/caller.rs
+++ b/standins/src/caller.rs
@@ -1,4 +1,4 @@
-//! The callers' side of a call over HTTP: it sends, repeats what was refused as not run, and reads
+//! The callers' side of a call over HTTP: it sends, retries what was refused as not run, and reads
 //! the answer to its end.
 
 use std::time::{Duration, Instant};
@@ -15,7 +15,7 @@
 use serde_json::{Value, json};
 use thiserror::Error;
 
-use crate::answer::WANTED_FIELD;
+use crate::answer::OUTPUT_TOKENS_FIELD;
 use crate::balancer::Balancer;
 
 /// How long a caller tries before it gives a call up.
@@ -29,7 +29,7 @@
 
 /// Which program a call belongs to, and how it is to be treated.
 #[derive(Debug, Clone, Default)]
-pub struct CallHead {
+pub struct CallMetadata {
     /// The service.
     pub service: String,
     /// The program; empty for a call on its own.
@@ -44,7 +44,7 @@
 
 /// A turn to ask for.
 #[derive(Debug, Clone)]
-pub struct ChatAsk {
+pub struct ChatCallSpec {
     /// The model.
     pub model: String,
     /// The whole transcript.
@@ -59,7 +59,7 @@
 
 /// A call of a plain service.
 #[derive(Debug, Clone)]
-pub struct PlainAsk {
+pub struct PlainCallSpec {
     /// The method.
     pub method: awc::http::Method,
     /// The path below the service.
@@ -72,7 +72,7 @@
 
 /// A whole answer.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Answered {
+pub struct CallResponse {
     /// The text, or the plain service's body.
     pub text: String,
     /// Why a turn ended.
@@ -95,9 +95,9 @@
     /// The codes of the answers that refused it.
     pub refusals: Vec<String>,
     /// How often the call was sent again.
-    pub repeats: u64,
+    pub retries: u64,
     /// The answer, or why there is none.
-    pub result: Result<Answered, CallFailure>,
+    pub result: Result<CallResponse, CallFailure>,
 }
 
 /// Why a call has no answer.
@@ -164,13 +164,13 @@
     }
 
     /// Asks for a turn.
-    pub async fn chat(&self, head: &CallHead, ask: &ChatAsk) -> CallOutcome {
+    pub async fn chat(&self, head: &CallMetadata, ask: &ChatCallSpec) -> CallOutcome {
         self.repeat(async |entry| self.chat_once(entry, head, ask).await)
             .await
     }
 
     /// Calls a plain service.
-    pub async fn plain(&self, head: &CallHead, ask: &PlainAsk) -> CallOutcome {
+    pub async fn plain(&self, head: &CallMetadata, ask: &PlainCallSpec) -> CallOutcome {
         self.repeat(async |entry| self.plain_once(entry, head, ask).await)
             .await
     }
@@ -188,13 +188,13 @@
 
     async fn repeat(
         &self,
-        attempt: impl AsyncFn(std::net::SocketAddr) -> Result<Answered, CallFailure>,
+        attempt: impl AsyncFn(std::net::SocketAddr) -> Result<CallResponse, CallFailure>,
     ) -> CallOutcome {
         let begun = Instant::now();
-        let (mut refusals, mut repeats) = (Vec::new(), 0);
+        let (mut refusals, mut retries) = (Vec::new(), 0);
         let mut wait = WAIT.0;
         loop {
-            let result = match self.balancer.pick() {
+            let result = match self.balancer.next_ready() {
                 Some(entry) => attempt(entry).await,
                 None => Err(CallFailure::NoEntry),
             };
@@ -211,11 +211,11 @@
                 return CallOutcome {
                     took: begun.elapsed(),
                     refusals,
-                    repeats,
+                    retries,
                     result,
                 };
             }
-            repeats += 1;
+            retries += 1;
             actix_rt::time::sleep(wait).await;
             wait = (wait * 2).min(WAIT.1);
         }
@@ -224,15 +224,15 @@
     async fn chat_once(
         &self,
         entry: std::net::SocketAddr,
-        head: &CallHead,
-        ask: &ChatAsk,
-    ) -> Result<Answered, CallFailure> {
+        head: &CallMetadata,
+        ask: &ChatCallSpec,
+    ) -> Result<CallResponse, CallFailure> {
         let begun = Instant::now();
         let mut body = json!({
             "model": ask.model,
             "messages": ask.messages,
             "stream": ask.stream,
-            WANTED_FIELD: ask.wanted,
+            OUTPUT_TOKENS_FIELD: ask.wanted,
         });
         if ask.stream {
             body["stream_options"] = json!({ "include_usage": true });
@@ -255,9 +255,9 @@
     async fn plain_once(
         &self,
         entry: std::net::SocketAddr,
-        head: &CallHead,
-        ask: &PlainAsk,
-    ) -> Result<Answered, CallFailure> {
+        head: &CallMetadata,
+        ask: &PlainCallSpec,
+    ) -> Result<CallResponse, CallFailure> {
         let url = format!("http://{entry}/services/{}{}", head.service, ask.path);
         let mut request = with_head(self.client.request(ask.method.clone(), url), head);
         if let Some(key) = &ask.once {
@@ -287,7 +287,7 @@
         .finish()
 }
 
-fn with_head(request: awc::ClientRequest, head: &CallHead) -> awc::ClientRequest {
+fn with_head(request: awc::ClientRequest, head: &CallMetadata) -> awc::ClientRequest {
     let mut request = request;
     if !head.program.is_empty() {
         request = request
@@ -311,7 +311,7 @@
 }
 
 /// The whole body of an answer that is no error.
-async fn whole<S>(mut response: ClientResponse<S>) -> Result<Answered, CallFailure>
+async fn whole<S>(mut response: ClientResponse<S>) -> Result<CallResponse, CallFailure>
 where
     S: Stream<Item = Result<bytes::Bytes, awc::error::PayloadError>>,
 {
@@ -320,9 +320,9 @@
     let body = body.map_err(|err| CallFailure::Broken(err.to_string()))?;
     let text = String::from_utf8_lossy(&body).into_owned();
     if status.is_success() {
-        return Ok(Answered {
+        return Ok(CallResponse {
             text,
-            ..Answered::default()
+            ..CallResponse::default()
         });
     }
     Err(refusal(status.as_u16(), &text))
@@ -341,23 +341,23 @@
     }
 }
 
-fn read_whole(body: &str) -> Result<Answered, CallFailure> {
+fn read_whole(body: &str) -> Result<CallResponse, CallFailure> {
     let value: Value =
         serde_json::from_str(body).map_err(|err| CallFailure::Broken(err.to_string()))?;
     let choice = &value["choices"][0];
-    let mut answer = Answered {
+    let mut answer = CallResponse {
         text: choice["message"]["content"]
             .as_str()
             .unwrap_or_default()
             .to_owned(),
         finish: choice["finish_reason"].as_str().map(str::to_owned),
-        ..Answered::default()
+        ..CallResponse::default()
     };
     read_usage(&mut answer, &value["usage"]);
     Ok(answer)
 }
 
-fn read_usage(answer: &mut Answered, usage: &Value) {
+fn read_usage(answer: &mut CallResponse, usage: &Value) {
     let count = |value: &Value| value.as_u64().unwrap_or_default();
     answer.prompt_tokens = count(&usage["prompt_tokens"]);
     answer.output_tokens = count(&usage["completion_tokens"]);
@@ -368,11 +368,11 @@
 async fn read_stream<S>(
     mut response: ClientResponse<S>,
     begun: Instant,
-) -> Result<Answered, CallFailure>
+) -> Result<CallResponse, CallFailure>
 where
     S: Stream<Item = Result<bytes::Bytes, awc::error::PayloadError>> + Unpin,
 {
-    let mut answer = Answered::default();
+    let mut answer = CallResponse::default();
     let mut buffer = Vec::new();
     while let Some(chunk) = response.next().await {
         let chunk = chunk.map_err(|err| CallFailure::Broken(err.to_string()))?;
@@ -392,7 +392,7 @@
     Err(CallFailure::Broken("no [DONE] came".to_owned()))
 }
 
-fn read_event(answer: &mut Answered, data: &str, begun: Instant) -> Result<(), CallFailure> {
+fn read_event(answer: &mut CallResponse, data: &str, begun: Instant) -> Result<(), CallFailure> {
     let value: Value =
         serde_json::from_str(data).map_err(|err| CallFailure::Broken(err.to_string()))?;
     if !value["error"].is_null() {
--- a/standins/src/chaos_backend.rs
+++ b/standins/src/chaos_backend.rs
@@ -12,7 +12,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha12Rng;
 
-use crate::answer::{answer_text, wanted_tokens};
+use crate::answer::{answer_text, intended_output_tokens};
 use crate::chaos_callers::{body_program, body_seq};
 use crate::chaos_checks::BodyId;
 use crate::engine::{Engine, EngineSettings};
@@ -274,7 +274,7 @@
             return String::new();
         };
         let chain = chat.prompt.chain();
-        let wanted = wanted_tokens(chain, &chat.extra);
+        let wanted = intended_output_tokens(chain, &chat.extra);
         answer_text(
             chain,
             chat.max_output_tokens
--- a/standins/src/demo.rs
+++ b/standins/src/demo.rs
@@ -15,8 +15,8 @@
 use crate::deployment::{Deployment, DeploymentSettings};
 use crate::http_plain::PlainHost;
 use crate::report::Report;
-use crate::run_program::{not_once, run_program};
-use crate::script::{Mix, Script};
+use crate::run_program::{find_not_run_once, run_program};
+use crate::script::{Script, ScriptGenerator};
 
 /// The most faults that are printed.
 const MAX_PRINTED: usize = 20;
@@ -62,7 +62,7 @@
     /// The table.
     pub report: Report,
     /// Holds and cancellations, and those that did not run exactly once.
-    pub once: (usize, Vec<(String, u64)>),
+    pub run_once: (usize, Vec<(String, u64)>),
     /// The tokens that engines still held after all programs had ended.
     pub held_tokens: Tokens,
     /// The calls that entries tried again elsewhere.
@@ -76,11 +76,11 @@
 impl DemoResult {
     /// Whether nothing is missing, mixed, doubled or still held.
     #[must_use]
-    pub fn is_right(&self) -> bool {
+    pub fn is_success(&self) -> bool {
         let report = &self.report;
         report.finished == report.programs
             && report.faults.is_empty()
-            && self.once.1.is_empty()
+            && self.run_once.1.is_empty()
             && self.held_tokens == Tokens(0)
     }
 }
@@ -93,7 +93,7 @@
     /// When anything is missing, mixed or doubled.
     pub fn run(&self) -> Result<(), Failure> {
         let result = self.measure()?;
-        let (report, once) = (&result.report, &result.once);
+        let (report, once) = (&result.report, &result.run_once);
         print!("{report}");
         println!("sub-agents {}", report.sub_agents);
         for (code, count) in &report.refusals {
@@ -126,7 +126,7 @@
         for (id, count) in once.1.iter().take(MAX_PRINTED) {
             println!("fault: {id} ran {count} times");
         }
-        if result.is_right() {
+        if result.is_success() {
             return Ok(());
         }
         let text = "something is missing, mixed, doubled or still held; see above";
@@ -161,7 +161,7 @@
         let begun = Instant::now();
         let roll = self.roll.then(|| {
             let deployment = Arc::clone(deployment);
-            thread::spawn(move || deployment.roll())
+            thread::spawn(move || deployment.rolling_restart())
         });
         let rolling = || roll.as_ref().is_some_and(|roll| !roll.is_finished());
         let (report, scripts) = self.run_programs(&caller, rolling).await;
@@ -181,12 +181,12 @@
             .await;
         let plains = deployment.servers.plains.iter();
         let executions: Vec<_> = plains.map(PlainHost::executions).collect();
-        let wanted = scripts.iter().flat_map(Script::once_ids).count();
+        let wanted = scripts.iter().flat_map(Script::run_once_ids).count();
         let system_retries = deployment.system_retries(caller.client()).await;
         watch.abort();
         Ok(DemoResult {
             report,
-            once: (wanted, not_once(&scripts, &executions)),
+            run_once: (wanted, find_not_run_once(&scripts, &executions)),
             held_tokens,
             system_retries,
             replaced,
@@ -202,10 +202,10 @@
     ) -> (Report, Vec<Script>) {
         let report = RefCell::new(Report::default());
         let scripts = RefCell::new(Vec::new());
-        let mix = RefCell::new(Mix::new("demo", self.seed));
+        let mix = RefCell::new(ScriptGenerator::new("demo", self.seed));
         let lanes = (0..self.concurrency.max(1)).map(|_| async {
             while scripts.borrow().len() < self.programs || rolling() {
-                let script = mix.borrow_mut().draw();
+                let script = mix.borrow_mut().next_script();
                 scripts.borrow_mut().push(script.clone());
                 let record = run_program(caller, &script, Instant::now()).await;
                 report.borrow_mut().add(record);
--- a/standins/src/deployment.rs
+++ b/standins/src/deployment.rs
@@ -284,8 +284,8 @@
     }
 
     async fn is_ready(&self, client: &Client) -> bool {
-        self.balancer.look(client).await;
-        let ready = self.balancer.ready();
+        self.balancer.check_readiness(client).await;
+        let ready = self.balancer.ready_entries();
         if ready.len() < ZONES.len() {
             return false;
         }
@@ -309,7 +309,7 @@
     /// # Errors
     ///
     /// When one does not start, or had to be forced to end.
-    pub fn roll(&self) -> Result<usize, Failure> {
+    pub fn rolling_restart(&self) -> Result<usize, Failure> {
         let count = lock(&self.daemons).len();
         for _ in 0..count {
             let old = lock(&self.daemons).remove(0);
@@ -332,7 +332,7 @@
 
     fn wait_for(&self, entry: SocketAddr) -> Result<(), Failure> {
         let begun = Instant::now();
-        while !self.balancer.ready().contains(&entry) {
+        while !self.balancer.ready_entries().contains(&entry) {
             if begun.elapsed() > START_LIMIT {
                 let text = format!("a new entry was not ready within {START_LIMIT:?}");
                 return Err(Failure::Check(text));
@@ -377,7 +377,7 @@
     /// The calls that entries tried again elsewhere, summed over the entries that run.
     pub async fn system_retries(&self, client: &Client) -> u64 {
         let mut sum = 0;
-        for entry in self.balancer.ready() {
+        for entry in self.balancer.ready_entries() {
             let sent = client.get(format!("http://{entry}/metrics")).send().await;
             let Ok(mut response) = sent else { continue };
             let Ok(body) = response.body().await else {
--- a/standins/src/engine.rs
+++ b/standins/src/engine.rs
@@ -17,7 +17,7 @@
 use crate::cache::PrefixCache;
 use crate::engine_orders::EngineOrders;
 use crate::engine_reports::{EventFeed, LoadHistory};
-use crate::sequence::{Phase, Sequence, text_after, text_line, tokens_of};
+use crate::sequence::{Phase, Sequence, text_after, text_line, total_length};
 use crate::step_clock::StepClock;
 
 /// How an engine behaves.
@@ -178,7 +178,7 @@
             return Ok(());
         }
         let sequence = Sequence::new(body);
-        if sequence.most_memory() > self.settings.cache_size_tokens {
+        if sequence.peak_memory() > self.settings.cache_size_tokens {
             self.fail(attempt, "the prompt and answer are larger than the cache");
             return Ok(());
         }
@@ -320,7 +320,7 @@
         }
         if self.orders.advance(now) {
             // Cached state belongs to the version that made it.
-            self.cache.clear_idle(now);
+            self.cache.evict_idle(now);
             self.after_change(now);
         }
     }
@@ -449,10 +449,10 @@
             && let Some(attempt) = self.waiting.front().copied()
             && let Some(sequence) = self.sequences.get_mut(&attempt)
         {
-            let matched = self.cache.matched(&sequence.segments);
+            let matched = self.cache.count_cached(&sequence.segments);
             self.cache.pin(now, &sequence.segments[..matched]);
-            let cached = tokens_of(&sequence.segments[..matched]);
-            let wanted = sequence.most_memory() - cached;
+            let cached = total_length(&sequence.segments[..matched]);
+            let wanted = sequence.peak_memory() - cached;
             if !self.cache.reserve(now, wanted) {
                 self.cache.unpin(now, &sequence.segments[..matched]);
                 return;
--- a/standins/src/engine_memory.rs
+++ b/standins/src/engine_memory.rs
@@ -4,9 +4,9 @@
 use clementinepick::prompt::ChainHash;
 use clementinepick::units::{Bytes, SpanUs, TimeUs, Tokens};
 
-use crate::cache::CacheSpend;
+use crate::cache::IdleCacheUse;
 use crate::engine::{Engine, EngineError};
-use crate::sequence::tokens_of;
+use crate::sequence::total_length;
 
 impl Engine {
     /// Frees cached prefixes; what others share or a running sequence uses stays.
@@ -54,9 +54,9 @@
             return Err(EngineError::Down);
         }
         self.run_until(now);
-        let matched = self.cache.matched(&image.segments);
+        let matched = self.cache.count_cached(&image.segments);
         self.cache.pin(now, &image.segments[..matched]);
-        let missing = tokens_of(&image.segments[matched..]);
+        let missing = total_length(&image.segments[matched..]);
         let fits = self.cache.reserve(now, missing);
         if fits {
             self.store(&image.segments, matched);
@@ -100,7 +100,7 @@
 
     /// What idle cache memory was spent on, up to `now`.
     #[must_use]
-    pub fn cache_spend(&self, now: TimeUs) -> CacheSpend {
-        self.cache.spend(now)
+    pub fn cache_spend(&self, now: TimeUs) -> IdleCacheUse {
+        self.cache.idle_use(now)
     }
 }
--- a/standins/src/load.rs
+++ b/standins/src/load.rs
@@ -21,9 +21,9 @@
 use crate::balancer::Balancer;
 use crate::caller::Caller;
 use crate::plot::plot_latencies;
-use crate::report::{Latency, Report};
-use crate::run_program::{not_once, run_program};
-use crate::script::{Mix, Script};
+use crate::report::{LatencyHistogram, Report};
+use crate::run_program::{find_not_run_once, run_program};
+use crate::script::{Script, ScriptGenerator};
 
 const MAX_PRINTED_FAULTS: usize = 20;
 
@@ -70,7 +70,7 @@
     /// The latencies and counts by class.
     pub report: Report,
     /// The delays of program starts after their scheduled times, which the latencies include.
-    pub start_delay: Latency,
+    pub start_delay: LatencyHistogram,
     /// Holds and cancellations that did not run exactly once, with the number of times they ran.
     pub wrong_execution_counts: Vec<(String, u64)>,
     /// The time from the start of the run to the end of the last program.
@@ -102,7 +102,7 @@
         println!("ended {programs_s:.1} programs/s, {tokens_s:.0} tokens/s over {took_s:.1} s");
         println!(
             "started late by up to {:.1} ms",
-            result.start_delay.ms_at(1.0)
+            result.start_delay.quantile_ms(1.0)
         );
         println!(
             "programs finished {} of {}",
@@ -137,8 +137,8 @@
     pub async fn measure(&self) -> Result<LoadResult, Failure> {
         let balancer = Balancer::new(self.entry.iter().copied());
         let caller = Caller::new(balancer.clone());
-        balancer.look(caller.client()).await;
-        if balancer.ready().is_empty() {
+        balancer.check_readiness(caller.client()).await;
+        if balancer.ready_entries().is_empty() {
             return Err(Failure::Check("no entry is ready".to_owned()));
         }
         let watch = balancer.watch(caller.client().clone());
@@ -150,7 +150,7 @@
         let wrong_execution_counts = if self.plain.is_empty() {
             Vec::new()
         } else {
-            not_once(&scripts, &self.fetch_executions(&caller).await?)
+            find_not_run_once(&scripts, &self.fetch_executions(&caller).await?)
         };
         Ok(LoadResult {
             report,
@@ -165,19 +165,22 @@
         &self,
         caller: &Caller,
         started_at: Instant,
-    ) -> (Report, Latency, Vec<Script>) {
+    ) -> (Report, LatencyHistogram, Vec<Script>) {
         let run: u32 = rand::rng().random();
-        let mut mix = Mix::new(&format!("load-{run:08x}"), self.seed);
+        let mut mix = ScriptGenerator::new(&format!("load-{run:08x}"), self.seed);
         let mut rng = ChaCha12Rng::seed_from_u64(self.seed);
         let running_limit = Rc::new(Semaphore::new(self.max_running.max(1)));
-        let totals = Rc::new(RefCell::new((Report::default(), Latency::default())));
+        let totals = Rc::new(RefCell::new((
+            Report::default(),
+            LatencyHistogram::default(),
+        )));
         let mut scripts = Vec::new();
         let mut tasks = Vec::new();
         let mut due = started_at;
         let end = started_at + Duration::from_secs(self.seconds);
         while due < end {
             actix_rt::time::sleep_until(due.into()).await;
-            let script = mix.draw();
+            let script = mix.next_script();
             scripts.push(script.clone());
             let (caller, running_limit, totals) = (
                 caller.clone(),
--- a/standins/src/plot.rs
+++ b/standins/src/plot.rs
@@ -9,7 +9,7 @@
 use plotters::style::{BLACK, Color, Palette, Palette99, PaletteColor, WHITE};
 
 use crate::Failure;
-use crate::report::{Latency, Report};
+use crate::report::{LatencyHistogram, Report};
 
 const IMAGE_SIZE_PX: (u32, u32) = (900, 560);
 /// The upper end of the horizontal axis in nines of the percentile: 4 is 99.99%.
@@ -54,11 +54,11 @@
     lines
 }
 
-fn percentile_points(latency: &Latency) -> Vec<(f64, f64)> {
+fn percentile_points(latency: &LatencyHistogram) -> Vec<(f64, f64)> {
     (0..=POINT_STEPS)
         .map(|step| {
             let nines = f64::from(step) / f64::from(POINT_STEPS) * MAX_NINES;
-            (nines, latency.ms_at(1.0 - 10_f64.powf(-nines)))
+            (nines, latency.quantile_ms(1.0 - 10_f64.powf(-nines)))
         })
         .collect()
 }
--- a/standins/src/policy_engine.rs
+++ b/standins/src/policy_engine.rs
@@ -11,7 +11,7 @@
 use clementinepick::prompt::{ChainHash, Segment};
 use clementinepick::units::{SpanUs, TimeUs, Tokens};
 
-use crate::cache::{CacheSpend, PrefixCache};
+use crate::cache::{IdleCacheUse, PrefixCache};
 
 /// The capacity and timing of an engine.
 #[derive(Debug, Clone)]
@@ -152,7 +152,7 @@
         for sequence in &running {
             self.remove_sequence(now, sequence);
         }
-        self.cache.clear_idle(now);
+        self.cache.evict_idle(now);
         self.stride = None;
         let waiting = waiting.into_iter().map(|call| call.attempt);
         waiting
@@ -186,8 +186,8 @@
 
     /// Returns the use of idle cache memory so far.
     #[must_use]
-    pub fn spend(&self, now: TimeUs) -> CacheSpend {
-        self.cache.spend(now)
+    pub fn spend(&self, now: TimeUs) -> IdleCacheUse {
+        self.cache.idle_use(now)
     }
 
     fn remove_sequence(&mut self, now: TimeUs, sequence: &Sequence) {
@@ -294,7 +294,7 @@
 }
 
 fn admit_call(cache: &mut PrefixCache, now: TimeUs, call: &EngineCall) -> Option<Sequence> {
-    let pinned_count = cache.matched(&call.prompt);
+    let pinned_count = cache.count_cached(&call.prompt);
     let cached_tokens = call.prompt[..pinned_count]
         .iter()
         .map(|s| s.length_tokens)
--- a/standins/src/report.rs
+++ b/standins/src/report.rs
@@ -13,9 +13,9 @@
 
 /// Latencies in microseconds.
 #[derive(Debug, Clone)]
-pub struct Latency(Histogram<u64>);
+pub struct LatencyHistogram(Histogram<u64>);
 
-impl Default for Latency {
+impl Default for LatencyHistogram {
     fn default() -> Self {
         let mut histogram = Histogram::new(DIGITS).expect("three digits are allowed");
         histogram.auto(true);
@@ -23,7 +23,7 @@
     }
 }
 
-impl Latency {
+impl LatencyHistogram {
     /// Adds one.
     pub fn add(&mut self, took: Duration) {
         let us = u64::try_from(took.as_micros()).unwrap_or(u64::MAX);
@@ -37,7 +37,7 @@
         clippy::cast_precision_loss,
         reason = "latencies stay far below 2^53 us"
     )]
-    pub fn ms_at(&self, quantile: f64) -> f64 {
+    pub fn quantile_ms(&self, quantile: f64) -> f64 {
         self.0.value_at_quantile(quantile) as f64 / 1_000.0
     }
 
@@ -52,7 +52,7 @@
         if self.count() == 0 {
             return format!("{:>8} {:>8} {:>8}", "-", "-", "-");
         }
-        let at = |quantile| self.ms_at(quantile);
+        let at = |quantile| self.quantile_ms(quantile);
         format!("{:>8.1} {:>8.1} {:>8.1}", at(0.5), at(0.95), at(0.99))
     }
 }
@@ -65,11 +65,11 @@
     /// Calls of the class.
     pub calls: u64,
     /// The programs' latency from the first call to the last answer.
-    pub program_latency: Latency,
+    pub program_latency: LatencyHistogram,
     /// The calls' latency.
-    pub call_latency: Latency,
+    pub call_latency: LatencyHistogram,
     /// The time to the first text of a stream.
-    pub first_text: Latency,
+    pub first_text: LatencyHistogram,
     /// Prompt and output tokens.
     pub tokens: u64,
     /// The prompts' tokens.
@@ -77,7 +77,7 @@
     /// The prompts' tokens that came from a cache.
     pub cached_tokens: u64,
     /// How often calls were sent again.
-    pub repeats: u64,
+    pub retries: u64,
     /// Answers that said that a call did not run.
     pub refusals: u64,
 }
@@ -119,7 +119,7 @@
             row.tokens += call.prompt_tokens + call.output_tokens;
             row.prompt_tokens += call.prompt_tokens;
             row.cached_tokens += call.cached_tokens;
-            row.repeats += call.repeats;
+            row.retries += call.retries;
             row.refusals += call.refusals.len() as u64;
             for code in call.refusals {
                 *self.refusals.entry(code).or_default() += 1;
@@ -156,7 +156,7 @@
                 row.program_latency.columns(),
                 row.call_latency.columns(),
                 row.tokens,
-                row.repeats,
+                row.retries,
                 row.refusals
             )?;
         }
--- a/standins/src/run_program.rs
+++ b/standins/src/run_program.rs
@@ -12,7 +12,7 @@
 use serde_json::{Value, json};
 
 use crate::answer::answer_text;
-use crate::caller::{Answered, CallHead, CallOutcome, Caller, ChatAsk, PlainAsk};
+use crate::caller::{CallMetadata, CallOutcome, CallResponse, Caller, ChatCallSpec, PlainCallSpec};
 use crate::script::{Script, Step};
 
 /// The service of the turns.
@@ -40,7 +40,7 @@
     /// The codes of answers that said that it did not run.
     pub refusals: Vec<String>,
     /// How often it was sent again.
-    pub repeats: u64,
+    pub retries: u64,
 }
 
 /// One program as it went.
@@ -141,10 +141,10 @@
         }
     }
 
-    fn head(&mut self, service: &str, class: &str) -> CallHead {
+    fn head(&mut self, service: &str, class: &str) -> CallMetadata {
         let seq = self.next_seq;
         self.next_seq += 1;
-        CallHead {
+        CallMetadata {
             service: service.to_owned(),
             program: self.script.program.clone(),
             seq,
@@ -156,7 +156,7 @@
     async fn turn(&mut self, says: &str, wanted: Tokens, tool: Option<String>) {
         let head = self.head(CHAT_SERVICE, self.script.kind.class());
         self.messages.push(ChatMessage::new("user", says));
-        let ask = ChatAsk {
+        let ask = ChatCallSpec {
             model: MODEL.to_owned(),
             messages: self.messages.clone(),
             wanted,
@@ -181,7 +181,7 @@
     /// Makes a call that must run once.
     async fn once(&mut self, path: &str, class: &str, id: &str, body: Value, expected: &Value) {
         let head = self.head(PLAIN_SERVICE, class);
-        let ask = PlainAsk {
+        let ask = PlainCallSpec {
             method: awc::http::Method::POST,
             path: path.to_owned(),
             once: Some(id.to_owned()),
@@ -198,7 +198,7 @@
 
     async fn check(&mut self, slot: &str) {
         let head = self.head(PLAIN_SERVICE, "checks");
-        let ask = PlainAsk {
+        let ask = PlainCallSpec {
             method: awc::http::Method::GET,
             path: format!("/availability/{slot}"),
             once: None,
@@ -227,12 +227,12 @@
     }
 
     /// Notes how a call went, and takes its answer.
-    fn take(&mut self, head: &CallHead, outcome: CallOutcome) -> Option<Answered> {
+    fn take(&mut self, head: &CallMetadata, outcome: CallOutcome) -> Option<CallResponse> {
         let mut call = CallRecord {
             class: head.class.clone().unwrap_or_default(),
             took: outcome.took,
             refusals: outcome.refusals,
-            repeats: outcome.repeats,
+            retries: outcome.retries,
             ..CallRecord::default()
         };
         let answer = match outcome.result {
@@ -264,9 +264,12 @@
 
 /// How often each id ran that must run once: the ids that ran otherwise, with their counts.
 #[must_use]
-pub fn not_once(scripts: &[Script], executions: &[BTreeMap<String, u64>]) -> Vec<(String, u64)> {
+pub fn find_not_run_once(
+    scripts: &[Script],
+    executions: &[BTreeMap<String, u64>],
+) -> Vec<(String, u64)> {
     let count = |id: &str| -> u64 { executions.iter().filter_map(|ran| ran.get(id)).sum() };
-    let ids = scripts.iter().flat_map(Script::once_ids);
+    let ids = scripts.iter().flat_map(Script::run_once_ids);
     ids.map(|id| (count(&id), id))
         .filter(|(count, _)| *count != 1)
         .map(|(count, id)| (id, count))
--- a/standins/src/script.rs
+++ b/standins/src/script.rs
@@ -89,10 +89,10 @@
 impl Script {
     /// The ids of the holds and cancellations in it, which must run once each.
     #[must_use]
-    pub fn once_ids(&self) -> Vec<String> {
+    pub fn run_once_ids(&self) -> Vec<String> {
         let ids = self.steps.iter().flat_map(|step| match step {
             Step::Hold { id } | Step::Cancel { id, .. } => vec![id.clone()],
-            Step::SubAgents(scripts) => scripts.iter().flat_map(Self::once_ids).collect(),
+            Step::SubAgents(scripts) => scripts.iter().flat_map(Self::run_once_ids).collect(),
             Step::Turn { .. } | Step::Check { .. } => Vec::new(),
         });
         ids.collect()
@@ -101,13 +101,13 @@
 
 /// Draws programs, the same ones for the same seed.
 #[derive(Debug)]
-pub struct Mix {
+pub struct ScriptGenerator {
     run: String,
     rng: ChaCha12Rng,
     drawn: u64,
 }
 
-impl Mix {
+impl ScriptGenerator {
     /// A mix whose programs' names begin with `run`.
     #[must_use]
     pub fn new(run: &str, seed: u64) -> Self {
@@ -119,7 +119,7 @@
     }
 
     /// The next program.
-    pub fn draw(&mut self) -> Script {
+    pub fn next_script(&mut self) -> Script {
         let number = self.drawn;
         self.drawn += 1;
         // Of twenty programs nine are conversations, four are plans and seven are bookings.
--- a/standins/src/sequence.rs
+++ b/standins/src/sequence.rs
@@ -5,7 +5,7 @@
 use clementinepick::prompt::{ChainHash, Segment, estimate_tokens};
 use clementinepick::units::Tokens;
 
-use crate::answer::{CHARS_PER_TOKEN, answer_piece, wanted_tokens};
+use crate::answer::{CHARS_PER_TOKEN, answer_chunk, intended_output_tokens};
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Phase {
@@ -39,7 +39,7 @@
     /// The sequence of a request that waits.
     pub(crate) fn new(body: GenerateBody) -> Self {
         let chain = body.prompt.chain();
-        let model_wants = wanted_tokens(chain, &body.extra);
+        let model_wants = intended_output_tokens(chain, &body.extra);
         let wanted = model_wants.min(body.max_output_tokens).max(Tokens(1));
         Self {
             prompt: body.prompt.length_tokens(),
@@ -62,7 +62,7 @@
     }
 
     /// The cache memory that prompt and answer fill.
-    pub(crate) fn most_memory(&self) -> Tokens {
+    pub(crate) fn peak_memory(&self) -> Tokens {
         self.prompt + self.answer
     }
 }
@@ -73,14 +73,14 @@
     estimate_tokens(&" ".repeat(chars))
 }
 
-pub(crate) fn tokens_of(segments: &[Segment]) -> Tokens {
+pub(crate) fn total_length(segments: &[Segment]) -> Tokens {
     segments.iter().map(|segment| segment.length_tokens).sum()
 }
 
 pub(crate) fn text_line(chain: ChainHash, from: Tokens, until: Tokens) -> GenerateLine {
     GenerateLine::Text {
         position: from.0 * CHARS_PER_TOKEN,
-        text: answer_piece(chain, from, until),
+        text: answer_chunk(chain, from, until),
         count_tokens: until - from,
     }
 }
--- a/standins/tests/demo.rs
+++ b/standins/tests/demo.rs
@@ -2,8 +2,8 @@
 
 use clementinepick::units::Tokens;
 use standins::demo::Demo;
-use standins::run_program::not_once;
-use standins::script::{Mix, ProgramKind, Script};
+use standins::run_program::find_not_run_once;
+use standins::script::{ProgramKind, Script, ScriptGenerator};
 
 #[test]
 fn a_small_demo_finishes_whole() {
@@ -19,11 +19,11 @@
     let report = &result.report;
     assert_eq!(report.faults, Vec::<String>::new());
     assert_eq!((report.finished, report.programs), (20, 20));
-    assert!(result.once.0 > 5, "{:?}", result.once);
-    assert_eq!(result.once.1, []);
+    assert!(result.run_once.0 > 5, "{:?}", result.run_once);
+    assert_eq!(result.run_once.1, []);
     assert_eq!(result.held_tokens, Tokens(0));
     assert!(report.rows["concierge"].cached_tokens > 0);
-    assert!(result.is_right());
+    assert!(result.is_success());
 }
 
 /// Every process is replaced while programs run. Callers see whole answers only: an entry that
@@ -44,29 +44,29 @@
     assert_eq!(report.faults, Vec::<String>::new());
     assert_eq!(result.replaced, 5);
     assert_eq!(report.finished, report.programs);
-    assert_eq!(result.once.1, []);
+    assert_eq!(result.run_once.1, []);
 }
 
 /// A seat hold that never ran, and a cancellation that ran twice, are both found out by the count
 /// at the plain service, whatever the callers were told.
 #[test]
 fn what_did_not_run_exactly_once_is_found() {
-    let mut mix = Mix::new("check", 1);
-    let scripts: Vec<Script> = (0..20).map(|_| mix.draw()).collect();
-    let ids: Vec<String> = scripts.iter().flat_map(Script::once_ids).collect();
+    let mut mix = ScriptGenerator::new("check", 1);
+    let scripts: Vec<Script> = (0..20).map(|_| mix.next_script()).collect();
+    let ids: Vec<String> = scripts.iter().flat_map(Script::run_once_ids).collect();
     let mut ran = ids.iter().map(|id| (id.clone(), 1)).collect();
-    assert_eq!(not_once(&scripts, &[ran]), []);
+    assert_eq!(find_not_run_once(&scripts, &[ran]), []);
     ran = ids.iter().skip(1).map(|id| (id.clone(), 1)).collect();
     ran.insert(ids[1].clone(), 2);
-    let wrong = not_once(&scripts, &[ran]);
+    let wrong = find_not_run_once(&scripts, &[ran]);
     assert_eq!(wrong, [(ids[0].clone(), 0), (ids[1].clone(), 2)]);
 }
 
 #[test]
 fn a_mix_is_the_same_for_the_same_seed_and_has_all_kinds() {
     let draw = || {
-        let mut mix = Mix::new("check", 5);
-        (0..40).map(|_| mix.draw()).collect::<Vec<_>>()
+        let mut mix = ScriptGenerator::new("check", 5);
+        (0..40).map(|_| mix.next_script()).collect::<Vec<_>>()
     };
     let scripts = draw();
     assert_eq!(scripts, draw());
--- a/standins/tests/engine.rs
+++ b/standins/tests/engine.rs
@@ -10,7 +10,7 @@
 use clementinepick::prompt::{ChainHash, Prompt, Segment};
 use clementinepick::units::{Percent, SpanUs, TimeUs, Tokens};
 use serde_json::json;
-use standins::answer::{WANTED_FIELD, answer_text};
+use standins::answer::{OUTPUT_TOKENS_FIELD, answer_text};
 use standins::engine::{Engine, EngineError, EngineSettings};
 use standins::engine_orders::OrderError;
 
@@ -32,7 +32,7 @@
         messages: messages.to_vec(),
         prompt: Prompt::of_messages(messages),
         max_output_tokens: Tokens(1_000),
-        extra: BTreeMap::from([(WANTED_FIELD.to_owned(), json!(wanted))]),
+        extra: BTreeMap::from([(OUTPUT_TOKENS_FIELD.to_owned(), json!(wanted))]),
     }
 }
 
--- a/standins/tests/http.rs
+++ b/standins/tests/http.rs
@@ -14,7 +14,7 @@
 use clementinepick::units::{SpanUs, Tokens};
 use serde::Serialize;
 use serde_json::json;
-use standins::answer::{WANTED_FIELD, answer_text};
+use standins::answer::{OUTPUT_TOKENS_FIELD, answer_text};
 use standins::engine::EngineSettings;
 use standins::log_service::LogSettings;
 use standins::plain_service::PlainSettings;
@@ -90,7 +90,7 @@
         prompt: Prompt::of_messages(&messages),
         messages,
         max_output_tokens: Tokens(100),
-        extra: BTreeMap::from([(WANTED_FIELD.to_owned(), json!(40))]),
+        extra: BTreeMap::from([(OUTPUT_TOKENS_FIELD.to_owned(), json!(40))]),
     };
     let expected = answer_text(body.prompt.chain(), Tokens(40));
     let (status, lines) = post(engine, "/v1/generate", &body).await;
--- a/standins/tests/load.rs
+++ b/standins/tests/load.rs
@@ -29,7 +29,7 @@
             .await
             .expect("entries become ready");
         let load = Load {
-            entry: deployment.balancer.ready(),
+            entry: deployment.balancer.ready_entries(),
             plain: deployment.servers.addresses.plains.clone(),
             rate: 20.0,
             seconds: 1,
@@ -65,8 +65,8 @@
         });
     }
     let row = &report.rows["concierge"];
-    assert!(row.call_latency.ms_at(0.5) < 6.0);
-    assert!(row.call_latency.ms_at(0.95) > 400.0);
+    assert!(row.call_latency.quantile_ms(0.5) < 6.0);
+    assert!(row.call_latency.quantile_ms(0.95) > 400.0);
     let path = std::env::temp_dir().join(format!("latency-{}.svg", std::process::id()));
     plot_latencies(&report, &path).expect("plot is written");
     let svg = fs::read_to_string(&path).expect("plot is readable");
