--- a/standins/src/answer.rs
+++ b/standins/src/answer.rs
@@ -1,5 +1,7 @@
-//! The text that the model engine generates: a function of the prompt, so that a caller can check
-//! that it got its own whole answer.
+//! Generates the model output of the engine stand-in.
+//!
+//! The output is a pure function of the prompt, so a caller can check that it received the complete
+//! answer to its own call.
 
 use std::collections::BTreeMap;
 
@@ -7,36 +9,37 @@
 use clementinepick::units::Tokens;
 use serde_json::Value;
 
-/// Names the field of a chat body that says how many tokens the model "wants" to generate.
+/// The field of a chat request body that sets how many tokens the model generates before limits.
 pub const OUTPUT_TOKENS_FIELD: &str = "standin_output_tokens";
-/// The characters of one token; all are ASCII.
+/// The number of characters per token; all characters are ASCII.
 pub const CHARS_PER_TOKEN: u64 = 4;
 
-/// The length of an answer whose body does not name it, at most.
-const MAX_UNNAMED_TOKENS: u64 = 128;
+/// The maximum output length in tokens when the request body does not set one.
+const DEFAULT_MAX_OUTPUT_TOKENS: u64 = 128;
 const LETTERS: &[u8; 32] = b"abcdefghijklmnopqrstuvwxyzabcdef";
 
-/// The whole answer to the prompt that ends in `chain`, of `count` tokens.
+/// Returns the complete answer of `count` tokens to the prompt that ends in `chain`.
 #[must_use]
 pub fn answer_text(chain: ChainHash, count: Tokens) -> String {
     answer_chunk(chain, Tokens(0), count)
 }
 
-/// The answer's tokens from `from` on, without `until`.
+/// Returns the text of the answer's tokens in the range `from..until`.
 #[must_use]
 pub fn answer_chunk(chain: ChainHash, from: Tokens, until: Tokens) -> String {
     let count = until.saturating_sub(from).0 * CHARS_PER_TOKEN;
     let mut text = Vec::with_capacity(usize::try_from(count).unwrap_or_default());
-    for at in from.0..until.0 {
-        let bits = mix(chain.0 ^ at.wrapping_mul(0x9e37_79b9_7f4a_7c15)).to_le_bytes();
-        let letter = |at: usize| LETTERS[usize::from(bits[at] & 31)];
+    for position in from.0..until.0 {
+        let bits = mix(chain.0 ^ position.wrapping_mul(0x9e37_79b9_7f4a_7c15)).to_le_bytes();
+        let letter = |index: usize| LETTERS[usize::from(bits[index] & 31)];
         text.extend_from_slice(&[letter(0), letter(1), letter(2), b' ']);
     }
     String::from_utf8(text).unwrap_or_default()
 }
 
-/// The segment that an answer adds to its prompt; a next turn that brings the answer back as its
-/// assistant message has the same chain.
+/// Returns the prompt segment of an answer.
+///
+/// A later turn that contains the answer as its assistant message has the same chain.
 #[must_use]
 pub fn answer_segment(chain: ChainHash, text: &str) -> Segment {
     Segment {
@@ -45,11 +48,11 @@
     }
 }
 
-/// How many tokens the model wants to generate, before any limit.
+/// Returns how many tokens the model generates before any limit applies.
 #[must_use]
 pub fn intended_output_tokens(chain: ChainHash, extra: &BTreeMap<String, Value>) -> Tokens {
-    let named = extra.get(OUTPUT_TOKENS_FIELD).and_then(Value::as_u64);
-    Tokens(named.unwrap_or_else(|| 1 + mix(chain.0) % MAX_UNNAMED_TOKENS))
+    let requested = extra.get(OUTPUT_TOKENS_FIELD).and_then(Value::as_u64);
+    Tokens(requested.unwrap_or_else(|| 1 + mix(chain.0) % DEFAULT_MAX_OUTPUT_TOKENS))
 }
 
 /// The finalizer of `SplitMix64`.
@@ -64,13 +67,13 @@
     use super::*;
 
     #[test]
-    fn pieces_join_to_the_whole() {
+    fn chunks_concatenate_to_the_complete_answer() {
         let chain = ChainHash(7);
-        let whole = answer_text(chain, Tokens(20));
-        let parts =
+        let complete = answer_text(chain, Tokens(20));
+        let chunks =
             answer_chunk(chain, Tokens(0), Tokens(9)) + &answer_chunk(chain, Tokens(9), Tokens(20));
-        assert_eq!(whole, parts);
-        assert_eq!(whole.len() as u64, 20 * CHARS_PER_TOKEN);
-        assert_ne!(whole, answer_text(ChainHash(8), Tokens(20)));
+        assert_eq!(complete, chunks);
+        assert_eq!(complete.len() as u64, 20 * CHARS_PER_TOKEN);
+        assert_ne!(complete, answer_text(ChainHash(8), Tokens(20)));
     }
 }
--- a/standins/src/balancer.rs
+++ b/standins/src/balancer.rs
@@ -1,4 +1,4 @@
-//! The platform's balancer as callers meet it: calls go in turn to the entries that are ready.
+//! Simulates the platform's load balancer: distributes calls round-robin over the ready entries.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,23 +9,23 @@
 
 use crate::http::lock;
 
-/// The time between two looks at an entry.
-const LOOK: Duration = Duration::from_millis(200);
+/// The readiness check interval, and the timeout of one check.
+const READINESS_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 #[derive(Debug, Default)]
 struct State {
     ready: BTreeMap<SocketAddr, bool>,
-    turn: usize,
+    next_index: usize,
 }
 
-/// The entries and whether they are ready.
+/// A round-robin balancer that knows which entries are ready; clones share their state.
 #[derive(Debug, Clone, Default)]
 pub struct Balancer {
     state: Arc<Mutex<State>>,
 }
 
 impl Balancer {
-    /// A balancer over these entries, of which none is known to be ready.
+    /// Returns a balancer over `entries`; an entry counts as not ready until its first check.
     #[must_use]
     pub fn new(entries: impl IntoIterator<Item = SocketAddr>) -> Self {
         let balancer = Self::default();
@@ -35,17 +35,17 @@
         balancer
     }
 
-    /// Adds an entry.
+    /// Adds an entry, not ready until its first check.
     pub fn add(&self, entry: SocketAddr) {
         lock(&self.state).ready.insert(entry, false);
     }
 
-    /// Takes an entry off.
+    /// Removes an entry; later calls are not sent to it.
     pub fn remove(&self, entry: SocketAddr) {
         lock(&self.state).ready.remove(&entry);
     }
 
-    /// The entries that are ready.
+    /// Returns the entries that passed their last readiness check.
     #[must_use]
     pub fn ready_entries(&self) -> Vec<SocketAddr> {
         let state = lock(&self.state);
@@ -53,33 +53,37 @@
         ready.map(|(entry, _)| *entry).collect()
     }
 
-    /// The entry for the next call.
+    /// Returns the entry for the next call, or `None` if no entry is ready.
     #[must_use]
     pub fn next_ready(&self) -> Option<SocketAddr> {
         let ready = self.ready_entries();
         let mut state = lock(&self.state);
-        state.turn += 1;
-        let at = state.turn.checked_rem(ready.len())?;
-        ready.get(at).copied()
+        state.next_index += 1;
+        let index = state.next_index.checked_rem(ready.len())?;
+        ready.get(index).copied()
     }
 
-    /// Looks at the entries again and again; it never ends by itself.
+    /// Checks the readiness of all entries periodically; never returns.
     pub async fn watch(self, client: Client) {
         loop {
             self.check_readiness(&client).await;
-            actix_rt::time::sleep(LOOK).await;
+            actix_rt::time::sleep(READINESS_CHECK_INTERVAL).await;
         }
     }
 
-    /// Looks at each entry once.
+    /// Checks the readiness of each entry once.
     pub async fn check_readiness(&self, client: &Client) {
         let entries: Vec<SocketAddr> = lock(&self.state).ready.keys().copied().collect();
         for entry in entries {
             let url = format!("http://{entry}/readyz");
-            let looked = client.get(url).timeout(LOOK).send().await;
-            let ready = looked.is_ok_and(|response| response.status().is_success());
-            if let Some(known) = lock(&self.state).ready.get_mut(&entry) {
-                *known = ready;
+            let checked = client
+                .get(url)
+                .timeout(READINESS_CHECK_INTERVAL)
+                .send()
+                .await;
+            let ready = checked.is_ok_and(|response| response.status().is_success());
+            if let Some(is_ready) = lock(&self.state).ready.get_mut(&entry) {
+                *is_ready = ready;
             }
         }
     }
--- a/standins/src/cache.rs
+++ b/standins/src/cache.rs
@@ -1,7 +1,7 @@
-//! The engine's prefix cache: segments keyed by their chain, in limited memory.
+//! Implements the engine's prefix cache: segments keyed by their chain hash, in limited memory.
 //!
-//! Segments form trees: a segment's parent is the one before it. Only a leaf that no running
-//! sequence uses can be dropped, the least recently used one first.
+//! Segments form trees: a segment's parent is the one before it in the prompt. Only unpinned leaves
+//! are evicted, least recently used first.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,23 +9,23 @@
 use clementinepick::prompt::{ChainHash, Segment};
 use clementinepick::units::{TimeUs, Tokens};
 
-/// What the memory of idle segments was spent on, in tokens times microseconds.
+/// The memory occupied by unpinned segments over time, in token-microseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct IdleCacheUse {
-    /// Idle time that ended in a reuse.
+    /// Idle time that ended with a reuse.
     pub reused_token_us: u128,
-    /// Idle time of segments that were dropped without ever being reused.
+    /// Idle time of segments evicted without any reuse.
     pub never_reused_token_us: u128,
-    /// Idle time after the last reuse of segments that were reused before.
+    /// Idle time between the last reuse of a segment and its eviction.
     pub after_last_reuse_token_us: u128,
-    /// Segments that were dropped without ever being reused.
+    /// The number of segments evicted without any reuse.
     pub never_reused_segments: u64,
-    /// Segments that were reused at least once before they were dropped.
+    /// The number of segments reused at least once before their eviction.
     pub reused_segments: u64,
 }
 
 impl IdleCacheUse {
-    /// All idle time that no reuse followed.
+    /// Returns the idle time that was not followed by a reuse.
     #[must_use]
     pub const fn wasted_token_us(&self) -> u128 {
         self.never_reused_token_us + self.after_last_reuse_token_us
@@ -37,17 +37,18 @@
     length: Tokens,
     parent: Option<ChainHash>,
     children: u32,
-    users: u32,
+    pin_count: u32,
     reuses: u64,
-    /// When its last user left; meaningful while `users` is zero.
+    /// When the last pin was released; valid only while `pin_count` is zero.
     idle_since_us: TimeUs,
-    /// Orders segments that went idle at the same time: the deeper one is dropped first.
-    touched: u64,
+    /// The position in the eviction order; of segments that became idle together, the deeper one
+    /// has the lower number and is evicted first.
+    idle_seq: u64,
 }
 
 impl Entry {
-    const fn is_droppable(&self) -> bool {
-        self.users == 0 && self.children == 0
+    const fn is_evictable(&self) -> bool {
+        self.pin_count == 0 && self.children == 0
     }
 
     fn idle_token_us(&self, now: TimeUs) -> u128 {
@@ -55,42 +56,42 @@
     }
 }
 
-/// The cache of one engine.
+/// The prefix cache of one engine.
 #[derive(Debug, Clone, Default)]
 pub struct PrefixCache {
-    size: Tokens,
+    capacity: Tokens,
     used: Tokens,
     entries: BTreeMap<ChainHash, Entry>,
-    /// The droppable segments, least recently used first.
-    droppable: BTreeSet<(u64, ChainHash)>,
-    next_touch: u64,
-    spend: IdleCacheUse,
+    /// The evictable segments, least recently used first.
+    evictable: BTreeSet<(u64, ChainHash)>,
+    next_idle_seq: u64,
+    idle_use: IdleCacheUse,
     events: Vec<CacheEvent>,
 }
 
 impl PrefixCache {
-    /// An empty cache of `size`.
+    /// Returns an empty cache.
     #[must_use]
-    pub fn new(size: Tokens) -> Self {
+    pub fn new(capacity: Tokens) -> Self {
         Self {
-            size,
+            capacity,
             ..Self::default()
         }
     }
 
-    /// The memory in use, with what is reserved.
+    /// Returns the memory in use, including reservations.
     #[must_use]
     pub const fn used(&self) -> Tokens {
         self.used
     }
 
-    /// Whether a segment is cached.
+    /// Returns whether a segment is cached.
     #[must_use]
     pub fn contains(&self, chain: ChainHash) -> bool {
         self.entries.contains_key(&chain)
     }
 
-    /// The count of leading segments that are cached.
+    /// Returns the number of leading segments that are cached.
     #[must_use]
     pub fn count_cached(&self, segments: &[Segment]) -> usize {
         segments
@@ -99,81 +100,84 @@
             .count()
     }
 
-    /// The changes since the last call.
+    /// Returns the cache events since the last call.
     pub fn take_events(&mut self) -> Vec<CacheEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// What idle memory was spent on so far; what is idle now is counted as if dropped at `now`.
+    /// Returns the idle memory use so far, counting idle segments as if evicted at `now`.
     #[must_use]
     pub fn idle_use(&self, now: TimeUs) -> IdleCacheUse {
-        let mut spend = self.spend;
-        for entry in self.entries.values().filter(|entry| entry.users == 0) {
-            count_drop(&mut spend, entry, now);
+        let mut idle_use = self.idle_use;
+        for entry in self.entries.values().filter(|entry| entry.pin_count == 0) {
+            record_eviction(&mut idle_use, entry, now);
         }
-        spend
+        idle_use
     }
 
-    /// Marks segments as used by a running sequence, so that they stay.
+    /// Pins segments for a running sequence, which prevents their eviction.
     pub fn pin(&mut self, now: TimeUs, segments: &[Segment]) {
         for segment in segments {
             let Some(entry) = self.entries.get_mut(&segment.chain) else {
                 continue;
             };
-            if entry.users == 0 {
-                self.spend.reused_token_us += entry.idle_token_us(now);
-                self.droppable.remove(&(entry.touched, segment.chain));
+            if entry.pin_count == 0 {
+                self.idle_use.reused_token_us += entry.idle_token_us(now);
+                self.evictable.remove(&(entry.idle_seq, segment.chain));
             }
             entry.reuses += 1;
-            entry.users += 1;
+            entry.pin_count += 1;
         }
     }
 
-    /// Ends a running sequence's use of segments.
+    /// Releases a running sequence's pins; unpinned segments become idle at `now`.
     pub fn unpin(&mut self, now: TimeUs, segments: &[Segment]) {
         for segment in segments.iter().rev() {
-            let touched = self.next_touch;
+            let idle_seq = self.next_idle_seq;
             let Some(entry) = self.entries.get_mut(&segment.chain) else {
                 continue;
             };
-            entry.users = entry.users.saturating_sub(1);
-            if entry.users > 0 {
+            entry.pin_count = entry.pin_count.saturating_sub(1);
+            if entry.pin_count > 0 {
                 continue;
             }
             entry.idle_since_us = now;
-            entry.touched = touched;
-            self.next_touch += 1;
-            if entry.is_droppable() {
-                self.droppable.insert((touched, segment.chain));
+            entry.idle_seq = idle_seq;
+            self.next_idle_seq += 1;
+            if entry.is_evictable() {
+                self.evictable.insert((idle_seq, segment.chain));
             }
         }
     }
 
-    /// Reserves memory, dropping idle segments for it; false when it can't be had now.
-    pub fn reserve(&mut self, now: TimeUs, wanted: Tokens) -> bool {
-        while self.used + wanted > self.size {
-            let Some(&(_, chain)) = self.droppable.first() else {
+    /// Reserves memory, evicting idle segments as needed; returns false if pinned segments and
+    /// reservations leave too little.
+    pub fn reserve(&mut self, now: TimeUs, amount: Tokens) -> bool {
+        while self.used + amount > self.capacity {
+            let Some(&(_, chain)) = self.evictable.first() else {
                 return false;
             };
-            self.drop_segment(now, chain);
+            self.evict(now, chain);
         }
-        self.used += wanted;
+        self.used += amount;
         true
     }
 
-    /// Gives reserved memory back.
+    /// Releases reserved memory.
     pub fn unreserve(&mut self, tokens: Tokens) {
         self.used = self.used.saturating_sub(tokens);
     }
 
-    /// Stores one segment out of reserved memory, in use by one sequence; false when another
-    /// sequence has stored it meanwhile, and the reservation is given back.
+    /// Stores a segment in reserved memory and pins it.
+    ///
+    /// Returns false if another sequence has stored it already; the segment is pinned and the
+    /// reservation released.
     pub fn store(&mut self, parent: Option<ChainHash>, segment: Segment) -> bool {
         if let Some(entry) = self.entries.get_mut(&segment.chain) {
-            if entry.users == 0 {
-                self.droppable.remove(&(entry.touched, segment.chain));
+            if entry.pin_count == 0 {
+                self.evictable.remove(&(entry.idle_seq, segment.chain));
             }
-            entry.users += 1;
+            entry.pin_count += 1;
             self.unreserve(segment.length_tokens);
             return false;
         }
@@ -184,43 +188,44 @@
             length: segment.length_tokens,
             parent,
             children: 0,
-            users: 1,
+            pin_count: 1,
             reuses: 0,
             idle_since_us: TimeUs(0),
-            touched: 0,
+            idle_seq: 0,
         };
         self.entries.insert(segment.chain, entry);
         self.events.push(CacheEvent::Stored(segment));
         true
     }
 
-    /// Drops what nobody else shares of the named prefixes; returns the tokens freed.
+    /// Evicts the given segments except those that are pinned or have other children; returns the
+    /// tokens freed.
     pub fn release(&mut self, now: TimeUs, chains: &[ChainHash]) -> Tokens {
         let before = self.used;
-        let named: BTreeSet<ChainHash> = chains.iter().copied().collect();
-        let mut leaves: Vec<ChainHash> = named.iter().copied().collect();
-        while let Some(chain) = leaves.pop() {
+        let requested: BTreeSet<ChainHash> = chains.iter().copied().collect();
+        let mut candidates: Vec<ChainHash> = requested.iter().copied().collect();
+        while let Some(chain) = candidates.pop() {
             let Some(entry) = self.entries.get(&chain) else {
                 continue;
             };
-            if !entry.is_droppable() {
+            if !entry.is_evictable() {
                 continue;
             }
-            // A parent can be dropped only after its child, so it gets another look here.
-            leaves.extend(entry.parent.filter(|parent| named.contains(parent)));
-            self.drop_segment(now, chain);
+            // A parent becomes evictable only after its children, so it is checked again here.
+            candidates.extend(entry.parent.filter(|parent| requested.contains(parent)));
+            self.evict(now, chain);
         }
         before.saturating_sub(self.used)
     }
 
-    /// Drops what no running sequence uses but the prefixes that end in `chains`; returns the tokens
+    /// Evicts all unpinned segments except the prefixes that end in `chains`; returns the tokens
     /// freed.
     pub fn retain(&mut self, now: TimeUs, chains: &[ChainHash]) -> Tokens {
         let mut kept = BTreeSet::new();
         for chain in chains {
-            let mut at = Some(*chain);
-            while let Some(chain) = at.filter(|chain| kept.insert(*chain)) {
-                at = self.entries.get(&chain).and_then(|entry| entry.parent);
+            let mut next = Some(*chain);
+            while let Some(chain) = next.filter(|chain| kept.insert(*chain)) {
+                next = self.entries.get(&chain).and_then(|entry| entry.parent);
             }
         }
         let others = self.entries.keys().filter(|chain| !kept.contains(chain));
@@ -228,55 +233,55 @@
         self.release(now, &others)
     }
 
-    /// Drops everything that no running sequence uses.
+    /// Evicts all unpinned segments.
     pub fn evict_idle(&mut self, now: TimeUs) {
-        while let Some(&(_, chain)) = self.droppable.first() {
-            self.drop_segment(now, chain);
+        while let Some(&(_, chain)) = self.evictable.first() {
+            self.evict(now, chain);
         }
     }
 
-    /// The path that ends in `chain`, first to last; empty when it is not cached.
+    /// Returns the cached segments from the root to `chain`; empty if `chain` is not cached.
     #[must_use]
     pub fn path(&self, chain: ChainHash) -> Vec<Segment> {
         let mut path = Vec::new();
-        let mut at = Some(chain);
-        while let Some((chain, entry)) = at.and_then(|c| self.entries.get_key_value(&c)) {
+        let mut next = Some(chain);
+        while let Some((chain, entry)) = next.and_then(|c| self.entries.get_key_value(&c)) {
             path.push(Segment {
                 chain: *chain,
                 length_tokens: entry.length,
             });
-            at = entry.parent;
+            next = entry.parent;
         }
         path.reverse();
         path
     }
 
-    fn drop_segment(&mut self, now: TimeUs, chain: ChainHash) {
+    fn evict(&mut self, now: TimeUs, chain: ChainHash) {
         let Some(entry) = self.entries.remove(&chain) else {
             return;
         };
-        self.droppable.remove(&(entry.touched, chain));
+        self.evictable.remove(&(entry.idle_seq, chain));
         self.unreserve(entry.length);
-        count_drop(&mut self.spend, &entry, now);
+        record_eviction(&mut self.idle_use, &entry, now);
         self.events.push(CacheEvent::Dropped(chain));
         let Some(parent) = entry.parent else { return };
-        if let Some(above) = self.entries.get_mut(&parent) {
-            above.children = above.children.saturating_sub(1);
-            if above.is_droppable() {
-                self.droppable.insert((above.touched, parent));
+        if let Some(parent_entry) = self.entries.get_mut(&parent) {
+            parent_entry.children = parent_entry.children.saturating_sub(1);
+            if parent_entry.is_evictable() {
+                self.evictable.insert((parent_entry.idle_seq, parent));
             }
         }
     }
 }
 
-fn count_drop(spend: &mut IdleCacheUse, entry: &Entry, now: TimeUs) {
+fn record_eviction(idle_use: &mut IdleCacheUse, entry: &Entry, now: TimeUs) {
     let idle = entry.idle_token_us(now);
     if entry.reuses == 0 {
-        spend.never_reused_token_us += idle;
-        spend.never_reused_segments += 1;
+        idle_use.never_reused_token_us += idle;
+        idle_use.never_reused_segments += 1;
     } else {
-        spend.after_last_reuse_token_us += idle;
-        spend.reused_segments += 1;
+        idle_use.after_last_reuse_token_us += idle;
+        idle_use.reused_segments += 1;
     }
 }
 
@@ -292,7 +297,7 @@
     }
 
     #[test]
-    fn idle_time_is_counted_by_what_followed_it() {
+    fn idle_time_is_classified_by_subsequent_reuse() {
         let mut cache = PrefixCache::new(Tokens(100));
         let (first, second) = (segment(1, 10), segment(2, 20));
         assert!(cache.reserve(TimeUs(0), Tokens(30)));
@@ -305,10 +310,10 @@
             cache.release(TimeUs(400), &[first.chain, second.chain]),
             Tokens(30)
         );
-        let spend = cache.idle_use(TimeUs(400));
-        assert_eq!(spend.reused_token_us, 10 * 100);
-        assert_eq!(spend.after_last_reuse_token_us, 10 * 100);
-        assert_eq!(spend.never_reused_token_us, 20 * 300);
+        let idle_use = cache.idle_use(TimeUs(400));
+        assert_eq!(idle_use.reused_token_us, 10 * 100);
+        assert_eq!(idle_use.after_last_reuse_token_us, 10 * 100);
+        assert_eq!(idle_use.never_reused_token_us, 20 * 300);
         assert_eq!(cache.used(), Tokens(0));
     }
 }
--- a/standins/src/caller.rs
+++ b/standins/src/caller.rs
@@ -1,5 +1,5 @@
-//! The callers' side of a call over HTTP: it sends, retries what was refused as not run, and reads
-//! the answer to its end.
+//! Implements the HTTP client of the callers: sends calls, retries those that provably did not run,
+//! and reads responses to their end.
 
 use std::time::{Duration, Instant};
 
@@ -18,116 +18,117 @@
 use crate::answer::OUTPUT_TOKENS_FIELD;
 use crate::balancer::Balancer;
 
-/// How long a caller tries before it gives a call up.
-const PATIENCE: Duration = Duration::from_mins(1);
-/// The least and the longest wait before a refused call is sent again.
-const WAIT: (Duration, Duration) = (Duration::from_millis(50), Duration::from_secs(1));
-/// Shorter than the entries keep idle connections, so that none is used that they just close.
-const IDLE_CONNECTION: Duration = Duration::from_secs(2);
-/// The largest answer.
-const MAX_ANSWER_BYTES: usize = 16_000_000;
+/// The time after the first attempt during which a call is retried.
+const RETRY_TIMEOUT: Duration = Duration::from_mins(1);
+/// The initial and the maximum backoff between attempts.
+const RETRY_BACKOFF: (Duration, Duration) = (Duration::from_millis(50), Duration::from_secs(1));
+/// How long idle connections are kept; shorter than on the entries, so that no request is sent on a
+/// connection that an entry is closing.
+const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
+/// The maximum size of a response body.
+const MAX_RESPONSE_BYTES: usize = 16_000_000;
 
-/// Which program a call belongs to, and how it is to be treated.
+/// The metadata of a call, sent as request headers.
 #[derive(Debug, Clone, Default)]
 pub struct CallMetadata {
     /// The service.
     pub service: String,
-    /// The program; empty for a call on its own.
+    /// The program; empty for a call outside any program.
     pub program: String,
-    /// The call's place in the program.
+    /// The call's sequence number in the program.
     pub seq: u64,
     /// The parent program.
     pub parent: Option<String>,
-    /// The class; absent: the document's default.
+    /// The class; `None` selects the document's default.
     pub class: Option<String>,
 }
 
-/// A turn to ask for.
+/// The request of a turn.
 #[derive(Debug, Clone)]
 pub struct ChatCallSpec {
     /// The model.
     pub model: String,
-    /// The whole transcript.
+    /// The complete message history.
     pub messages: Vec<ChatMessage>,
-    /// How long the answer will be, for the engine stand-in.
-    pub wanted: Tokens,
-    /// Whether the answer comes as a stream.
+    /// The length of the answer that the engine stand-in generates.
+    pub answer_tokens: Tokens,
+    /// Whether the answer is streamed.
     pub stream: bool,
     /// The tool that is called after the turn.
     pub tool: Option<String>,
 }
 
-/// A call of a plain service.
+/// The request of a plain service call.
 #[derive(Debug, Clone)]
 pub struct PlainCallSpec {
     /// The method.
     pub method: awc::http::Method,
-    /// The path below the service.
+    /// The path within the service.
     pub path: String,
-    /// The idempotency key of a call that must run once.
-    pub once: Option<String>,
-    /// The body.
+    /// The idempotency key; set for a call that must run exactly once.
+    pub idempotency_key: Option<String>,
+    /// The JSON body; null for none.
     pub body: Value,
 }
 
-/// A whole answer.
+/// A complete successful response.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct CallResponse {
-    /// The text, or the plain service's body.
+    /// The generated text, or the response body of a plain service.
     pub text: String,
-    /// Why a turn ended.
-    pub finish: Option<String>,
-    /// The prompt's tokens.
+    /// The finish reason of a turn.
+    pub finish_reason: Option<String>,
+    /// The number of prompt tokens.
     pub prompt_tokens: u64,
-    /// The prompt's tokens that came from a cache.
+    /// The number of prompt tokens served from a cache.
     pub cached_tokens: u64,
-    /// The tokens generated.
+    /// The number of generated tokens.
     pub output_tokens: u64,
-    /// The time to the first text of a stream.
+    /// The time to the first text of a streamed answer.
     pub first_text: Option<Duration>,
 }
 
-/// What a call came to, with its refusals.
+/// The outcome of a call over all its attempts.
 #[derive(Debug)]
 pub struct CallOutcome {
-    /// The time from the first attempt to the end.
+    /// The time from the first attempt to the end of the last.
     pub took: Duration,
-    /// The codes of the answers that refused it.
+    /// The error codes of the attempts that were refused.
     pub refusals: Vec<String>,
-    /// How often the call was sent again.
+    /// The number of retries.
     pub retries: u64,
-    /// The answer, or why there is none.
+    /// The response, or the failure of the last attempt.
     pub result: Result<CallResponse, CallFailure>,
 }
 
-/// Why a call has no answer.
+/// Why an attempt failed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum CallFailure {
-    /// The answer is an error.
+    /// The entry returned an error response.
     #[error("{code}: {message}")]
     Refused {
-        /// The error's code.
+        /// The error code.
         code: String,
-        /// Its sentence.
+        /// The error message.
         message: String,
-        /// Whether it says that the call did not run.
+        /// Whether the error states that the call did not run.
         not_run: bool,
-        /// Whether it says that the call may be sent again.
+        /// Whether the error states that the call is safe to retry.
         repeat_safe: bool,
     },
-    /// No connection came about, so nothing was sent.
-    #[error("no connection: {0}")]
+    /// The connection failed, so nothing was sent.
+    #[error("connection to the entry failed: {0}")]
     NotSent(String),
-    /// The answer is not whole.
-    #[error("the answer broke off: {0}")]
-    Broken(String),
+    /// The request or the response was interrupted, or the response is malformed.
+    #[error("response incomplete or malformed: {0}")]
+    Incomplete(String),
     /// No entry was ready.
     #[error("no entry is ready")]
     NoEntry,
 }
 
 impl CallFailure {
-    fn may_repeat(&self) -> bool {
+    fn is_retryable(&self) -> bool {
         match self {
             Self::Refused {
                 not_run,
@@ -135,12 +136,12 @@
                 ..
             } => *not_run && *repeat_safe,
             Self::NotSent(_) | Self::NoEntry => true,
-            Self::Broken(_) => false,
+            Self::Incomplete(_) => false,
         }
     }
 }
 
-/// A client of the entries.
+/// An HTTP client of the entries.
 #[derive(Clone)]
 pub struct Caller {
     client: Client,
@@ -148,7 +149,8 @@
 }
 
 impl Caller {
-    /// A caller over the balancer; it must live on a thread with a running system.
+    /// Returns a caller that sends to the balancer's ready entries; must be called on a thread with a
+    /// running `actix_rt` system.
     #[must_use]
     pub fn new(balancer: Balancer) -> Self {
         Self {
@@ -157,57 +159,57 @@
         }
     }
 
-    /// The HTTP client.
+    /// Returns the HTTP client.
     #[must_use]
     pub const fn client(&self) -> &Client {
         &self.client
     }
 
-    /// Asks for a turn.
-    pub async fn chat(&self, head: &CallMetadata, ask: &ChatCallSpec) -> CallOutcome {
-        self.repeat(async |entry| self.chat_once(entry, head, ask).await)
+    /// Requests a turn.
+    pub async fn chat(&self, metadata: &CallMetadata, spec: &ChatCallSpec) -> CallOutcome {
+        self.call_with_retries(async |entry| self.attempt_chat(entry, metadata, spec).await)
             .await
     }
 
     /// Calls a plain service.
-    pub async fn plain(&self, head: &CallMetadata, ask: &PlainCallSpec) -> CallOutcome {
-        self.repeat(async |entry| self.plain_once(entry, head, ask).await)
+    pub async fn plain(&self, metadata: &CallMetadata, spec: &PlainCallSpec) -> CallOutcome {
+        self.call_with_retries(async |entry| self.attempt_plain(entry, metadata, spec).await)
             .await
     }
 
     /// Ends a program.
     pub async fn end(&self, program: &str) -> CallOutcome {
-        self.repeat(async |entry| {
+        self.call_with_retries(async |entry| {
             let path = format!("/v1/programs/{program}/end");
             let request = self.client.post(format!("http://{entry}{path}"));
-            let response = request.send().await.map_err(send_failure)?;
-            whole(response).await
+            let response = request.send().await.map_err(send_error_to_failure)?;
+            read_response(response).await
         })
         .await
     }
 
-    async fn repeat(
+    async fn call_with_retries(
         &self,
         attempt: impl AsyncFn(std::net::SocketAddr) -> Result<CallResponse, CallFailure>,
     ) -> CallOutcome {
         let begun = Instant::now();
         let (mut refusals, mut retries) = (Vec::new(), 0);
-        let mut wait = WAIT.0;
+        let mut backoff = RETRY_BACKOFF.0;
         loop {
             let result = match self.balancer.next_ready() {
                 Some(entry) => attempt(entry).await,
                 None => Err(CallFailure::NoEntry),
             };
-            let again = match &result {
+            let should_retry = match &result {
                 Ok(_) => false,
                 Err(failure) => {
                     if let CallFailure::Refused { code, .. } = failure {
                         refusals.push(code.clone());
                     }
-                    failure.may_repeat() && begun.elapsed() < PATIENCE
+                    failure.is_retryable() && begun.elapsed() < RETRY_TIMEOUT
                 }
             };
-            if !again {
+            if !should_retry {
                 return CallOutcome {
                     took: begun.elapsed(),
                     refusals,
@@ -216,70 +218,75 @@
                 };
             }
             retries += 1;
-            actix_rt::time::sleep(wait).await;
-            wait = (wait * 2).min(WAIT.1);
+            actix_rt::time::sleep(backoff).await;
+            backoff = (backoff * 2).min(RETRY_BACKOFF.1);
         }
     }
 
-    async fn chat_once(
+    async fn attempt_chat(
         &self,
         entry: std::net::SocketAddr,
-        head: &CallMetadata,
-        ask: &ChatCallSpec,
+        metadata: &CallMetadata,
+        spec: &ChatCallSpec,
     ) -> Result<CallResponse, CallFailure> {
         let begun = Instant::now();
         let mut body = json!({
-            "model": ask.model,
-            "messages": ask.messages,
-            "stream": ask.stream,
-            OUTPUT_TOKENS_FIELD: ask.wanted,
+            "model": spec.model,
+            "messages": spec.messages,
+            "stream": spec.stream,
+            OUTPUT_TOKENS_FIELD: spec.answer_tokens,
         });
-        if ask.stream {
+        if spec.stream {
             body["stream_options"] = json!({ "include_usage": true });
         }
         let request = self
             .client
             .post(format!("http://{entry}/v1/chat/completions"));
-        let mut request = with_head(request, head).insert_header((SERVICE_HEADER, &*head.service));
-        if let Some(tool) = &ask.tool {
+        let mut request =
+            with_metadata(request, metadata).insert_header((SERVICE_HEADER, &*metadata.service));
+        if let Some(tool) = &spec.tool {
             request = request.insert_header((TOOL_HEADER, &**tool));
         }
-        let response = request.send_json(&body).await.map_err(send_failure)?;
-        if ask.stream && response.status().is_success() {
+        let response = request
+            .send_json(&body)
+            .await
+            .map_err(send_error_to_failure)?;
+        if spec.stream && response.status().is_success() {
             return read_stream(response, begun).await;
         }
-        let answer = whole(response).await?;
-        read_whole(&answer.text)
+        let response = read_response(response).await?;
+        parse_completion(&response.text)
     }
 
-    async fn plain_once(
+    async fn attempt_plain(
         &self,
         entry: std::net::SocketAddr,
-        head: &CallMetadata,
-        ask: &PlainCallSpec,
+        metadata: &CallMetadata,
+        spec: &PlainCallSpec,
     ) -> Result<CallResponse, CallFailure> {
-        let url = format!("http://{entry}/services/{}{}", head.service, ask.path);
-        let mut request = with_head(self.client.request(ask.method.clone(), url), head);
-        if let Some(key) = &ask.once {
+        let url = format!("http://{entry}/services/{}{}", metadata.service, spec.path);
+        let mut request = with_metadata(self.client.request(spec.method.clone(), url), metadata);
+        if let Some(key) = &spec.idempotency_key {
             request = request
                 .insert_header((IDEMPOTENCY_KEY_HEADER, &**key))
                 .insert_header((NON_IDEMPOTENT_HEADER, "yes"));
         }
-        let sent = if ask.body.is_null() {
+        let sent = if spec.body.is_null() {
             request.send().await
         } else {
-            request.send_json(&ask.body).await
+            request.send_json(&spec.body).await
         };
-        whole(sent.map_err(send_failure)?).await
+        read_response(sent.map_err(send_error_to_failure)?).await
     }
 }
 
-/// A client without limits of its own, whose idle connections are given up early.
+/// Returns an HTTP client without request timeout or connection limit that closes idle connections
+/// early.
 #[must_use]
 pub fn new_client() -> Client {
     let connector = Connector::new()
         .limit(0)
-        .conn_keep_alive(IDLE_CONNECTION)
+        .conn_keep_alive(IDLE_CONNECTION_TIMEOUT)
         .timeout(Duration::from_secs(2));
     Client::builder()
         .connector(connector)
@@ -287,37 +294,41 @@
         .finish()
 }
 
-fn with_head(request: awc::ClientRequest, head: &CallMetadata) -> awc::ClientRequest {
+fn with_metadata(request: awc::ClientRequest, metadata: &CallMetadata) -> awc::ClientRequest {
     let mut request = request;
-    if !head.program.is_empty() {
+    if !metadata.program.is_empty() {
         request = request
-            .insert_header((PROGRAM_HEADER, &*head.program))
-            .insert_header((CALL_HEADER, head.seq.to_string()));
+            .insert_header((PROGRAM_HEADER, &*metadata.program))
+            .insert_header((CALL_HEADER, metadata.seq.to_string()));
     }
-    if let Some(parent) = &head.parent {
+    if let Some(parent) = &metadata.parent {
         request = request.insert_header((PARENT_HEADER, &**parent));
     }
-    if let Some(class) = &head.class {
+    if let Some(class) = &metadata.class {
         request = request.insert_header((CLASS_HEADER, &**class));
     }
     request
 }
 
-fn send_failure(error: SendRequestError) -> CallFailure {
+fn send_error_to_failure(error: SendRequestError) -> CallFailure {
     match error {
         SendRequestError::Connect(err) => CallFailure::NotSent(err.to_string()),
-        err => CallFailure::Broken(err.to_string()),
+        err => CallFailure::Incomplete(err.to_string()),
     }
 }
 
-/// The whole body of an answer that is no error.
-async fn whole<S>(mut response: ClientResponse<S>) -> Result<CallResponse, CallFailure>
+/// Reads a response body to its end.
+///
+/// # Errors
+///
+/// Returns an error if the response is an error response or its body is incomplete.
+async fn read_response<S>(mut response: ClientResponse<S>) -> Result<CallResponse, CallFailure>
 where
     S: Stream<Item = Result<bytes::Bytes, awc::error::PayloadError>>,
 {
     let status = response.status();
-    let body = response.body().limit(MAX_ANSWER_BYTES).await;
-    let body = body.map_err(|err| CallFailure::Broken(err.to_string()))?;
+    let body = response.body().limit(MAX_RESPONSE_BYTES).await;
+    let body = body.map_err(|err| CallFailure::Incomplete(err.to_string()))?;
     let text = String::from_utf8_lossy(&body).into_owned();
     if status.is_success() {
         return Ok(CallResponse {
@@ -325,11 +336,11 @@
             ..CallResponse::default()
         });
     }
-    Err(refusal(status.as_u16(), &text))
+    Err(parse_refusal(status.as_u16(), &text))
 }
 
-/// An error body, in the entries' shape.
-fn refusal(status: u16, body: &str) -> CallFailure {
+/// Parses an error body in the entries' format.
+fn parse_refusal(status: u16, body: &str) -> CallFailure {
     let value: Value = serde_json::from_str(body).unwrap_or_default();
     let error = &value["error"];
     let text = |name: &str| error[name].as_str().map(str::to_owned);
@@ -341,30 +352,30 @@
     }
 }
 
-fn read_whole(body: &str) -> Result<CallResponse, CallFailure> {
+fn parse_completion(body: &str) -> Result<CallResponse, CallFailure> {
     let value: Value =
-        serde_json::from_str(body).map_err(|err| CallFailure::Broken(err.to_string()))?;
+        serde_json::from_str(body).map_err(|err| CallFailure::Incomplete(err.to_string()))?;
     let choice = &value["choices"][0];
-    let mut answer = CallResponse {
+    let mut call_response = CallResponse {
         text: choice["message"]["content"]
             .as_str()
             .unwrap_or_default()
             .to_owned(),
-        finish: choice["finish_reason"].as_str().map(str::to_owned),
+        finish_reason: choice["finish_reason"].as_str().map(str::to_owned),
         ..CallResponse::default()
     };
-    read_usage(&mut answer, &value["usage"]);
-    Ok(answer)
+    parse_usage(&mut call_response, &value["usage"]);
+    Ok(call_response)
 }
 
-fn read_usage(answer: &mut CallResponse, usage: &Value) {
+fn parse_usage(call_response: &mut CallResponse, usage: &Value) {
     let count = |value: &Value| value.as_u64().unwrap_or_default();
-    answer.prompt_tokens = count(&usage["prompt_tokens"]);
-    answer.output_tokens = count(&usage["completion_tokens"]);
-    answer.cached_tokens = count(&usage["prompt_tokens_details"]["cached_tokens"]);
+    call_response.prompt_tokens = count(&usage["prompt_tokens"]);
+    call_response.output_tokens = count(&usage["completion_tokens"]);
+    call_response.cached_tokens = count(&usage["prompt_tokens_details"]["cached_tokens"]);
 }
 
-/// Reads server-sent events up to `[DONE]`; an answer that ends before is not whole.
+/// Reads server-sent events up to `[DONE]`; a stream that ends earlier is incomplete.
 async fn read_stream<S>(
     mut response: ClientResponse<S>,
     begun: Instant,
@@ -372,10 +383,10 @@
 where
     S: Stream<Item = Result<bytes::Bytes, awc::error::PayloadError>> + Unpin,
 {
-    let mut answer = CallResponse::default();
+    let mut call_response = CallResponse::default();
     let mut buffer = Vec::new();
     while let Some(chunk) = response.next().await {
-        let chunk = chunk.map_err(|err| CallFailure::Broken(err.to_string()))?;
+        let chunk = chunk.map_err(|err| CallFailure::Incomplete(err.to_string()))?;
         buffer.extend_from_slice(&chunk);
         while let Some(end) = buffer.windows(2).position(|pair| pair == b"\n\n") {
             let event: Vec<u8> = buffer.drain(..end + 2).collect();
@@ -384,32 +395,40 @@
                 continue;
             };
             if data == "[DONE]" {
-                return Ok(answer);
+                return Ok(call_response);
             }
-            read_event(&mut answer, data, begun)?;
+            parse_event(&mut call_response, data, begun)?;
         }
     }
-    Err(CallFailure::Broken("no [DONE] came".to_owned()))
+    Err(CallFailure::Incomplete(
+        "the stream ended before [DONE]".to_owned(),
+    ))
 }
 
-fn read_event(answer: &mut CallResponse, data: &str, begun: Instant) -> Result<(), CallFailure> {
+fn parse_event(
+    call_response: &mut CallResponse,
+    data: &str,
+    begun: Instant,
+) -> Result<(), CallFailure> {
     let value: Value =
-        serde_json::from_str(data).map_err(|err| CallFailure::Broken(err.to_string()))?;
+        serde_json::from_str(data).map_err(|err| CallFailure::Incomplete(err.to_string()))?;
     if !value["error"].is_null() {
-        return Err(refusal(200, data));
+        return Err(parse_refusal(200, data));
     }
     if value["usage"].is_object() {
-        read_usage(answer, &value["usage"]);
+        parse_usage(call_response, &value["usage"]);
     }
     let choice = &value["choices"][0];
     if let Some(text) = choice["delta"]["content"].as_str()
         && !text.is_empty()
     {
-        answer.first_text.get_or_insert_with(|| begun.elapsed());
-        answer.text += text;
+        call_response
+            .first_text
+            .get_or_insert_with(|| begun.elapsed());
+        call_response.text += text;
     }
     if let Some(finish) = choice["finish_reason"].as_str() {
-        answer.finish = Some(finish.to_owned());
+        call_response.finish_reason = Some(finish.to_owned());
     }
     Ok(())
 }
--- a/standins/src/run_program.rs
+++ b/standins/src/run_program.rs
@@ -1,4 +1,4 @@
-//! Runs one program's script against the entries and checks every answer.
+//! Runs the script of a program against the entries and verifies every response.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -15,51 +15,51 @@
 use crate::caller::{CallMetadata, CallOutcome, CallResponse, Caller, ChatCallSpec, PlainCallSpec};
 use crate::script::{Script, Step};
 
-/// The service of the turns.
+/// The service that runs the turns.
 pub const CHAT_SERVICE: &str = "agent-llm";
-/// The service of the holds.
+/// The service that runs holds, cancellations and availability checks.
 pub const PLAIN_SERVICE: &str = "book-app";
-/// The model of the turns.
+/// The model requested for turns.
 pub const MODEL: &str = "stargazer";
 
-/// One call as it went.
+/// The measurements of one call.
 #[derive(Debug, Clone, Default)]
 pub struct CallRecord {
-    /// The class.
+    /// The call's class.
     pub class: String,
-    /// From its first attempt to its end.
+    /// The time from the first attempt to the end of the call.
     pub took: Duration,
-    /// The time to the first text of a stream.
+    /// The time to the first text of a streamed answer.
     pub first_text: Option<Duration>,
-    /// The prompt's tokens.
+    /// The number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Those that came from a cache.
+    /// The number of prompt tokens served from a cache.
     pub cached_tokens: u64,
-    /// The tokens generated.
+    /// The number of generated tokens.
     pub output_tokens: u64,
-    /// The codes of answers that said that it did not run.
+    /// The error codes of the attempts that were refused.
     pub refusals: Vec<String>,
-    /// How often it was sent again.
+    /// The number of retries.
     pub retries: u64,
 }
 
-/// One program as it went.
+/// The measurements of one program.
 #[derive(Debug, Clone, Default)]
 pub struct ProgramRecord {
-    /// Its class.
+    /// The program's class.
     pub class: String,
-    /// From its first call to its last answer.
+    /// The time from the first call to the last response.
     pub took: Duration,
-    /// Its calls, with those of its sub-agents.
+    /// The calls, including those of sub-agents.
     pub calls: Vec<CallRecord>,
-    /// Its sub-agents.
+    /// The number of sub-agents, at any depth.
     pub sub_agents: u64,
-    /// What was missing, mixed or wrong; empty when it finished.
+    /// The failed calls and unexpected responses; empty if the program finished.
     pub faults: Vec<String>,
 }
 
-/// A program that is under way.
-struct Run<'a> {
+/// A running program.
+struct ProgramRun<'a> {
     caller: &'a Caller,
     script: &'a Script,
     parent: Option<String>,
@@ -68,18 +68,18 @@
     record: ProgramRecord,
 }
 
-/// Runs a program to its end, and ends it; its latency and that of its first call count from `due`.
+/// Runs a program to its end; its latency and that of its first call are measured from `due`.
 pub async fn run_program(caller: &Caller, script: &Script, due: Instant) -> ProgramRecord {
-    let late = due.elapsed();
+    let start_delay = due.elapsed();
     let mut record = run(caller, script, None).await;
-    record.took += late;
+    record.took += start_delay;
     if let Some(first) = record.calls.first_mut() {
-        first.took += late;
+        first.took += start_delay;
     }
     record
 }
 
-/// A program may run others, so its future is boxed.
+/// Runs a program; the future is boxed because sub-agents recurse.
 fn run<'a>(
     caller: &'a Caller,
     script: &'a Script,
@@ -88,7 +88,7 @@
     Box::pin(async move {
         let begun = Instant::now();
         let instructions = script.kind.instructions();
-        let mut run = Run {
+        let mut run = ProgramRun {
             caller,
             script,
             parent,
@@ -100,48 +100,52 @@
             },
         };
         for step in &script.steps {
-            // After a fault the history differs from what the script expects.
+            // After a fault the message history differs from what the script expects.
             if !run.record.faults.is_empty() {
                 break;
             }
-            run.step(step).await;
+            run.run_step(step).await;
         }
         run.record.took = begun.elapsed();
         let ended = caller.end(&script.program).await;
         if let Err(failure) = ended.result {
-            run.fault(&format!("its end: {failure}"));
+            run.add_fault(&format!("ending the program: {failure}"));
         }
         run.record
     })
 }
 
-impl Run<'_> {
-    async fn step(&mut self, step: &Step) {
+impl ProgramRun<'_> {
+    async fn run_step(&mut self, step: &Step) {
         match step {
-            Step::Turn { says, wanted, tool } => {
+            Step::Turn {
+                user_text,
+                answer_tokens,
+                tool,
+            } => {
                 let name = tool.as_ref().map(|(name, _)| name.to_string());
-                self.turn(says, *wanted, name).await;
-                if let Some((_, pause)) = tool {
-                    pause_for(*pause).await;
+                self.run_turn(user_text, *answer_tokens, name).await;
+                if let Some((_, duration)) = tool {
+                    sleep_for(*duration).await;
                 }
             }
             Step::Hold { id } => {
                 let body = json!({ "id": id, "slot": "dome-1" });
                 let expected = json!({ "hold": id, "slot": "dome-1", "state": "held" });
-                self.once("/holds", "holds", id, body, &expected).await;
+                self.call_once("/holds", "holds", id, body, &expected).await;
             }
             Step::Cancel { id, hold } => {
                 let body = json!({ "id": id, "hold": hold });
                 let expected = json!({ "cancellation": id, "hold": hold, "state": "cancelled" });
-                self.once("/cancellations", "notices", id, body, &expected)
+                self.call_once("/cancellations", "notices", id, body, &expected)
                     .await;
             }
-            Step::Check { slot } => self.check(slot).await,
-            Step::SubAgents(scripts) => self.sub_agents(scripts).await,
+            Step::Check { slot } => self.check_availability(slot).await,
+            Step::SubAgents(scripts) => self.run_sub_agents(scripts).await,
         }
     }
 
-    fn head(&mut self, service: &str, class: &str) -> CallMetadata {
+    fn next_metadata(&mut self, service: &str, class: &str) -> CallMetadata {
         let seq = self.next_seq;
         self.next_seq += 1;
         CallMetadata {
@@ -153,68 +157,86 @@
         }
     }
 
-    async fn turn(&mut self, says: &str, wanted: Tokens, tool: Option<String>) {
-        let head = self.head(CHAT_SERVICE, self.script.kind.class());
-        self.messages.push(ChatMessage::new("user", says));
-        let ask = ChatCallSpec {
+    async fn run_turn(&mut self, user_text: &str, answer_tokens: Tokens, tool: Option<String>) {
+        let metadata = self.next_metadata(CHAT_SERVICE, self.script.kind.class());
+        self.messages.push(ChatMessage::new("user", user_text));
+        let spec = ChatCallSpec {
             model: MODEL.to_owned(),
             messages: self.messages.clone(),
-            wanted,
-            stream: head.seq.is_multiple_of(2),
+            answer_tokens,
+            stream: metadata.seq.is_multiple_of(2),
             tool,
         };
         let chain = Prompt::of_messages(&self.messages).chain();
-        let outcome = self.caller.chat(&head, &ask).await;
-        let Some(answer) = self.take(&head, outcome) else {
+        let outcome = self.caller.chat(&metadata, &spec).await;
+        let Some(response) = self.record_outcome(&metadata, outcome) else {
             return;
         };
-        if answer.text != answer_text(chain, wanted) {
-            self.fault(&format!("call {}: the answer is another's", head.seq));
+        if response.text != answer_text(chain, answer_tokens) {
+            self.add_fault(&format!(
+                "call {}: the answer does not match the prompt",
+                metadata.seq
+            ));
         }
-        if answer.finish.as_deref() != Some("stop") || answer.output_tokens != wanted.0 {
-            self.fault(&format!("call {}: the answer is not whole", head.seq));
+        if response.finish_reason.as_deref() != Some("stop")
+            || response.output_tokens != answer_tokens.0
+        {
+            self.add_fault(&format!("call {}: the answer is incomplete", metadata.seq));
         }
         self.messages
-            .push(ChatMessage::new("assistant", &answer.text));
+            .push(ChatMessage::new("assistant", &response.text));
     }
 
-    /// Makes a call that must run once.
-    async fn once(&mut self, path: &str, class: &str, id: &str, body: Value, expected: &Value) {
-        let head = self.head(PLAIN_SERVICE, class);
-        let ask = PlainCallSpec {
+    /// Calls the plain service with an idempotency key and compares the response with `expected`.
+    async fn call_once(
+        &mut self,
+        path: &str,
+        class: &str,
+        id: &str,
+        body: Value,
+        expected: &Value,
+    ) {
+        let metadata = self.next_metadata(PLAIN_SERVICE, class);
+        let spec = PlainCallSpec {
             method: awc::http::Method::POST,
             path: path.to_owned(),
-            once: Some(id.to_owned()),
+            idempotency_key: Some(id.to_owned()),
             body,
         };
-        let outcome = self.caller.plain(&head, &ask).await;
-        let Some(answer) = self.take(&head, outcome) else {
+        let outcome = self.caller.plain(&metadata, &spec).await;
+        let Some(response) = self.record_outcome(&metadata, outcome) else {
             return;
         };
-        if serde_json::from_str::<Value>(&answer.text).ok().as_ref() != Some(expected) {
-            self.fault(&format!("call {}: answered {}", head.seq, answer.text));
+        if serde_json::from_str::<Value>(&response.text).ok().as_ref() != Some(expected) {
+            self.add_fault(&format!(
+                "call {}: unexpected response {}",
+                metadata.seq, response.text
+            ));
         }
     }
 
-    async fn check(&mut self, slot: &str) {
-        let head = self.head(PLAIN_SERVICE, "checks");
-        let ask = PlainCallSpec {
+    async fn check_availability(&mut self, slot: &str) {
+        let metadata = self.next_metadata(PLAIN_SERVICE, "checks");
+        let spec = PlainCallSpec {
             method: awc::http::Method::GET,
             path: format!("/availability/{slot}"),
-            once: None,
+            idempotency_key: None,
             body: Value::Null,
         };
-        let outcome = self.caller.plain(&head, &ask).await;
-        let Some(answer) = self.take(&head, outcome) else {
+        let outcome = self.caller.plain(&metadata, &spec).await;
+        let Some(response) = self.record_outcome(&metadata, outcome) else {
             return;
         };
-        let value: Value = serde_json::from_str(&answer.text).unwrap_or_default();
+        let value: Value = serde_json::from_str(&response.text).unwrap_or_default();
         if value["slot"] != json!(slot) {
-            self.fault(&format!("call {}: answered {}", head.seq, answer.text));
+            self.add_fault(&format!(
+                "call {}: unexpected response {}",
+                metadata.seq, response.text
+            ));
         }
     }
 
-    async fn sub_agents(&mut self, scripts: &[Script]) {
+    async fn run_sub_agents(&mut self, scripts: &[Script]) {
         let parent = &self.script.program;
         let runs = scripts
             .iter()
@@ -226,49 +248,53 @@
         }
     }
 
-    /// Notes how a call went, and takes its answer.
-    fn take(&mut self, head: &CallMetadata, outcome: CallOutcome) -> Option<CallResponse> {
+    /// Records the outcome of a call and returns its response.
+    fn record_outcome(
+        &mut self,
+        metadata: &CallMetadata,
+        outcome: CallOutcome,
+    ) -> Option<CallResponse> {
         let mut call = CallRecord {
-            class: head.class.clone().unwrap_or_default(),
+            class: metadata.class.clone().unwrap_or_default(),
             took: outcome.took,
             refusals: outcome.refusals,
             retries: outcome.retries,
             ..CallRecord::default()
         };
-        let answer = match outcome.result {
-            Ok(answer) => {
-                call.first_text = answer.first_text;
-                call.prompt_tokens = answer.prompt_tokens;
-                call.cached_tokens = answer.cached_tokens;
-                call.output_tokens = answer.output_tokens;
-                Some(answer)
+        let response = match outcome.result {
+            Ok(response) => {
+                call.first_text = response.first_text;
+                call.prompt_tokens = response.prompt_tokens;
+                call.cached_tokens = response.cached_tokens;
+                call.output_tokens = response.output_tokens;
+                Some(response)
             }
             Err(failure) => {
-                self.fault(&format!("call {}: {failure}", head.seq));
+                self.add_fault(&format!("call {}: {failure}", metadata.seq));
                 None
             }
         };
         self.record.calls.push(call);
-        answer
+        response
     }
 
-    fn fault(&mut self, what: &str) {
+    fn add_fault(&mut self, what: &str) {
         let fault = format!("{}: {what}", self.script.program);
         self.record.faults.push(fault);
     }
 }
 
-async fn pause_for(span: SpanUs) {
+async fn sleep_for(span: SpanUs) {
     actix_rt::time::sleep(Duration::from_micros(span.0)).await;
 }
 
-/// How often each id ran that must run once: the ids that ran otherwise, with their counts.
+/// Returns the ids of operations that did not run exactly once, with the number of times they ran.
 #[must_use]
 pub fn find_not_run_once(
     scripts: &[Script],
     executions: &[BTreeMap<String, u64>],
 ) -> Vec<(String, u64)> {
-    let count = |id: &str| -> u64 { executions.iter().filter_map(|ran| ran.get(id)).sum() };
+    let count = |id: &str| -> u64 { executions.iter().filter_map(|counts| counts.get(id)).sum() };
     let ids = scripts.iter().flat_map(Script::run_once_ids);
     ids.map(|id| (count(&id), id))
         .filter(|(count, _)| *count != 1)
--- a/standins/src/script.rs
+++ b/standins/src/script.rs
@@ -1,26 +1,27 @@
-//! What the callers' programs do: scripts drawn from the mixes of the users' workloads.
+//! Generates the scripts of the callers' programs from a seed, in the proportions of the users'
+//! workloads.
 
 use clementinepick::ids::ToolName;
 use clementinepick::units::{SpanUs, Tokens};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha12Rng;
 
-/// Characters of the instructions that all programs of a kind begin with.
+/// The approximate length of the instructions that all programs of a kind share.
 const INSTRUCTION_CHARS: usize = 1_200;
 
 /// A kind of program.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ProgramKind {
-    /// A guest's conversation of several turns; some end in a seat hold.
+    /// A guest's conversation of several turns; some end with a seat hold.
     Concierge,
-    /// A plan with tool pauses and sub-agents.
+    /// A plan with tool calls and sub-agents.
     Itinerary,
     /// Holds, availability checks and cancellations of a lodge.
     Bookings,
 }
 
 impl ProgramKind {
-    /// The class of the program's own calls, which is its row in a table.
+    /// Returns the class of the program and of its turns.
     #[must_use]
     pub const fn class(self) -> &'static str {
         match self {
@@ -30,7 +31,7 @@
         }
     }
 
-    /// The instructions that the turns of such a program begin with.
+    /// Returns the system message that starts every program of this kind.
     #[must_use]
     pub fn instructions(self) -> String {
         let rule = match self {
@@ -47,23 +48,23 @@
 pub enum Step {
     /// A turn of the model engine.
     Turn {
-        /// What the user or a tool says.
-        says: String,
-        /// How long the answer will be.
-        wanted: Tokens,
-        /// The tool that is called after it, and how long that takes.
+        /// The user message.
+        user_text: String,
+        /// The length of the answer.
+        answer_tokens: Tokens,
+        /// The tool that is called after the turn, and its duration.
         tool: Option<(ToolName, SpanUs)>,
     },
-    /// A seat hold, which must run once.
+    /// A seat hold, which must run exactly once.
     Hold {
-        /// The hold's id.
+        /// The hold's idempotency key.
         id: String,
     },
-    /// A cancellation of a hold, which must run once.
+    /// A cancellation of a hold, which must run exactly once.
     Cancel {
-        /// The cancellation's id.
+        /// The cancellation's idempotency key.
         id: String,
-        /// The hold.
+        /// The id of the cancelled hold.
         hold: String,
     },
     /// An availability check.
@@ -71,23 +72,23 @@
         /// The telescope slot.
         slot: String,
     },
-    /// Sub-agents that run beside each other; the next step waits for them all.
+    /// Sub-agents that run concurrently; the step ends when all of them have ended.
     SubAgents(Vec<Script>),
 }
 
-/// A program.
+/// The script of one program.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Script {
-    /// Its name.
+    /// The program's id.
     pub program: String,
-    /// Its kind.
+    /// The program's kind.
     pub kind: ProgramKind,
-    /// Its steps.
+    /// The steps, run in order.
     pub steps: Vec<Step>,
 }
 
 impl Script {
-    /// The ids of the holds and cancellations in it, which must run once each.
+    /// Returns the ids of the script's holds and cancellations, including those of sub-agents.
     #[must_use]
     pub fn run_once_ids(&self) -> Vec<String> {
         let ids = self.steps.iter().flat_map(|step| match step {
@@ -99,30 +100,30 @@
     }
 }
 
-/// Draws programs, the same ones for the same seed.
+/// Generates scripts; the same seed gives the same scripts.
 #[derive(Debug)]
 pub struct ScriptGenerator {
-    run: String,
+    name_prefix: String,
     rng: ChaCha12Rng,
-    drawn: u64,
+    next_number: u64,
 }
 
 impl ScriptGenerator {
-    /// A mix whose programs' names begin with `run`.
+    /// Returns a generator of programs whose ids begin with `name_prefix`.
     #[must_use]
-    pub fn new(run: &str, seed: u64) -> Self {
+    pub fn new(name_prefix: &str, seed: u64) -> Self {
         Self {
-            run: run.to_owned(),
+            name_prefix: name_prefix.to_owned(),
             rng: ChaCha12Rng::seed_from_u64(seed),
-            drawn: 0,
+            next_number: 0,
         }
     }
 
-    /// The next program.
+    /// Generates the next script.
     pub fn next_script(&mut self) -> Script {
-        let number = self.drawn;
-        self.drawn += 1;
-        // Of twenty programs nine are conversations, four are plans and seven are bookings.
+        let number = self.next_number;
+        self.next_number += 1;
+        // Of 20 programs, 9 are conversations, 4 are plans and 7 are bookings.
         match number * 7 % 20 {
             0..9 => self.concierge(number),
             9..13 => self.itinerary(number),
@@ -131,19 +132,19 @@
     }
 
     fn concierge(&mut self, number: u64) -> Script {
-        let program = format!("{}-concierge-{number}", self.run);
+        let program = format!("{}-concierge-{number}", self.name_prefix);
         let turns = self.rng.random_range(2..=5);
         let mut steps = Vec::new();
         for turn in 0..turns {
-            let says = format!("Guest {number} asks question {turn} about the stars tonight.");
+            let user_text = format!("Guest {number} asks question {turn} about the stars tonight.");
             let typing = self.span_ms(20, 120);
-            steps.push(self.turn(says, 20..=60, Some(("guest", typing))));
+            steps.push(self.turn(user_text, 20..=60, Some(("guest", typing))));
         }
         if number.is_multiple_of(2) {
             let id = format!("{program}-hold");
             steps.push(Step::Hold { id });
-            let says = format!("Guest {number} wants the hold confirmed.");
-            steps.push(self.turn(says, 10..=30, None));
+            let user_text = format!("Guest {number} wants the hold confirmed.");
+            steps.push(self.turn(user_text, 10..=30, None));
         }
         Script {
             program,
@@ -153,19 +154,19 @@
     }
 
     fn itinerary(&mut self, number: u64) -> Script {
-        let program = format!("{}-itinerary-{number}", self.run);
-        let says = format!("Operator {number} wants a plan for three nights.");
+        let program = format!("{}-itinerary-{number}", self.name_prefix);
+        let user_text = format!("Operator {number} wants a plan for three nights.");
         let search = self.span_ms(50, 300);
-        let mut steps = vec![self.turn(says, 40..=90, Some(("site-search", search)))];
+        let mut steps = vec![self.turn(user_text, 40..=90, Some(("site-search", search)))];
         let agents = (0..self.rng.random_range(2..=3))
             .map(|agent| self.sub_agent(&program, agent))
             .collect();
         steps.push(Step::SubAgents(agents));
         let forecast = self.span_ms(50, 200);
-        let says = "The sub-agents have answered.".to_owned();
-        steps.push(self.turn(says, 30..=60, Some(("weather", forecast))));
-        let says = "The forecast is clear.".to_owned();
-        steps.push(self.turn(says, 80..=160, None));
+        let user_text = "The sub-agents have answered.".to_owned();
+        steps.push(self.turn(user_text, 30..=60, Some(("weather", forecast))));
+        let user_text = "The forecast is clear.".to_owned();
+        steps.push(self.turn(user_text, 80..=160, None));
         Script {
             program,
             kind: ProgramKind::Itinerary,
@@ -188,7 +189,7 @@
     }
 
     fn bookings(&mut self, number: u64) -> Script {
-        let program = format!("{}-bookings-{number}", self.run);
+        let program = format!("{}-bookings-{number}", self.name_prefix);
         let hold = format!("{program}-hold");
         let slot = format!("dome-{}", number % 7);
         let mut steps = vec![Step::Check { slot }, Step::Hold { id: hold.clone() }];
@@ -205,18 +206,18 @@
 
     fn turn(
         &mut self,
-        says: String,
-        wanted: std::ops::RangeInclusive<u64>,
+        user_text: String,
+        answer_tokens: std::ops::RangeInclusive<u64>,
         tool: Option<(&str, SpanUs)>,
     ) -> Step {
         Step::Turn {
-            says,
-            wanted: Tokens(self.rng.random_range(wanted)),
+            user_text,
+            answer_tokens: Tokens(self.rng.random_range(answer_tokens)),
             tool: tool.and_then(|(name, span)| Some((name.parse().ok()?, span))),
         }
     }
 
-    fn span_ms(&mut self, least: u64, most: u64) -> SpanUs {
-        SpanUs::from_ms(self.rng.random_range(least..=most))
+    fn span_ms(&mut self, min: u64, max: u64) -> SpanUs {
+        SpanUs::from_ms(self.rng.random_range(min..=max))
     }
 }
