--- a/standins/src/capacity.rs
+++ b/standins/src/capacity.rs
@@ -1,5 +1,5 @@
-//! `standins capacity`: measures what one heartbeat, call, turn, program and record cost, and works
-//! out from these slopes what the size of the plan asks of each role.
+//! Implements `standins capacity`: measures the unit costs of heartbeats, turns, programs and
+//! records, and extrapolates them to the resources that each role needs at the planned size.
 
 use std::collections::BTreeMap;
 use std::hint::black_box;
@@ -30,18 +30,18 @@
     pub programs: u64,
 }
 
-/// Bytes of text of one token, as the prompt estimate counts them.
+/// Bytes of text per token, as in the prompt length estimate.
 const BYTES_PER_TOKEN: u64 = 4;
-/// Turns of a program in the memory slope.
-const TURNS: u64 = 8;
-/// Bytes of text of one turn's two messages in the memory slope.
-const TURN_BYTES: u64 = 800;
-/// How often each short operation is repeated to time it.
-const ROUNDS: u32 = 200_000;
-/// The page size that the system counts resident memory in.
+/// Turns per program in the memory measurement.
+const TURNS_PER_PROGRAM: u64 = 8;
+/// Bytes of text of the two messages of a turn in the memory measurement.
+const TURN_TEXT_BYTES: u64 = 800;
+/// Iterations over which the time of a short operation is averaged.
+const TIMING_ITERATIONS: u32 = 200_000;
+/// The page size, the unit of resident memory in `/proc/self/statm`.
 const PAGE_BYTES: u64 = 4_096;
 
-/// The size of the plan, from the users' first letter.
+/// The planned load, and the limits that each role must stay within.
 mod plan {
     pub(super) const NODES: u64 = 2_500;
     pub(super) const ENGINES: u64 = 10_000;
@@ -58,7 +58,7 @@
     pub(super) const CONTROL_BYTES: u64 = 256_000_000;
 }
 
-/// What was measured.
+/// The measured unit costs.
 #[derive(Debug, Clone, Copy)]
 struct Slopes {
     heartbeat_bytes: u64,
@@ -80,7 +80,7 @@
     ///
     /// # Errors
     ///
-    /// [`Failure::Io`] when the system does not tell this process's memory.
+    /// Returns [`Failure::Io`] if the memory use of this process can't be read.
     pub fn run(&self) -> Result<(), Failure> {
         let slopes = measure(self.programs)?;
         print_slopes(&slopes);
@@ -94,14 +94,14 @@
     let text = text_part();
     let (program_memory_bytes, text_byte_memory_milli, apply_ns) = measure_memory(programs)?;
     Ok(Slopes {
-        heartbeat_bytes: encoded(&few),
-        heartbeat_service_bytes: (encoded(&many) - encoded(&few)) / 100,
-        load_bytes: encoded(&Message::Load(BackendLoad::default())),
+        heartbeat_bytes: encoded_bytes(&few),
+        heartbeat_service_bytes: (encoded_bytes(&many) - encoded_bytes(&few)) / 100,
+        load_bytes: encoded_bytes(&Message::Load(BackendLoad::default())),
         heartbeat_ns: codec_ns(&few),
-        turn_record_bytes: stored(&turn(0, 0, "", (ChainHash(1 << 60), ChainHash(1 << 61)))),
-        claim_record_bytes: stored(&claim()),
-        program_records_bytes: stored(&opened(0)) + stored(&ended(0)),
-        text_part_bytes: encoded(&text),
+        turn_record_bytes: stored_bytes(&turn(0, 0, "", (ChainHash(1 << 60), ChainHash(1 << 61)))),
+        claim_record_bytes: stored_bytes(&claim()),
+        program_records_bytes: stored_bytes(&opened(0)) + stored_bytes(&ended(0)),
+        text_part_bytes: encoded_bytes(&text),
         text_part_ns: codec_ns(&text),
         apply_ns,
         program_memory_bytes,
@@ -147,28 +147,28 @@
     }
 }
 
-fn encoded(message: &Message) -> u64 {
+fn encoded_bytes(message: &Message) -> u64 {
     encode(message).len() as u64
 }
 
-/// A message as it goes over a link.
+/// Encodes a message as it is sent over a link.
 fn encode(message: &Message) -> Vec<u8> {
     let mut bytes = Vec::new();
     ciborium::into_writer(message, &mut bytes).expect("a message can be encoded");
     bytes
 }
 
-/// The time to encode and decode a message once.
+/// Returns the time to encode and decode a message once, in nanoseconds.
 fn codec_ns(message: &Message) -> u64 {
     let began = Instant::now();
-    for _ in 0..ROUNDS {
+    for _ in 0..TIMING_ITERATIONS {
         let bytes = encode(black_box(message));
         black_box(ciborium::from_reader::<Message, _>(bytes.as_slice()).is_ok());
     }
-    nanos_each(began, u64::from(ROUNDS))
+    mean_ns(began, u64::from(TIMING_ITERATIONS))
 }
 
-fn nanos_each(began: Instant, count: u64) -> u64 {
+fn mean_ns(began: Instant, count: u64) -> u64 {
     u64::try_from(began.elapsed().as_nanos()).unwrap_or(u64::MAX) / count.max(1)
 }
 
@@ -189,7 +189,7 @@
     })
 }
 
-fn stored(record: &Record) -> u64 {
+fn stored_bytes(record: &Record) -> u64 {
     serde_json::to_string(record).expect("serializable").len() as u64
 }
 
@@ -242,36 +242,37 @@
     })
 }
 
-/// The memory of a program with short turns, what 1,000 bytes of text add, and the time to replay a
-/// record.
+/// Returns the memory of a program without text in bytes, the memory of 1,000 bytes of text, and the
+/// time to replay a record in nanoseconds.
 fn measure_memory(programs: u64) -> Result<(u64, u64, u64), Failure> {
-    let half = usize::try_from(TURN_BYTES / 2).unwrap_or_default();
-    let bare = build(programs, "")?;
-    // The first stays in memory, so that the second can't use what it gave back.
-    let full = build(programs, &"x".repeat(half))?;
-    let text_bytes = programs * TURNS * TURN_BYTES;
-    let more = full.used_bytes.saturating_sub(bare.used_bytes);
+    let half = usize::try_from(TURN_TEXT_BYTES / 2).unwrap_or_default();
+    let without_text = build(programs, "")?;
+    // Both stay alive until the end: memory freed by the first would be reused by the second and
+    // distort its measurement.
+    let with_text = build(programs, &"x".repeat(half))?;
+    let text_bytes = programs * TURNS_PER_PROGRAM * TURN_TEXT_BYTES;
+    let more = with_text.used_bytes.saturating_sub(without_text.used_bytes);
     let per_text_milli = more * 1_000 / text_bytes.max(1);
-    black_box((&bare.partitions, &full.partitions));
+    black_box((&without_text.partitions, &with_text.partitions));
     Ok((
-        bare.used_bytes / programs.max(1),
+        without_text.used_bytes / programs.max(1),
         per_text_milli,
-        full.apply_ns,
+        with_text.apply_ns,
     ))
 }
 
-/// Partitions in memory, and what it took to build them.
-struct Built {
+/// Partitions in memory, and the cost of building them.
+struct PartitionBuild {
     partitions: Partitions,
     used_bytes: u64,
     apply_ns: u64,
 }
 
-fn build(programs: u64, text: &str) -> Result<Built, Failure> {
+fn build(programs: u64, text: &str) -> Result<PartitionBuild, Failure> {
     let before = resident_bytes()?;
     let mut partitions = Partitions::default();
     partitions.apply(Offset(0), &claim());
-    let (mut offset, mut spent_ns) = (0, 0);
+    let (mut offset, mut elapsed_ns) = (0, 0);
     for number in 0..programs {
         let records = program_records(number, text);
         let began = Instant::now();
@@ -279,20 +280,20 @@
             offset += 1;
             partitions.apply(Offset(offset), record);
         }
-        spent_ns += nanos_each(began, 1);
+        elapsed_ns += mean_ns(began, 1);
     }
-    Ok(Built {
+    Ok(PartitionBuild {
         partitions,
         used_bytes: resident_bytes()?.saturating_sub(before),
-        apply_ns: spent_ns / offset.max(1),
+        apply_ns: elapsed_ns / offset.max(1),
     })
 }
 
-/// The records of a program of [`TURNS`] turns.
+/// Returns the records of a program of [`TURNS_PER_PROGRAM`] turns.
 fn program_records(number: u64, text: &str) -> Vec<Record> {
     let mut chain = history_chain(&program(number), &[]);
     let mut records = vec![opened(number)];
-    for seq in 0..TURNS {
+    for seq in 0..TURNS_PER_PROGRAM {
         let messages = [
             ChatMessage::new("user", text),
             ChatMessage::new("assistant", text),
@@ -349,57 +350,57 @@
             "B",
         ),
     ];
-    for (what, value, unit) in rows {
-        println!("  {what:<48} {value:>10} {unit}");
+    for (label, value, unit) in rows {
+        println!("  {label:<48} {value:>10} {unit}");
     }
 }
 
-/// One requirement beside what it comes to.
-fn row(what: &str, comes_to: u64, limit: u64, unit: &str) {
-    let fits = if comes_to <= limit {
+/// Prints one requirement and its limit.
+fn print_row(label: &str, required: u64, limit: u64, unit: &str) {
+    let fits = if required <= limit {
         "fits"
     } else {
         "DOES NOT FIT"
     };
-    println!("  {what:<60} {comes_to:>14} of {limit:>12} {unit:<6} {fits}");
+    println!("  {label:<60} {required:>14} of {limit:>12} {unit:<6} {fits}");
 }
 
 fn print_plan(slopes: &Slopes) {
     println!("at the size of the plan, with today's mechanisms");
     let links_per_sidecar = plan::NODES / 100;
     let heartbeat = slopes.heartbeat_bytes;
-    // An entry speaks to all sidecars of its region; each link has two heartbeats a second each way
-    // and two load reports.
+    // An entry has a link to each sidecar of its region; a link carries two heartbeats per second in
+    // each direction and two load reports per second.
     let sidecars_per_region = plan::ENGINES / plan::REGIONS;
     let per_link = 4 * heartbeat + 2 * slopes.load_bytes;
     let region_services = 3 * slopes.heartbeat_service_bytes;
-    row(
+    print_row(
         "sidecar, 25 entries a region, one service: bytes/s",
         links_per_sidecar * per_link,
         plan::CONTROL_BYTES_PER_S,
         "B/s",
     );
-    row(
+    print_row(
         "entry, links to all sidecars of its region: bytes/s",
         sidecars_per_region * (per_link + region_services),
         plan::CONTROL_BYTES_PER_S,
         "B/s",
     );
     let all_services = heartbeat + plan::SERVICES * slopes.heartbeat_service_bytes;
-    row(
+    print_row(
         "entry, one link, heartbeats that list every service: bytes/s",
         4 * all_services,
         plan::CONTROL_BYTES_PER_S,
         "B/s",
     );
-    row(
+    print_row(
         "entry, links to all sidecars of its region: us of a core/s",
         sidecars_per_region * 6 * slopes.heartbeat_ns / 1_000,
         plan::CONTROL_CPU_US_PER_S,
         "us/s",
     );
     let turns_per_s = plan::REQUESTS_PER_S;
-    row(
+    print_row(
         "log, one append a turn without group commit: appends/s",
         turns_per_s,
         plan::APPENDS_PER_S,
@@ -413,40 +414,40 @@
     let text_per_turn = plan::TOKENS_PER_S / plan::REQUESTS_PER_S * BYTES_PER_TOKEN;
     let log_bytes = turns_per_s * (slopes.turn_record_bytes + text_per_turn);
     println!("  log, bytes/s of turns ({text_per_turn} bytes of answer each): {log_bytes}");
-    row(
+    print_row(
         "reader of the whole journal: us of a core/s",
         turns_per_s * slopes.apply_ns / 1_000,
         plan::CONTROL_CPU_US_PER_S,
         "us/s",
     );
     let entries = plan::NODES / 20;
-    row(
+    print_row(
         "entry (1 VM in 20), its programs without their text: bytes",
         plan::PROGRAMS / entries * slopes.program_memory_bytes,
         plan::CONTROL_BYTES,
         "B",
     );
     let text_bytes = plan::HISTORY_TOKENS * BYTES_PER_TOKEN * slopes.text_byte_memory_milli / 1_000;
-    row(
+    print_row(
         "one program of 440,000 tokens, its text: bytes",
         text_bytes,
         plan::CONTROL_BYTES,
         "B",
     );
-    row(
+    print_row(
         "entry, its programs at a tenth of that text each: bytes",
         plan::PROGRAMS / entries * text_bytes / 10,
         plan::CONTROL_BYTES,
         "B",
     );
-    row(
+    print_row(
         "entry that keeps all programs of the log, no text: bytes",
         plan::PROGRAMS * slopes.program_memory_bytes,
         plan::CONTROL_BYTES,
         "B",
     );
     let change_us = measure_change_us();
-    row(
+    print_row(
         "entry, checking every change of configuration: us of a core/s",
         plan::CHANGES_PER_DAY * change_us / 86_400,
         plan::CONTROL_CPU_US_PER_S,
@@ -460,7 +461,7 @@
     );
 }
 
-/// The time to replay and check one publication.
+/// Returns the time to replay and validate one publication, in microseconds.
 fn measure_change_us() -> u64 {
     const CHANGES: u64 = 2_000;
     let document = "[service]\nname = service-00001\nkind = engine\n[class concierge]\nrank = 1\n\
@@ -476,5 +477,5 @@
         });
         black_box(replay.apply(Offset(number), &publish));
     }
-    nanos_each(began, CHANGES) / 1_000
+    mean_ns(began, CHANGES) / 1_000
 }
--- a/standins/src/demo.rs
+++ b/standins/src/demo.rs
@@ -1,4 +1,4 @@
-//! `standins demo`: programs through a whole small deployment, each answer checked.
+//! Implements `standins demo`: runs programs against a small deployment and verifies each response.
 
 use std::cell::RefCell;
 use std::sync::Arc;
@@ -18,8 +18,8 @@
 use crate::run_program::{find_not_run_once, run_program};
 use crate::script::{Script, ScriptGenerator};
 
-/// The most faults that are printed.
-const MAX_PRINTED: usize = 20;
+/// The maximum number of faults printed.
+const MAX_PRINTED_FAULTS: usize = 20;
 
 /// Run a whole small deployment in this process, on loopback ports, and programs through it: two
 /// entries in two availability zones, engines and a plain service with their sidecars, and the log.
@@ -56,25 +56,27 @@
     pub roll: bool,
 }
 
-/// What a run came to.
+/// The result of a demo run.
 #[derive(Debug, Default)]
 pub struct DemoResult {
-    /// The table.
+    /// The measurements by class, and the faults.
     pub report: Report,
-    /// Holds and cancellations, and those that did not run exactly once.
+    /// The number of holds and cancellations, and those that did not run exactly once with the number
+    /// of times they ran.
     pub run_once: (usize, Vec<(String, u64)>),
-    /// The tokens that engines still held after all programs had ended.
+    /// The engine memory still in use after all programs ended, in tokens.
     pub held_tokens: Tokens,
-    /// The calls that entries tried again elsewhere.
+    /// The number of calls that entries retried on another backend server.
     pub system_retries: u64,
-    /// The processes that were replaced.
+    /// The number of processes replaced by the rolling restart.
     pub replaced: usize,
-    /// How long the programs took.
+    /// The time that the programs took.
     pub took: Duration,
 }
 
 impl DemoResult {
-    /// Whether nothing is missing, mixed, doubled or still held.
+    /// Returns whether all programs finished without faults, each operation ran exactly once and no
+    /// engine memory is in use.
     #[must_use]
     pub fn is_success(&self) -> bool {
         let report = &self.report;
@@ -86,11 +88,11 @@
 }
 
 impl Demo {
-    /// Runs it and prints what came of it.
+    /// Runs the demo and prints its result.
     ///
     /// # Errors
     ///
-    /// When anything is missing, mixed or doubled.
+    /// Returns an error if the deployment fails or the result is not a success.
     pub fn run(&self) -> Result<(), Failure> {
         let result = self.measure()?;
         let (report, once) = (&result.report, &result.run_once);
@@ -120,31 +122,31 @@
             "programs finished {} of {}",
             report.finished, report.programs
         );
-        for fault in report.faults.iter().take(MAX_PRINTED) {
+        for fault in report.faults.iter().take(MAX_PRINTED_FAULTS) {
             println!("fault: {fault}");
         }
-        for (id, count) in once.1.iter().take(MAX_PRINTED) {
+        for (id, count) in once.1.iter().take(MAX_PRINTED_FAULTS) {
             println!("fault: {id} ran {count} times");
         }
         if result.is_success() {
             return Ok(());
         }
-        let text = "something is missing, mixed, doubled or still held; see above";
+        let text = "a program failed, an operation did not run exactly once, or engine memory is still in use; see above";
         Err(Failure::Check(text.to_owned()))
     }
 
-    /// Runs it and returns what came of it.
+    /// Runs the demo and returns its result.
     ///
     /// # Errors
     ///
-    /// When the deployment does not start or end as it must.
+    /// Returns an error if the deployment fails to start or to shut down.
     pub fn measure(&self) -> Result<DemoResult, Failure> {
         let settings = DeploymentSettings {
             engines: self.engines,
             ..DeploymentSettings::default()
         };
         let deployment = Arc::new(Deployment::start(&settings)?);
-        let result = System::new().block_on(self.drive(&deployment));
+        let result = System::new().block_on(self.run_on(&deployment));
         let deployment = Arc::into_inner(deployment)
             .ok_or_else(|| Failure::Check("the deployment is still in use".to_owned()))?;
         let result = result?;
@@ -152,28 +154,30 @@
         Ok(result)
     }
 
-    async fn drive(&self, deployment: &Arc<Deployment>) -> Result<DemoResult, Failure> {
+    async fn run_on(&self, deployment: &Arc<Deployment>) -> Result<DemoResult, Failure> {
         let caller = Caller::new(deployment.balancer.clone());
         deployment.publish(caller.client()).await?;
         deployment.wait_ready(caller.client()).await?;
         let watch = deployment.balancer.clone().watch(caller.client().clone());
         let watch = actix_rt::spawn(watch);
         let begun = Instant::now();
-        let roll = self.roll.then(|| {
+        let handle = self.roll.then(|| {
             let deployment = Arc::clone(deployment);
             thread::spawn(move || deployment.rolling_restart())
         });
-        let rolling = || roll.as_ref().is_some_and(|roll| !roll.is_finished());
-        let (report, scripts) = self.run_programs(&caller, rolling).await;
+        let is_restarting = || handle.as_ref().is_some_and(|handle| !handle.is_finished());
+        let (report, scripts) = self.run_programs(&caller, is_restarting).await;
         let took = begun.elapsed();
         let mut report = report;
-        let rolled = match roll.map(thread::JoinHandle::join) {
-            Some(Ok(rolled)) => rolled,
-            Some(Err(_)) => Err(Failure::Check("the roll panicked".to_owned())),
+        let restarted = match handle.map(thread::JoinHandle::join) {
+            Some(Ok(restarted)) => restarted,
+            Some(Err(_)) => Err(Failure::Check(
+                "the thread of the rolling restart panicked".to_owned(),
+            )),
             None => Ok(0),
         };
-        let replaced = rolled.unwrap_or_else(|failure| {
-            report.faults.push(format!("the replacement: {failure}"));
+        let replaced = restarted.unwrap_or_else(|failure| {
+            report.faults.push(format!("rolling restart: {failure}"));
             0
         });
         let held_tokens = deployment
@@ -181,12 +185,12 @@
             .await;
         let plains = deployment.servers.plains.iter();
         let executions: Vec<_> = plains.map(PlainHost::executions).collect();
-        let wanted = scripts.iter().flat_map(Script::run_once_ids).count();
+        let expected = scripts.iter().flat_map(Script::run_once_ids).count();
         let system_retries = deployment.system_retries(caller.client()).await;
         watch.abort();
         Ok(DemoResult {
             report,
-            run_once: (wanted, find_not_run_once(&scripts, &executions)),
+            run_once: (expected, find_not_run_once(&scripts, &executions)),
             held_tokens,
             system_retries,
             replaced,
@@ -194,24 +198,24 @@
         })
     }
 
-    /// Runs programs, `concurrency` at a time, until all have run and nothing is rolling any more.
+    /// Runs programs, `concurrency` at a time, until all have run and `is_restarting` returns false.
     async fn run_programs(
         &self,
         caller: &Caller,
-        rolling: impl Fn() -> bool,
+        is_restarting: impl Fn() -> bool,
     ) -> (Report, Vec<Script>) {
         let report = RefCell::new(Report::default());
         let scripts = RefCell::new(Vec::new());
-        let mix = RefCell::new(ScriptGenerator::new("demo", self.seed));
-        let lanes = (0..self.concurrency.max(1)).map(|_| async {
-            while scripts.borrow().len() < self.programs || rolling() {
-                let script = mix.borrow_mut().next_script();
+        let generator = RefCell::new(ScriptGenerator::new("demo", self.seed));
+        let workers = (0..self.concurrency.max(1)).map(|_| async {
+            while scripts.borrow().len() < self.programs || is_restarting() {
+                let script = generator.borrow_mut().next_script();
                 scripts.borrow_mut().push(script.clone());
                 let record = run_program(caller, &script, Instant::now()).await;
                 report.borrow_mut().add(record);
             }
         });
-        join_all(lanes).await;
+        join_all(workers).await;
         (report.take(), scripts.take())
     }
 }
--- a/standins/src/deployment.rs
+++ b/standins/src/deployment.rs
@@ -1,5 +1,5 @@
-//! A whole small deployment in one process: stand-ins, entries in two availability zones, and a
-//! sidecar beside each backend server, on loopback ports.
+//! Runs a small deployment in one process on loopback ports: the stand-ins, entries in two
+//! availability zones, and a sidecar for each backend server.
 
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -31,9 +31,9 @@
 use crate::weight_store::WeightSettings;
 
 const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
-/// The key of the links; a deployment that others can reach needs a secret one.
+/// The link key; safe to publish only because the deployment listens on loopback.
 const LINK_KEY: &str = "only-for-the-demo-on-loopback";
-/// The documents that are published, which are the examples.
+/// The published documents: the examples.
 const DOCUMENTS: [(&str, &str); 2] = [
     (
         CHAT_SERVICE,
@@ -46,19 +46,19 @@
 ];
 /// The availability zones of the entries.
 const ZONES: [&str; 2] = ["musanze-hall", "kinigi-room"];
-/// How long a process may take until it is ready.
-const START_LIMIT: Duration = Duration::from_secs(20);
-/// The time between two looks at something that is awaited.
-const LOOK: Duration = Duration::from_millis(50);
+/// The timeout for a process to become ready.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// The polling interval of wait loops.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How large a deployment is.
+/// The settings of a deployment.
 #[derive(Debug, Clone)]
 pub struct DeploymentSettings {
-    /// The engines, with a sidecar each.
+    /// The number of engines, each with a sidecar.
     pub engines: usize,
-    /// How they behave.
+    /// The behaviour of each engine.
     pub engine: EngineSettings,
-    /// How late the VM list shows changes.
+    /// The delay with which the VM list shows changes.
     pub vms_lag: SpanUs,
 }
 
@@ -76,17 +76,17 @@
     }
 }
 
-/// What a daemon of the deployment stands for.
+/// The role of a daemon in the deployment.
 #[derive(Debug, Clone)]
-enum Place {
+enum DaemonRole {
     Entry { zone: &'static str },
     Engine { number: usize },
     Plain,
 }
 
-/// One daemon and the VM that it runs on.
-struct Running {
-    place: Place,
+/// A running daemon and the id of its VM.
+struct RunningDaemon {
+    daemon_role: DaemonRole,
     vm: VmId,
     daemon: Daemon,
 }
@@ -95,19 +95,19 @@
 pub struct Deployment {
     /// The stand-ins.
     pub servers: Servers,
-    /// The balancer before the entries.
+    /// The balancer of the entries.
     pub balancer: Balancer,
-    daemons: Mutex<Vec<Running>>,
-    /// Numbers the entries: a new one comes on a new VM, a sidecar stays on its backend server's.
-    next_entry: Mutex<u64>,
+    daemons: Mutex<Vec<RunningDaemon>>,
+    /// The number of the last entry; a replaced entry gets a new VM, a sidecar keeps its VM.
+    last_entry: Mutex<u64>,
 }
 
 impl Deployment {
-    /// Starts all processes; they still have to read their documents.
+    /// Starts all processes without waiting until they are ready.
     ///
     /// # Errors
     ///
-    /// When a port can't be had or a process does not start.
+    /// Returns an error if a port can't be bound or a process fails to start.
     pub fn start(settings: &DeploymentSettings) -> Result<Self, Failure> {
         let engine = |number: usize| EngineSettings {
             seed: number as u64,
@@ -129,19 +129,19 @@
             servers,
             balancer: Balancer::default(),
             daemons: Mutex::default(),
-            next_entry: Mutex::new(0),
+            last_entry: Mutex::new(0),
         };
-        let entries = ZONES.into_iter().map(|zone| Place::Entry { zone });
-        let engines = (0..settings.engines).map(|number| Place::Engine { number });
-        for place in entries.chain(engines).chain([Place::Plain]) {
-            deployment.launch(place)?;
+        let entries = ZONES.into_iter().map(|zone| DaemonRole::Entry { zone });
+        let engines = (0..settings.engines).map(|number| DaemonRole::Engine { number });
+        for daemon_role in entries.chain(engines).chain([DaemonRole::Plain]) {
+            deployment.launch(daemon_role)?;
         }
         Ok(deployment)
     }
 
-    /// Starts a process and puts its VM on the list.
-    fn launch(&self, place: Place) -> Result<SocketAddr, Failure> {
-        let settings = self.process_settings(&place)?;
+    /// Starts a daemon and adds its VM to the VM list; returns the daemon's HTTP address.
+    fn launch(&self, daemon_role: DaemonRole) -> Result<SocketAddr, Failure> {
+        let settings = self.process_settings(&daemon_role)?;
         let role = match settings.role {
             Role::Entry(_) => VmRole::Entry,
             Role::Sidecar(_) => VmRole::Sidecar,
@@ -151,8 +151,8 @@
             Role::Sidecar(sidecar) => Some(sidecar.service.clone()),
         };
         let (vm, zone) = (settings.vm.clone(), settings.zone.clone());
-        let daemon =
-            Daemon::start(settings).map_err(|err| Failure::Check(format!("{vm}: {err}")))?;
+        let daemon = Daemon::start(settings)
+            .map_err(|err| Failure::Check(format!("can't start the daemon of {vm}: {err}")))?;
         self.servers.vms.set(Vm {
             id: vm.clone(),
             role,
@@ -165,26 +165,30 @@
         if role == VmRole::Entry {
             self.balancer.add(address);
         }
-        lock(&self.daemons).push(Running { place, vm, daemon });
+        lock(&self.daemons).push(RunningDaemon {
+            daemon_role,
+            vm,
+            daemon,
+        });
         Ok(address)
     }
 
-    fn process_settings(&self, place: &Place) -> Result<Settings, Failure> {
+    fn process_settings(&self, daemon_role: &DaemonRole) -> Result<Settings, Failure> {
         let addresses = &self.servers.addresses;
-        let (vm, zone, role) = match place {
-            Place::Entry { zone } => {
+        let (vm, zone, role) = match daemon_role {
+            DaemonRole::Entry { zone } => {
                 let role = EntryRole {
                     log_address: addresses.log,
                     vms_address: addresses.vms,
-                    default_service: Some(name(CHAT_SERVICE)?),
+                    default_service: Some(parse_name(CHAT_SERVICE)?),
                     vms_poll_us: SpanUs::from_ms(100),
                     ..EntryRole::default()
                 };
-                (self.entry_name(), *zone, Role::Entry(role))
+                (self.next_entry_name(), *zone, Role::Entry(role))
             }
-            Place::Engine { number } => {
+            DaemonRole::Engine { number } => {
                 let role = SidecarRole {
-                    service: name(CHAT_SERVICE)?,
+                    service: parse_name(CHAT_SERVICE)?,
                     backend_kind: BackendKind::Engine,
                     backend_address: addresses.engines[*number],
                     ..SidecarRole::default()
@@ -192,9 +196,9 @@
                 let zone = ZONES[number % ZONES.len()];
                 (format!("engine-{number}"), zone, Role::Sidecar(role))
             }
-            Place::Plain => {
+            DaemonRole::Plain => {
                 let role = SidecarRole {
-                    service: name(PLAIN_SERVICE)?,
+                    service: parse_name(PLAIN_SERVICE)?,
                     backend_kind: BackendKind::Plain,
                     backend_address: addresses.plains[0],
                     ..SidecarRole::default()
@@ -203,10 +207,11 @@
             }
         };
         let current = LinkKey::new(LINK_KEY);
-        let current = current.ok_or_else(|| Failure::Check("the key is short".to_owned()))?;
+        let current =
+            current.ok_or_else(|| Failure::Check("the link key is too short".to_owned()))?;
         Ok(Settings {
-            vm: name(&vm)?,
-            zone: name(zone)?,
+            vm: parse_name(&vm)?,
+            zone: parse_name(zone)?,
             role,
             log_level: LogLevel::Error,
             links: LinkSettings {
@@ -225,27 +230,27 @@
         })
     }
 
-    fn entry_name(&self) -> String {
-        let mut next = lock(&self.next_entry);
-        *next += 1;
-        format!("entry-{next}")
+    fn next_entry_name(&self) -> String {
+        let mut last = lock(&self.last_entry);
+        *last += 1;
+        format!("entry-{last}")
     }
 
     /// Publishes the example documents.
     ///
     /// # Errors
     ///
-    /// When the log does not take them.
+    /// Returns an error if the log rejects a record or can't be reached.
     pub async fn publish(&self, client: &Client) -> Result<(), Failure> {
         let mut rng = rand::rng();
         for (service, document) in DOCUMENTS {
             let record = Record {
                 id: RecordId::draw(&mut rng),
-                writer: name("operator")?,
+                writer: parse_name("operator")?,
                 incarnation: Incarnation(1),
                 body: RecordBody::Publish {
                     operation: OperationId::draw(&mut rng),
-                    service: name::<ServiceName>(service)?,
+                    service: parse_name::<ServiceName>(service)?,
                     base: Revision(0),
                     document: document.to_owned(),
                 },
@@ -258,27 +263,31 @@
             );
             let records = vec![text];
             let sent = client.post(url).send_json(&AppendBody { records }).await;
-            let response = sent.map_err(|err| Failure::Check(format!("the log: {err}")))?;
+            let response =
+                sent.map_err(|err| Failure::Check(format!("can't publish {service}: {err}")))?;
             if !response.status().is_success() {
-                return Err(Failure::Check(format!("the log: {}", response.status())));
+                return Err(Failure::Check(format!(
+                    "can't publish {service}: the log returned {}",
+                    response.status()
+                )));
             }
         }
         Ok(())
     }
 
-    /// Waits until all entries are ready and have the documents in force.
+    /// Waits until all entries are ready and have applied the documents.
     ///
     /// # Errors
     ///
-    /// When one of them takes too long.
+    /// Returns an error if an entry is not ready in time.
     pub async fn wait_ready(&self, client: &Client) -> Result<(), Failure> {
         let begun = Instant::now();
         while !self.is_ready(client).await {
-            if begun.elapsed() > START_LIMIT {
-                let text = format!("the entries were not ready within {START_LIMIT:?}");
+            if begun.elapsed() > START_TIMEOUT {
+                let text = format!("the entries were not ready within {START_TIMEOUT:?}");
                 return Err(Failure::Check(text));
             }
-            actix_rt::time::sleep(LOOK).await;
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
@@ -304,45 +313,47 @@
         true
     }
 
-    /// Replaces all processes, one after the other, and waits for each to end by itself; it blocks.
+    /// Replaces all daemons one by one, waiting for each to shut down gracefully; returns their number.
+    /// Blocks the thread.
     ///
     /// # Errors
     ///
-    /// When one does not start, or had to be forced to end.
+    /// Returns an error if a daemon fails to start or its shutdown was forced.
     pub fn rolling_restart(&self) -> Result<usize, Failure> {
         let count = lock(&self.daemons).len();
         for _ in 0..count {
             let old = lock(&self.daemons).remove(0);
-            match old.place {
-                Place::Entry { .. } => {
-                    let fresh = self.launch(old.place.clone())?;
-                    self.wait_for(fresh)?;
-                    self.retire(old)?;
+            match old.daemon_role {
+                DaemonRole::Entry { .. } => {
+                    let replacement = self.launch(old.daemon_role.clone())?;
+                    self.wait_entry_ready(replacement)?;
+                    self.shut_down(old)?;
                 }
-                // Two sidecars beside one backend server would both admit to it.
-                Place::Engine { .. } | Place::Plain => {
-                    let place = old.place.clone();
-                    self.retire(old)?;
-                    self.launch(place)?;
+                // Stops the old sidecar first: two sidecars of one backend server would each admit calls up
+                // to its limit.
+                DaemonRole::Engine { .. } | DaemonRole::Plain => {
+                    let daemon_role = old.daemon_role.clone();
+                    self.shut_down(old)?;
+                    self.launch(daemon_role)?;
                 }
             }
         }
         Ok(count)
     }
 
-    fn wait_for(&self, entry: SocketAddr) -> Result<(), Failure> {
+    fn wait_entry_ready(&self, entry: SocketAddr) -> Result<(), Failure> {
         let begun = Instant::now();
         while !self.balancer.ready_entries().contains(&entry) {
-            if begun.elapsed() > START_LIMIT {
-                let text = format!("a new entry was not ready within {START_LIMIT:?}");
+            if begun.elapsed() > START_TIMEOUT {
+                let text = format!("a new entry was not ready within {START_TIMEOUT:?}");
                 return Err(Failure::Check(text));
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
         Ok(())
     }
 
-    fn retire(&self, old: Running) -> Result<(), Failure> {
+    fn shut_down(&self, old: RunningDaemon) -> Result<(), Failure> {
         self.servers.vms.set_leaving(&old.vm);
         old.daemon.shutdown();
         let address = old.daemon.http_address();
@@ -350,19 +361,19 @@
         self.balancer.remove(address);
         self.servers.vms.remove(old.vm.clone());
         if ended == ShutdownKind::Forced {
-            let text = format!("{} had to be forced to end", old.vm);
+            let text = format!("the shutdown of {} was forced", old.vm);
             return Err(Failure::Check(text));
         }
         Ok(())
     }
 
-    /// The tokens that all engines hold.
+    /// Returns the memory in use on all engines.
     #[must_use]
     pub fn held_tokens(&self) -> Tokens {
         self.servers.engines.iter().map(used_tokens).sum()
     }
 
-    /// Waits until no engine holds memory; returns what is left after `limit`.
+    /// Waits until no engine memory is in use, at most for `limit`; returns the memory still in use.
     pub async fn wait_released(&self, limit: Duration) -> Tokens {
         let begun = Instant::now();
         loop {
@@ -370,11 +381,11 @@
             if held == Tokens(0) || begun.elapsed() > limit {
                 return held;
             }
-            actix_rt::time::sleep(LOOK).await;
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// The calls that entries tried again elsewhere, summed over the entries that run.
+    /// Returns the number of calls that the ready entries retried on another backend server.
     pub async fn system_retries(&self, client: &Client) -> u64 {
         let mut sum = 0;
         for entry in self.balancer.ready_entries() {
@@ -392,31 +403,31 @@
         sum
     }
 
-    /// Ends all processes; it blocks.
+    /// Shuts down all processes. Blocks the thread.
     ///
     /// # Errors
     ///
-    /// When one had to be forced to end.
+    /// Returns an error if the shutdown of a daemon was forced.
     pub fn stop(self) -> Result<(), Failure> {
         let daemons = std::mem::take(&mut *lock(&self.daemons));
-        // Entries first: what they have begun still needs the sidecars.
-        let (entries, sidecars): (Vec<Running>, Vec<Running>) = daemons
+        // Entries first: their calls in progress still need the sidecars.
+        let (entries, sidecars): (Vec<RunningDaemon>, Vec<RunningDaemon>) = daemons
             .into_iter()
-            .partition(|running| matches!(running.place, Place::Entry { .. }));
+            .partition(|running| matches!(running.daemon_role, DaemonRole::Entry { .. }));
         for group in [entries, sidecars] {
             for running in &group {
                 running.daemon.shutdown();
             }
             for running in group {
-                self.retire(running)?;
+                self.shut_down(running)?;
             }
         }
         Ok(self.servers.stop()?)
     }
 }
 
-/// A name that stands in the code.
-fn name<T>(text: &str) -> Result<T, Failure>
+/// Parses a name given in the code.
+fn parse_name<T>(text: &str) -> Result<T, Failure>
 where
     T: std::str::FromStr,
     T::Err: ToString,
--- a/standins/src/failure.rs
+++ b/standins/src/failure.rs
@@ -1,4 +1,4 @@
-//! Why a command of the stand-ins ends with an error.
+//! Defines the error type of the commands.
 
 use std::io;
 
@@ -9,24 +9,24 @@
 /// Why a command failed.
 #[derive(Debug, Error)]
 pub enum Failure {
-    /// A server or file failed.
+    /// An I/O operation failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// A file is not as it should be.
+    /// A file has invalid content.
     #[error("{file}: {detail}")]
     File {
-        /// The file.
+        /// The path of the file.
         file: String,
         /// What is wrong.
         detail: String,
     },
-    /// The ports from the base port on do not suffice.
-    #[error("there are too few ports above the base port")]
+    /// The port range above the base port is too small.
+    #[error("the base port is too high: the last port would exceed 65535")]
     Ports,
-    /// The policy tool can't run.
+    /// The policy experiment failed.
     #[error("{0}")]
     Policy(#[from] PolicyError),
-    /// What was run did not come out as it must.
+    /// A check of a run failed, or the run could not be completed.
     #[error("{0}")]
     Check(String),
 }
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,7 +1,8 @@
-//! Small fakes of what lies outside clementinepick, and the tools that drive it.
+//! Provides test doubles (stand-ins) of the systems outside clementinepick, and the tools that drive
+//! it.
 //!
-//! Each fake is a core without socket, thread or clock, so that a virtual-time run can hold it in
-//! memory; the same cores stand behind HTTP for the daemons.
+//! The core of each stand-in uses no socket, thread or clock: simulations in virtual time call it
+//! directly, and the daemons reach it through an HTTP server.
 
 pub mod answer;
 pub mod balancer;
--- a/standins/src/main.rs
+++ b/standins/src/main.rs
@@ -1,4 +1,4 @@
-//! The stand-ins and the tools that drive the daemons.
+//! Runs the stand-ins and the tools that drive the daemons.
 
 use std::process::ExitCode;
 
@@ -12,12 +12,12 @@
 use standins::serve::Serve;
 use standins::soak::Soak;
 
-/// Stand-ins for what lies outside clementinepick, and tools that drive it.
+/// Stand-ins for the systems outside clementinepick, and tools that drive it.
 #[derive(FromArgs, Debug)]
 #[argh(
     example = "{command_name} demo",
     example = "{command_name} serve --engines 4",
-    error_code(1, "something failed, or did not come out as it must")
+    error_code(1, "the command or one of its checks failed")
 )]
 struct Arguments {
     #[argh(subcommand)]
--- a/standins/src/report.rs
+++ b/standins/src/report.rs
@@ -1,4 +1,4 @@
-//! Tables of how programs and calls went, by class.
+//! Aggregates the measurements of programs and calls by class and formats them as a table.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,30 +8,30 @@
 
 use crate::run_program::ProgramRecord;
 
-/// The significant digits that histograms keep.
-const DIGITS: u8 = 3;
+/// The precision of histograms, in significant digits.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Latencies in microseconds.
+/// A histogram of latencies, in microseconds.
 #[derive(Debug, Clone)]
 pub struct LatencyHistogram(Histogram<u64>);
 
 impl Default for LatencyHistogram {
     fn default() -> Self {
-        let mut histogram = Histogram::new(DIGITS).expect("three digits are allowed");
+        let mut histogram = Histogram::new(SIGNIFICANT_DIGITS).expect("three digits are allowed");
         histogram.auto(true);
         Self(histogram)
     }
 }
 
 impl LatencyHistogram {
-    /// Adds one.
+    /// Adds a latency.
     pub fn add(&mut self, took: Duration) {
         let us = u64::try_from(took.as_micros()).unwrap_or(u64::MAX);
-        // A histogram that grows by itself refuses nothing.
+        // Can't fail: the histogram resizes automatically.
         let _ = self.0.record(us);
     }
 
-    /// The latency that this share of all stays under, in milliseconds.
+    /// Returns the latency at `quantile` (0 to 1), in milliseconds.
     #[must_use]
     #[expect(
         clippy::cast_precision_loss,
@@ -41,14 +41,14 @@
         self.0.value_at_quantile(quantile) as f64 / 1_000.0
     }
 
-    /// How many were added.
+    /// Returns the number of latencies added.
     #[must_use]
     pub fn count(&self) -> u64 {
         self.0.len()
     }
 
-    /// The median and the 95th and 99th percentile, or dashes where there is nothing.
-    fn columns(&self) -> String {
+    /// Formats the median and the 95th and 99th percentiles, or dashes if the histogram is empty.
+    fn format_columns(&self) -> String {
         if self.count() == 0 {
             return format!("{:>8} {:>8} {:>8}", "-", "-", "-");
         }
@@ -57,50 +57,50 @@
     }
 }
 
-/// What is counted for one class.
+/// The aggregated measurements of one class.
 #[derive(Debug, Clone, Default)]
 pub struct Row {
-    /// Programs of the class, without sub-agents.
+    /// The number of programs of the class, without sub-agents.
     pub programs: u64,
-    /// Calls of the class.
+    /// The number of calls of the class.
     pub calls: u64,
-    /// The programs' latency from the first call to the last answer.
+    /// The latency of programs from the first call to the last response.
     pub program_latency: LatencyHistogram,
-    /// The calls' latency.
+    /// The latency of calls, including retries.
     pub call_latency: LatencyHistogram,
-    /// The time to the first text of a stream.
+    /// The time to the first text of streamed answers.
     pub first_text: LatencyHistogram,
-    /// Prompt and output tokens.
+    /// The number of prompt and output tokens.
     pub tokens: u64,
-    /// The prompts' tokens.
+    /// The number of prompt tokens.
     pub prompt_tokens: u64,
-    /// The prompts' tokens that came from a cache.
+    /// The number of prompt tokens served from a cache.
     pub cached_tokens: u64,
-    /// How often calls were sent again.
+    /// The number of retries.
     pub retries: u64,
-    /// Answers that said that a call did not run.
+    /// The number of refused attempts.
     pub refusals: u64,
 }
 
-/// What is counted over all programs.
+/// The aggregated measurements of all programs.
 #[derive(Debug, Clone, Default)]
 pub struct Report {
-    /// The rows by class.
+    /// The measurements by class.
     pub rows: BTreeMap<String, Row>,
-    /// The programs that ended.
+    /// The number of programs that ended.
     pub programs: u64,
-    /// Those of them that finished without a fault.
+    /// The number of programs that finished without a fault.
     pub finished: u64,
-    /// Their sub-agents.
+    /// The number of sub-agents.
     pub sub_agents: u64,
-    /// Answers that said that a call did not run, by their code.
+    /// The number of refused attempts by error code.
     pub refusals: BTreeMap<String, u64>,
-    /// What was missing, mixed or wrong.
+    /// The failed calls and unexpected responses.
     pub faults: Vec<String>,
 }
 
 impl Report {
-    /// Adds a program.
+    /// Adds the measurements of a program.
     pub fn add(&mut self, record: ProgramRecord) {
         self.programs += 1;
         self.finished += u64::from(record.faults.is_empty());
@@ -153,8 +153,8 @@
                 "{class:<10} {:>8} {:>6} | {} | {} | {:>8} {reused:>7} {:>8} {:>8}",
                 row.programs,
                 row.calls,
-                row.program_latency.columns(),
-                row.call_latency.columns(),
+                row.program_latency.format_columns(),
+                row.call_latency.format_columns(),
                 row.tokens,
                 row.retries,
                 row.refusals
--- a/standins/src/sequence.rs
+++ b/standins/src/sequence.rs
@@ -1,4 +1,4 @@
-//! One sequence of the engine's batch, and the lines of text that it sends.
+//! Defines a sequence of the engine's batch and builds the text lines that it sends.
 
 use clementinepick::call::FinishReason;
 use clementinepick::platform::{GenerateBody, GenerateLine};
@@ -14,7 +14,7 @@
     Decoding { first_step: u64 },
 }
 
-/// One sequence that has not ended.
+/// A waiting or running sequence.
 #[derive(Debug, Clone)]
 pub(crate) struct Sequence {
     pub(crate) segments: Vec<Segment>,
@@ -24,30 +24,30 @@
     pub(crate) matched: usize,
     pub(crate) cached: Tokens,
     pub(crate) prompt: Tokens,
-    /// The memory that the answer will fill.
+    /// The memory that the complete answer occupies.
     pub(crate) answer: Tokens,
-    /// Memory that is reserved and not yet stored as segments.
+    /// Reserved memory that is not yet used by stored segments.
     pub(crate) reserved: Tokens,
     pub(crate) phase: Phase,
-    /// What went out in lines.
+    /// The text sent so far.
     pub(crate) text: String,
-    /// The tokens of `text`.
+    /// The number of tokens in `text`.
     pub(crate) sent: Tokens,
 }
 
 impl Sequence {
-    /// The sequence of a request that waits.
+    /// Returns the waiting sequence of a request.
     pub(crate) fn new(body: GenerateBody) -> Self {
         let chain = body.prompt.chain();
-        let model_wants = intended_output_tokens(chain, &body.extra);
-        let wanted = model_wants.min(body.max_output_tokens).max(Tokens(1));
+        let unlimited = intended_output_tokens(chain, &body.extra);
+        let wanted = unlimited.min(body.max_output_tokens).max(Tokens(1));
         Self {
             prompt: body.prompt.length_tokens(),
             segments: body.prompt.segments,
             chain,
             answer: answer_length(wanted),
             wanted,
-            finish: if model_wants > wanted {
+            finish: if unlimited > wanted {
                 FinishReason::Length
             } else {
                 FinishReason::Stop
@@ -61,13 +61,13 @@
         }
     }
 
-    /// The cache memory that prompt and answer fill.
+    /// Returns the cache memory that the prompt and the complete answer occupy.
     pub(crate) fn peak_memory(&self) -> Tokens {
         self.prompt + self.answer
     }
 }
 
-/// The length of an answer's segment, which is that of its text as a message.
+/// Returns the length of the segment of an answer of `count` tokens: that of its text as a message.
 fn answer_length(count: Tokens) -> Tokens {
     let chars = usize::try_from(count.0 * CHARS_PER_TOKEN).unwrap_or(usize::MAX);
     estimate_tokens(&" ".repeat(chars))
@@ -85,7 +85,8 @@
     }
 }
 
-/// The line for all of the first `count` tokens that lies after `position`.
+/// Returns a line with the text of the first `count` tokens after the character offset `position`;
+/// empty if there is none.
 pub(crate) fn text_after(chain: ChainHash, count: Tokens, position: u64) -> Vec<GenerateLine> {
     let from = Tokens(position / CHARS_PER_TOKEN);
     if from >= count {
@@ -93,11 +94,13 @@
     }
     let mut line = text_line(chain, from, count);
     if let GenerateLine::Text {
-        position: at, text, ..
+        position: start,
+        text,
+        ..
     } = &mut line
     {
-        let skipped = position - *at;
-        *at = position;
+        let skipped = position - *start;
+        *start = position;
         text.drain(..usize::try_from(skipped).unwrap_or_default());
     }
     vec![line]
