--- a/standins/src/engine_memory.rs
+++ b/standins/src/engine_memory.rs
@@ -4,9 +4,9 @@
 use clementinepick::prompt::ChainHash;
 use clementinepick::units::{Bytes, SpanUs, TimeUs, Tokens};
 
-use crate::cache::CacheSpend;
+use crate::cache::IdleCacheUse;
 use crate::engine::{Engine, EngineError};
-use crate::sequence::tokens_of;
+use crate::sequence::total_length;
 
 impl Engine {
     /// Frees cached prefixes, except segments shared with other prefixes or used by a running
@@ -55,9 +55,9 @@
             return Err(EngineError::Down);
         }
         self.run_until(now);
-        let matched = self.cache.matched(&image.segments);
+        let matched = self.cache.count_cached(&image.segments);
         self.cache.pin(now, &image.segments[..matched]);
-        let missing = tokens_of(&image.segments[matched..]);
+        let missing = total_length(&image.segments[matched..]);
         let fits = self.cache.reserve(now, missing);
         if fits {
             self.store(&image.segments, matched);
@@ -101,7 +101,7 @@
 
     /// Returns how idle cache memory was used up to `now`.
     #[must_use]
-    pub fn cache_spend(&self, now: TimeUs) -> CacheSpend {
-        self.cache.spend(now)
+    pub fn cache_spend(&self, now: TimeUs) -> IdleCacheUse {
+        self.cache.idle_use(now)
     }
 }
