--- a/standins/tests/gateway.rs
+++ b/standins/tests/gateway.rs
@@ -219,7 +219,7 @@
 }
 
 /// A request that one server refuses as not run is sent to the other. With both refusing, the
-/// caller gets 503 with `Retry-After` and nothing has run.
+/// caller gets 503 with `retry-after` and nothing has run.
 #[test]
 fn a_503_with_retry_after_means_the_request_has_not_run() {
     let run = run();
--- a/standins/tests/gateway_bounds.rs
+++ b/standins/tests/gateway_bounds.rs
@@ -65,7 +65,7 @@
     assert_eq!(slices.into_iter().filter(is_slice).count(), 1);
 }
 
-/// Buffered request bodies are bounded: a request beyond the limit gets 503 with `Retry-After` and
+/// Buffered request bodies are bounded: a request beyond the limit gets 503 with `retry-after` and
 /// is not run; it is served once the buffer has room.
 #[test]
 fn bodies_beyond_the_buffer_limit_are_refused_and_not_run() {
